--- a/bergamotshift-core/src/clock.rs
+++ b/bergamotshift-core/src/clock.rs
@@ -55,18 +55,18 @@
 ///
 /// ```
 /// use bergamotshift_core::prelude::*;
-/// use bergamotshift_core::clock::Until;
+/// use bergamotshift_core::clock::Expiry;
 ///
-/// let pause = Until::default();
+/// let pause = Expiry::default();
 /// pause.extend(Instant::from_secs(5));
 /// pause.extend(Instant::from_secs(3));
 /// assert_eq!(pause.after(Instant::from_secs(4)), Some(Instant::from_secs(5)));
 /// assert_eq!(pause.after(Instant::from_secs(5)), None);
 /// ```
 #[derive(Debug, Default)]
-pub struct Until(AtomicU64);
+pub struct Expiry(AtomicU64);
 
-impl Until {
+impl Expiry {
     /// Sets the time.
     pub fn set(&self, at: Instant) {
         self.0.store(at.0, Relaxed);
--- a/bergamotshift-entry/src/control/death.rs
+++ b/bergamotshift-entry/src/control/death.rs
@@ -122,7 +122,7 @@
     fn died(&mut self, endpoint: &Endpoint, fingerprint: Option<Fingerprint>) {
         let Some(known) = self.fleet.find(endpoint) else { return };
         let death = Death {
-            victim: known.victim(),
+            instance: known.victim(),
             announced: known.leaving,
             running: fingerprint.into_iter().collect(),
         };
@@ -130,7 +130,7 @@
         if !news && death.running.is_empty() {
             return;
         }
-        self.quarantine.died(self.shared.now(), death);
+        self.quarantine.record_death(self.shared.now(), death);
         self.tell_suspicion(endpoint, fingerprint);
         self.share_suspicions();
         self.due(Due::Now);
--- a/bergamotshift-entry/src/control/fleet.rs
+++ b/bergamotshift-entry/src/control/fleet.rs
@@ -6,7 +6,7 @@
 use bergamotshift_config::config::Config;
 use bergamotshift_core::prelude::*;
 use bergamotshift_endpoint::call::Target;
-use bergamotshift_limit::quarantine::Victim;
+use bergamotshift_limit::quarantine::Instance;
 use bergamotshift_route::registry::Registry;
 use bergamotshift_route::view;
 use slotmap::SecondaryMap;
@@ -36,8 +36,8 @@
 }
 
 impl Known {
-    pub(super) fn victim(&self) -> Victim {
-        Victim::new(self.endpoint.vm.clone(), self.endpoint.incarnation)
+    pub(super) fn victim(&self) -> Instance {
+        Instance::new(self.endpoint.vm.clone(), self.endpoint.incarnation)
     }
 }
 
--- a/bergamotshift-entry/src/control/peers.rs
+++ b/bergamotshift-entry/src/control/peers.rs
@@ -10,7 +10,7 @@
 use bergamotshift_fleet::endpoint;
 use bergamotshift_fleet::mark;
 use bergamotshift_fleet::note;
-use bergamotshift_limit::quarantine::Standing;
+use bergamotshift_limit::quarantine::Attribution;
 use bergamotshift_limit::quarantine::Suspicion;
 use bergamotshift_platform::vms::Notice;
 use slog::info;
@@ -92,9 +92,9 @@
                 let (victim, _, standing) = &death;
                 let hash = xxh3_64_with_seed(victim.vm.as_str().as_bytes(), victim.incarnation.get());
                 let version = match standing {
-                    Standing::Counted => 1,
-                    Standing::Forgiven => 2,
-                    Standing::Announced => 3,
+                    Attribution::Counted => 1,
+                    Attribution::Forgiven => 2,
+                    Attribution::Announced => 3,
                 };
                 let key = suspicion.fingerprint.get() ^ u128::from(hash);
                 let alone = Suspicion {
--- a/bergamotshift-entry/src/exchange/attempts.rs
+++ b/bergamotshift-entry/src/exchange/attempts.rs
@@ -255,7 +255,7 @@
             .worker
             .with_generator(|generator| service.retry.decide(now, request, kind, &service.budget, generator));
         match decision {
-            Decision::Again(delay) => {
+            Decision::Retry(delay) => {
                 service.metrics.retried(kind);
                 if !delay.is_zero() {
                     tokio::time::sleep(delay).await;
--- a/bergamotshift-entry/src/sharing/control.rs
+++ b/bergamotshift-entry/src/sharing/control.rs
@@ -8,11 +8,11 @@
 use bergamotshift_config::config::Config;
 use bergamotshift_core::prelude::*;
 use bergamotshift_limit::demand::Origin;
-use bergamotshift_limit::desk;
-use bergamotshift_limit::desk::Kernel;
-use bergamotshift_limit::desk::Tenant;
-use bergamotshift_limit::desk::Word;
-use bergamotshift_limit::desk::Words;
+use bergamotshift_limit::limiter;
+use bergamotshift_limit::limiter::Announcement;
+use bergamotshift_limit::limiter::Demand;
+use bergamotshift_limit::limiter::Kernel;
+use bergamotshift_limit::limiter::Organisation;
 use bergamotshift_limit::quota::Limits;
 use slotmap::SecondaryMap;
 
@@ -46,7 +46,7 @@
     /// A zone named here that is silent keeps its portion of every limit; an entry that hears nobody names none.
     pub fn new(others: Vec<name::Zone>) -> Self {
         Self {
-            kernel: Kernel::new(desk::Settings::default(), others, 0),
+            kernel: Kernel::new(limiter::Settings::default(), others, 0),
             table: Table::default(),
             followed: None,
             flows: SecondaryMap::new(),
@@ -113,14 +113,14 @@
     }
 
     /// Returns what other entries and zones should hear now.
-    pub fn tell(&mut self, now: Instant) -> Words {
+    pub fn tell(&mut self, now: Instant) -> Announcement {
         self.told = now;
-        self.kernel.tell(now)
+        self.kernel.announce(now)
     }
 
     /// Notes what another entry of this zone, or another zone, told; `age` is how long ago.
-    pub fn hear(&mut self, now: Instant, origin: &Origin, age: Duration, word: Word) {
-        self.kernel.hear(now, origin, age, word);
+    pub fn hear(&mut self, now: Instant, origin: &Origin, age: Duration, word: Demand) {
+        self.kernel.observe(now, origin, age, word);
     }
 
     /// Sets how many other entries of this zone are alive.
@@ -134,11 +134,11 @@
     }
 }
 
-fn tenant(organisation: &config::Organisation, config: &Config) -> Tenant {
+fn tenant(organisation: &config::Organisation, config: &Config) -> Organisation {
     let limits = organisation.limits;
     let defaults = Limits::default();
     let services = config.services.keys().filter(|name| organisation.may_use(name));
-    Tenant {
+    Organisation {
         name: organisation.name.clone(),
         weight: f64::from(organisation.weight),
         limits: Limits {
@@ -151,8 +151,8 @@
     }
 }
 
-fn service(service: &config::Service) -> desk::Service {
-    desk::Service {
+fn service(service: &config::Service) -> limiter::Service {
+    limiter::Service {
         name: service.name.clone(),
         target: request::first(service),
     }
--- a/bergamotshift-entry/src/sharing/load/mod.rs
+++ b/bergamotshift-entry/src/sharing/load/mod.rs
@@ -7,7 +7,7 @@
 
 use bergamotshift_config::config::Kind;
 use bergamotshift_core::prelude::*;
-use bergamotshift_limit::desk::Reading;
+use bergamotshift_limit::limiter::Reading;
 use bergamotshift_route::View;
 use bergamotshift_route::view;
 use slotmap::SecondaryMap;
@@ -101,7 +101,7 @@
         Some(Reading {
             capacity: self.capacity,
             waits: self.ahead.map(wait),
-            room: span(self.slots * mean_work),
+            concurrency: span(self.slots * mean_work),
             age: Duration::ZERO,
         })
     }
--- a/bergamotshift-entry/src/sharing/ticket.rs
+++ b/bergamotshift-entry/src/sharing/ticket.rs
@@ -151,7 +151,7 @@
     pub fn settle(mut self, now: Instant, outcome: Outcome) {
         let Some(account) = &self.account else { return };
         let call = &self.call;
-        account.table.desk().ended(&call.service, call.urgency, account.work);
+        account.table.desk().complete(&call.service, call.urgency, account.work);
         if outcome == Outcome::NotRun {
             return self.charge(now, Cost::default());
         }
--- a/bergamotshift-forward/src/control/inner.rs
+++ b/bergamotshift-forward/src/control/inner.rs
@@ -15,7 +15,7 @@
 use bergamotshift_limit::retry;
 use bergamotshift_limit::retry::Budget;
 use bergamotshift_rollout::Evidence;
-use bergamotshift_rollout::Standing;
+use bergamotshift_rollout::Tracker;
 use rand::Rng;
 use slog::info;
 
@@ -91,7 +91,7 @@
     /// What each life of each other entry counted.
     pub(super) counted: BTreeMap<(name::Entry, u64), Windows>,
     /// Which versions of each service may take work.
-    pub(super) standings: BTreeMap<name::Service, Standing>,
+    pub(super) standings: BTreeMap<name::Service, Tracker>,
     /// The share of each service's new version in the last picture.
     pub(super) shares: BTreeMap<name::Service, u16>,
     /// What each life of each other entry saw of the answers of two versions.
@@ -244,7 +244,7 @@
         // than the platform allows, and the ones that are left break too.
         let slack = retry_slack(shared, self.members.count());
         for service in self.services.values_mut() {
-            service.budget.bound(slack);
+            service.budget.set_burst(slack);
             service.reading.note(READING, service.asked.swap(0, Relaxed), span);
         }
         for entry in self.members.expire(now) {
@@ -330,7 +330,7 @@
     (shared.settings.core_share * 1e3) as u16
 }
 
-pub(super) fn victim(endpoint: &Endpoint) -> quarantine::Victim {
+pub(super) fn victim(endpoint: &Endpoint) -> quarantine::Instance {
     let vm = name::Vm::new(&endpoint.registration.id);
-    quarantine::Victim::new(vm, Incarnation::new(endpoint.registration.born))
+    quarantine::Instance::new(vm, Incarnation::new(endpoint.registration.born))
 }
--- a/bergamotshift-forward/src/control/mod.rs
+++ b/bergamotshift-forward/src/control/mod.rs
@@ -230,11 +230,11 @@
         info!(self.shared.log.always(), "endpoint ended with a request"; "endpoint" => victim.vm.as_str(),
             "fingerprint" => format!("{:032x}", fingerprint.get()));
         let death = quarantine::Death {
-            victim,
+            instance: victim,
             announced: false,
             running: vec![fingerprint],
         };
-        inner.quarantine.died(now, death);
+        inner.quarantine.record_death(now, death);
         inner.publish(&self.shared);
     }
 
--- a/bergamotshift-forward/src/control/publish.rs
+++ b/bergamotshift-forward/src/control/publish.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 
 use bergamotshift_core::prelude::*;
-use bergamotshift_rollout::standing::Admission;
+use bergamotshift_rollout::tracker::Admission;
 
 use super::inner::Inner;
 use super::inner::Lasting;
--- a/bergamotshift-forward/src/control/rates.rs
+++ b/bergamotshift-forward/src/control/rates.rs
@@ -19,7 +19,7 @@
     /// Returns what endpoints said of their rates in answers to this entry.
     pub(super) fn told_rates(&self, now: Instant) -> Vec<Rate> {
         let rate = |endpoint: &Arc<Endpoint>| {
-            let word = endpoint.said.throttle.first_hand()?;
+            let word = endpoint.said.throttle.direct_limit()?;
             let is_told = word.rate.is_some() || now.since(word.at) < TOLD;
             is_told.then(|| Rate::new(endpoint, word, now))
         };
--- a/bergamotshift-forward/src/control/rollouts.rs
+++ b/bergamotshift-forward/src/control/rollouts.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 
 use bergamotshift_core::prelude::*;
-use bergamotshift_rollout::directive::WHOLE;
+use bergamotshift_rollout::directive::FULL_SHARE;
 use bergamotshift_rollout::prelude::*;
 use slog::info;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
@@ -20,7 +20,7 @@
 use crate::view::Shared;
 
 /// Stands for the share of a version whose order has ended.
-const ENDED: u16 = WHOLE + 1;
+const ENDED: u16 = FULL_SHARE + 1;
 
 /// What the holder of the duties needs to direct an order.
 #[derive(Clone, Debug)]
@@ -30,7 +30,7 @@
     /// What was last directed.
     pub directive: Option<Directive>,
     /// What its director sees.
-    pub sight: Sight,
+    pub sight: Observation,
 }
 
 impl Control {
@@ -66,7 +66,7 @@
         let now = self.now();
         let mut inner = self.inner.borrow_mut();
         let standing = inner.standings.get_mut(service);
-        if standing.is_some_and(|standing| standing.direct(now, directive)) {
+        if standing.is_some_and(|standing| standing.apply_directive(now, directive)) {
             inner.apply_shares(now, &self.shared);
         }
     }
@@ -122,11 +122,11 @@
     ) {
         let service = order.service.clone();
         let standing = self.standings.entry(service.clone());
-        let standing = standing.or_insert_with(|| Standing::new(&shared.settings.rollout));
+        let standing = standing.or_insert_with(|| Tracker::new(&shared.settings.rollout));
         let (to, number) = (order.to.clone(), order.number);
         let before = standing.directive().map(|directive| directive.phase);
-        let is_ordered = standing.order(now, order, age);
-        let is_directed = directive.is_some_and(|directive| standing.direct(now, directive));
+        let is_ordered = standing.apply_order(now, order, age);
+        let is_directed = directive.is_some_and(|directive| standing.apply_directive(now, directive));
         if is_ordered {
             info!(shared.log.always(), "rollout ordered"; "service" => service.as_str(), "to" => to.as_str(),
                 "order" => number, "age_ms" => age.as_millis() as u64, "from" => from);
@@ -159,7 +159,7 @@
     /// Publishes a picture if a new version's share or standing changed, and counts the answers of open orders alone.
     pub(super) fn apply_shares(&mut self, now: Instant, shared: &Shared) {
         self.open_book(shared);
-        let share_of = |standing: &Standing| match standing.directive() {
+        let share_of = |standing: &Tracker| match standing.directive() {
             // What a version may get changes with the end of an order, also where the share stays the same.
             Some(directive) if directive.phase.is_final() => ENDED,
             _ => standing.share(now),
@@ -224,7 +224,7 @@
         (of(Admission::Stable), of(Admission::Canary))
     }
 
-    fn rollout(&self, now: Instant, shared: &Shared, service: &name::Service, standing: &Standing) -> Option<Rollout> {
+    fn rollout(&self, now: Instant, shared: &Shared, service: &name::Service, standing: &Tracker) -> Option<Rollout> {
         let order = standing.last_order()?.clone();
         let mut evidence = Evidence::new(order.number);
         let own = shared.book.evidence();
@@ -236,12 +236,12 @@
         let slots = canary.iter().map(|endpoint| endpoint.registration.slots);
         Some(Rollout {
             directive: standing.directive().copied(),
-            sight: Sight {
+            sight: Observation {
                 age: standing.age(now),
                 evidence,
-                busy: stable.iter().map(|endpoint| endpoint.running()).sum(),
-                stable: stable.len(),
-                canary: canary.len(),
+                stable_in_flight: stable.iter().map(|endpoint| endpoint.running()).sum(),
+                stable_endpoints: stable.len(),
+                canary_endpoints: canary.len(),
                 slots: slots.max().unwrap_or(1),
             },
             order,
@@ -252,7 +252,7 @@
 /// Returns how many endpoints of the new version take a share of the requests, so that each is loaded as one of those in
 /// force is.
 fn canaries(stable: usize, share: u16) -> usize {
-    let alike = stable as f64 * f64::from(share) / f64::from(WHOLE);
+    let alike = stable as f64 * f64::from(share) / f64::from(FULL_SHARE);
     (alike as usize).max(1)
 }
 
--- a/bergamotshift-forward/src/duty/rollouts.rs
+++ b/bergamotshift-forward/src/duty/rollouts.rs
@@ -61,7 +61,7 @@
         let (Some(directed), Some(number)) = (self.directors.get_mut(service), self.number) else {
             return;
         };
-        let step = directed.director.look(shared.clock.now(), &rollout.sight);
+        let step = directed.director.observe(shared.clock.now(), &rollout.sight);
         if step.cause.is_some() || directed.step.is_multiple_of(STEPS_LOGGED) {
             note(&shared, rollout, &step);
         }
@@ -85,7 +85,7 @@
         };
         directed.told = Some(state);
         if state.is_final() {
-            directed.director.settled(state);
+            directed.director.set_final_state(state);
             let directive = directed.directive(number, state.into(), 0);
             self.control.direct(service, directive);
         }
@@ -99,8 +99,9 @@
     info!(shared.log.always(), "rollout directed"; "service" => rollout.order.service.as_str(),
         "to" => rollout.order.to.as_str(), "order" => rollout.order.number,
         "age_ms" => sight.age.as_millis() as u64, "phase" => ?step.phase, "share" => step.share,
-        "stable_endpoints" => sight.stable, "canary_endpoints" => sight.canary, "busy" => sight.busy,
+        "stable_endpoints" => sight.stable_endpoints, "canary_endpoints" => sight.canary_endpoints,
+        "busy" => sight.stable_in_flight,
         "stable_answers" => stable.ended(), "stable_bad" => stable.bad,
         "canary_answers" => canary.ended(), "canary_bad" => canary.bad,
-        "stable_paces" => ?stable.paces, "canary_paces" => ?canary.paces, "cause" => ?step.cause);
+        "stable_paces" => ?stable.latencies, "canary_paces" => ?canary.latencies, "cause" => ?step.cause);
 }
--- a/bergamotshift-forward/src/endpoint/health.rs
+++ b/bergamotshift-forward/src/endpoint/health.rs
@@ -4,7 +4,7 @@
 use core::sync::atomic::Ordering::Relaxed;
 use core::time::Duration;
 
-use bergamotshift_core::clock::Until;
+use bergamotshift_core::clock::Expiry;
 use bergamotshift_core::prelude::*;
 
 /// The first pause after an endpoint could not be reached; a crashed one is back after some seconds.
@@ -31,7 +31,7 @@
     /// Failures to reach it in a row.
     unreachable: AtomicU32,
     /// Until when it is passed over.
-    paused: Until,
+    paused: Expiry,
 }
 
 impl Health {
--- a/bergamotshift-forward/src/endpoint/mod.rs
+++ b/bergamotshift-forward/src/endpoint/mod.rs
@@ -142,7 +142,7 @@
 
     /// Returns until when this entry sends it nothing; `None` when it may be sent something.
     pub fn closed_until(&self, now: Instant) -> Option<Instant> {
-        self.said.paused_until(now).max(self.said.throttle.closed_until(now))
+        self.said.paused_until(now).max(self.said.throttle.paused_until(now))
     }
 
     /// Marks it as leaving by what is registered, and returns whether that is news.
--- a/bergamotshift-forward/src/endpoint/said.rs
+++ b/bergamotshift-forward/src/endpoint/said.rs
@@ -3,7 +3,7 @@
 use core::sync::atomic::AtomicBool;
 use core::sync::atomic::Ordering::Relaxed;
 
-use bergamotshift_core::clock::Until;
+use bergamotshift_core::clock::Expiry;
 use bergamotshift_core::prelude::*;
 use bergamotshift_limit::throttle::Throttle;
 
@@ -14,7 +14,7 @@
     pub throttle: Throttle,
     leaves: AtomicBool,
     /// Until when it wants nothing from this entry.
-    paused: Until,
+    paused: Expiry,
 }
 
 impl Said {
--- a/bergamotshift-forward/src/exchange/call.rs
+++ b/bergamotshift-forward/src/exchange/call.rs
@@ -6,7 +6,7 @@
 use core::pin::pin;
 use core::time::Duration;
 
-use bergamotshift_core::pace::Pace;
+use bergamotshift_core::throughput::Throughput;
 use ntex::http::HeaderMap;
 use ntex::http::Method;
 use ntex::http::StatusCode;
@@ -80,16 +80,16 @@
     address: SocketAddr,
     path: &str,
     question: &[u8],
-    pace: Pace,
+    pace: Throughput,
 ) -> Result<Reply, Failure> {
     let received = Cell::new(0);
     let mut reading = pin!(read(connection, address, path, question, &received));
-    let mut watch = pace.watch();
+    let mut watch = pace.monitor();
     loop {
         if let Ok(ended) = timeout(pace.within, reading.as_mut()).await {
             return ended;
         }
-        if !watch.keeps(received.get()) {
+        if !watch.is_sustained(received.get()) {
             return Err(Failure::Slow {
                 received: received.get(),
             });
--- a/bergamotshift-forward/src/peers/message.rs
+++ b/bergamotshift-forward/src/peers/message.rs
@@ -6,7 +6,7 @@
 use bergamotshift_claim::lease;
 use bergamotshift_core::prelude::*;
 use bergamotshift_limit::quarantine::Suspicion;
-use bergamotshift_limit::throttle::Word;
+use bergamotshift_limit::throttle::RateLimit;
 use bergamotshift_rollout as rollout;
 use serde::Deserialize;
 use serde::Serialize;
@@ -97,11 +97,11 @@
 impl Rate {
     /// Makes one of what is known of an endpoint.
     pub fn of(endpoint: &Endpoint, now: Instant) -> Self {
-        Self::new(endpoint, endpoint.said.throttle.word(), now)
+        Self::new(endpoint, endpoint.said.throttle.limit(), now)
     }
 
     /// Makes one of a word of an endpoint.
-    pub fn new(endpoint: &Endpoint, word: Word, now: Instant) -> Self {
+    pub fn new(endpoint: &Endpoint, word: RateLimit, now: Instant) -> Self {
         Self {
             endpoint: endpoint.hash,
             rate: word.rate,
@@ -110,8 +110,8 @@
     }
 
     /// Returns it as a word at the time at which it is heard.
-    pub fn word(&self, now: Instant) -> Word {
-        Word {
+    pub fn word(&self, now: Instant) -> RateLimit {
+        RateLimit {
             rate: self.rate,
             at: now - Duration::from_millis(self.age_ms.into()),
         }
--- a/bergamotshift-forward/src/peers/permit.rs
+++ b/bergamotshift-forward/src/peers/permit.rs
@@ -88,7 +88,7 @@
         };
         let granters = Arc::clone(&self.shared.view.load().granters);
         let ranked = granter::ranked(endpoint.hash, &granters).into_iter().flatten();
-        for (candidate, cost) in ranked.zip([1, throttle::SECOND]) {
+        for (candidate, cost) in ranked.zip([1, throttle::DEPUTY_COST]) {
             let verdict = match candidate.address {
                 None => Some(grant(self.shared.clock.now(), endpoint, cost)),
                 Some(address) => self.ask_other(address, endpoint, cost).await,
@@ -104,7 +104,7 @@
                 endpoint
                     .said
                     .throttle
-                    .close(now + Duration::from_millis(millis).max(SHORTEST));
+                    .pause(now + Duration::from_millis(millis).max(SHORTEST));
             }
             self.log(endpoint, request, rate, candidate, verdict);
             return verdict.wait_ms.is_none();
@@ -115,7 +115,7 @@
         } else {
             granter::PAUSE
         };
-        endpoint.said.throttle.close(now + pause);
+        endpoint.said.throttle.pause(now + pause);
         if let Some((logger, left_out)) = self.shared.log.room(now, Topic::Limit) {
             info!(logger, "nobody grants a permit"; "request" => request, "rate" => rate,
                 "endpoint" => endpoint.registration.id.as_str(), "entries" => granters.len(),
--- a/bergamotshift-forward/src/peers/update.rs
+++ b/bergamotshift-forward/src/peers/update.rs
@@ -8,7 +8,7 @@
 use std::borrow::Cow;
 use std::rc::Rc;
 
-use bergamotshift_core::pace::Pace;
+use bergamotshift_core::throughput::Throughput;
 use bytes::Bytes;
 use futures_util::stream;
 use ntex::http::Request;
@@ -150,7 +150,7 @@
 pub async fn fetch(address: SocketAddr, version: u64) -> Result<Arrival, Error> {
     let question = postcard::to_stdvec(&Ask { version })?;
     let mut connection = Connection::open(address, PATIENCE).await?;
-    let pace = Pace {
+    let pace = Throughput {
         bytes: STEP,
         within: PATIENCE,
     };
--- a/bergamotshift-forward/src/rollouts/book.rs
+++ b/bergamotshift-forward/src/rollouts/book.rs
@@ -39,7 +39,7 @@
         let Some(evidence) = evidence.filter(|evidence| evidence.order == order) else {
             return;
         };
-        evidence.note(route, group, answer);
+        evidence.record(route, group, answer);
         inner.is_urgent |= group != Group::Stable && answer == Answer::Bad;
     }
 
--- a/bergamotshift-forward/src/rollouts/witness.rs
+++ b/bergamotshift-forward/src/rollouts/witness.rs
@@ -58,7 +58,7 @@
     /// version that ended are failures alone, and a sound one is condemned. A stream counts as good from its first event on.
     pub fn began(&mut self) {
         if core::mem::take(&mut self.is_waiting) {
-            self.note(Answer::Pace(self.waited()));
+            self.note(Answer::Latency(self.waited()));
             self.note(Answer::Good);
         }
     }
@@ -88,7 +88,7 @@
     fn drop(&mut self) {
         let waited = self.waited();
         if self.is_waiting && waited >= IN_VAIN {
-            self.note(Answer::Pace(waited));
+            self.note(Answer::Latency(waited));
         }
     }
 }
--- a/bergamotshift-forward/src/serve/hear.rs
+++ b/bergamotshift-forward/src/serve/hear.rs
@@ -1,7 +1,7 @@
 //! Takes in what an endpoint's answer says of the endpoint.
 
 use bergamotshift_core::prelude::*;
-use bergamotshift_limit::throttle::Word;
+use bergamotshift_limit::throttle::RateLimit;
 use ntex::http::StatusCode;
 use slog::info;
 
@@ -23,8 +23,8 @@
         let notice = Notice::read(&self.shared.dialect, answer.status, &answer.headers);
         let now = self.shared.clock.now();
         let is_own = self.shared.dialect.is_sealed(&answer.headers);
-        let lifted = is_own.then(|| Word::lifted(sent));
-        if let Some(word) = notice.rate.map(|rate| Word::named(rate, now)).or(lifted) {
+        let lifted = is_own.then(|| RateLimit::lifted(sent));
+        if let Some(word) = notice.rate.map(|rate| RateLimit::named(rate, now)).or(lifted) {
             let source = Source::Answer(&job.ask.id);
             self.shared.hear_rate(now, &choice.endpoint, word, source);
         }
--- a/bergamotshift-forward/src/view/mod.rs
+++ b/bergamotshift-forward/src/view/mod.rs
@@ -16,7 +16,7 @@
 use bergamotshift_core::prelude::*;
 use bergamotshift_limit::quarantine;
 use bergamotshift_limit::retry::Budget;
-use bergamotshift_rollout::directive::WHOLE;
+use bergamotshift_rollout::directive::FULL_SHARE;
 use tokio::sync::Notify;
 use tokio::sync::mpsc::UnboundedSender;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
@@ -97,7 +97,7 @@
 impl Canary {
     /// Returns whether a request belongs to its share, whose prompt has so many tokens.
     pub fn takes(&self, id: &str, prompt: Option<u32>) -> bool {
-        let place = xxh3_64_with_seed(id.as_bytes(), self.order) % u64::from(WHOLE);
+        let place = xxh3_64_with_seed(id.as_bytes(), self.order) % u64::from(FULL_SHARE);
         let is_small = self
             .largest
             .is_none_or(|largest| u64::from(prompt.unwrap_or(0)) <= largest);
@@ -106,7 +106,7 @@
 
     /// Returns whether all requests are to go to it.
     pub const fn is_whole(&self) -> bool {
-        self.share >= WHOLE
+        self.share >= FULL_SHARE
     }
 }
 
--- a/bergamotshift-forward/src/view/rates.rs
+++ b/bergamotshift-forward/src/view/rates.rs
@@ -1,7 +1,7 @@
 //! Takes in the rates that endpoints name for themselves.
 
 use bergamotshift_core::prelude::*;
-use bergamotshift_limit::throttle::Word;
+use bergamotshift_limit::throttle::RateLimit;
 use slog::info;
 
 use super::Shared;
@@ -19,10 +19,10 @@
 
 impl Shared {
     /// Takes in a word of an endpoint's rate, and logs it when it is news.
-    pub fn hear_rate(&self, now: Instant, endpoint: &Endpoint, word: Word, source: Source<'_>) {
+    pub fn hear_rate(&self, now: Instant, endpoint: &Endpoint, word: RateLimit, source: Source<'_>) {
         let before = endpoint.said.throttle.rate();
         let is_first_hand = matches!(source, Source::Answer(_));
-        if !endpoint.said.throttle.hear(word, is_first_hand) {
+        if !endpoint.said.throttle.update(word, is_first_hand) {
             return;
         }
         let (request, entry) = match source {
--- a/bergamotshift-limit/benches/admission.rs
+++ b/bergamotshift-limit/benches/admission.rs
@@ -5,10 +5,10 @@
 
 use bergamotshift_core::prelude::*;
 use bergamotshift_limit::admission::Request;
-use bergamotshift_limit::desk::Kernel;
-use bergamotshift_limit::desk::Service;
-use bergamotshift_limit::desk::Settings;
-use bergamotshift_limit::desk::Tenant;
+use bergamotshift_limit::limiter::Kernel;
+use bergamotshift_limit::limiter::Organisation;
+use bergamotshift_limit::limiter::Service;
+use bergamotshift_limit::limiter::Settings;
 use bergamotshift_limit::prelude::*;
 use bergamotshift_limit::quota::Cost;
 use bergamotshift_limit::quota::Limits;
@@ -81,7 +81,7 @@
     let mut group = criterion.benchmark_group("decide");
     for organisations in [5, 50, 500] {
         let service = name::Service::new_static("planner-llm");
-        let tenant = |index: usize| Tenant {
+        let tenant = |index: usize| Organisation {
             name: name::Organisation::new(format!("organisation-{index}")),
             weight: 1.0,
             limits: LIMITS,
--- a/bergamotshift-limit/src/admission/forecast.rs
+++ b/bergamotshift-limit/src/admission/forecast.rs
@@ -17,8 +17,8 @@
     pub capacity: f64,
     /// The waits then, by [`Urgency`], each including more urgent work.
     pub waits: [Duration; CLASSES],
-    /// What of the waits runs at once and makes nobody wait; see [`Gate::set_room`].
-    pub room: Duration,
+    /// What of the waits runs at once and makes nobody wait; see [`Gate::set_concurrency`].
+    pub concurrency: Duration,
     /// How long ago that was.
     pub age: Duration,
     /// This entry's part of the service's demand.
@@ -72,7 +72,7 @@
             reading.waits[class].saturating_add(grown).saturating_sub(reading.age)
         };
         let waits = core::array::from_fn(wait);
-        self.gate.set_room(reading.room);
+        self.gate.set_concurrency(reading.concurrency);
         self.gate.set(now, reading.capacity, waits, reading.portion);
         while self
             .samples
--- a/bergamotshift-limit/src/admission/gate.rs
+++ b/bergamotshift-limit/src/admission/gate.rs
@@ -44,7 +44,7 @@
 pub struct Gate {
     settings: Settings,
     clocks: [Bucket; CLASSES],
-    room_nanos: AtomicU64,
+    concurrency_nanos: AtomicU64,
     admitted: [AtomicU64; CLASSES],
 }
 
@@ -56,7 +56,7 @@
         Self {
             settings,
             clocks,
-            room_nanos: AtomicU64::new(0),
+            concurrency_nanos: AtomicU64::new(0),
             admitted,
         }
     }
@@ -64,7 +64,7 @@
     /// Sets the service's capacity and its present waits; see [`super::Forecast`] for waits that are not present.
     ///
     /// `capacity` is the whole service's, in units of work per second. `waits` are by [`Urgency`], each including more
-    /// urgent work, and what [`Gate::set_room`] takes off. `portion` is this entry's part of the demand: what the others admit meanwhile is taken to grow
+    /// urgent work, and what [`Gate::set_concurrency`] takes off. `portion` is this entry's part of the demand: what the others admit meanwhile is taken to grow
     /// in step with what this one admits.
     pub fn set(&self, now: Instant, capacity: f64, waits: [Duration; CLASSES], portion: f64) {
         let seen = capacity * portion.clamp(f64::MIN_POSITIVE, 1.0);
@@ -78,15 +78,15 @@
     ///
     /// Failure: an engine runs a full batch side by side, and its work is taken for a queue. Symptom: requests are
     /// refused while slots are free. Only what goes beyond the slots waits.
-    pub fn set_room(&self, room: Duration) {
-        let nanos = u64::try_from(room.as_nanos()).unwrap_or(u64::MAX);
-        self.room_nanos.store(nanos, Relaxed);
+    pub fn set_concurrency(&self, concurrency: Duration) {
+        let nanos = u64::try_from(concurrency.as_nanos()).unwrap_or(u64::MAX);
+        self.concurrency_nanos.store(nanos, Relaxed);
     }
 
     /// Returns the predicted wait of a request that arrives now.
     pub fn wait(&self, now: Instant, urgency: Urgency) -> Duration {
-        let room = Duration::from_nanos(self.room_nanos.load(Relaxed));
-        self.clocks[class(urgency)].owed(now).saturating_sub(room)
+        let concurrency = Duration::from_nanos(self.concurrency_nanos.load(Relaxed));
+        self.clocks[class(urgency)].owed(now).saturating_sub(concurrency)
     }
 
     /// Decides on a request, given whether its organisation's share held its work, and notes it when admitted.
@@ -128,7 +128,7 @@
     /// Failure: a full batch ends and as many callers come at once. Symptom: until the next reading the freed slots
     /// count as taken, and callers are refused before idle engines. Time takes off what the capacity does as well, so
     /// between two readings the wait may be believed shorter by the time between them, and no more.
-    pub fn ended(&self, urgency: Urgency, work: u64) {
+    pub fn complete(&self, urgency: Urgency, work: u64) {
         for clock in &self.clocks[class(urgency)..] {
             clock.refund(work);
         }
--- a/bergamotshift-limit/src/demand.rs
+++ b/bergamotshift-limit/src/demand.rs
@@ -61,14 +61,14 @@
 /// What an entry last told the others.
 #[derive(Clone, Debug, Default, PartialEq)]
 #[derive(Serialize, Deserialize)]
-pub struct Told {
+pub struct Announcement {
     /// What this entry is asked for, for the entries of its zone.
     pub entry: Rates,
     /// What its zone is asked for, for the other zones.
     pub zone: Rates,
 }
 
-impl Told {
+impl Announcement {
     const fn new() -> Self {
         Self {
             entry: Rates::new(),
@@ -88,7 +88,7 @@
 pub struct View {
     settings: Settings,
     own: Rates,
-    told: Told,
+    told: Announcement,
     ticked: Option<Instant>,
     entries: BTreeMap<name::Entry, Heard>,
     zones: BTreeMap<name::Zone, Heard>,
@@ -102,7 +102,7 @@
         Self {
             settings,
             own: Rates::new(),
-            told: Told::new(),
+            told: Announcement::new(),
             ticked: None,
             entries: BTreeMap::new(),
             zones: BTreeMap::new(),
@@ -146,7 +146,7 @@
     }
 
     /// Returns what the others should hear now; portions follow it from the next call on.
-    pub fn tell(&mut self, now: Instant) -> &Told {
+    pub fn announce(&mut self, now: Instant) -> &Announcement {
         let mut zone = self.own.clone();
         for heard in self.entries.values() {
             let say = self.say(now, heard);
@@ -155,7 +155,7 @@
             }
         }
         let entry = self.own.clone();
-        self.told = Told { entry, zone };
+        self.told = Announcement { entry, zone };
         &self.told
     }
 
--- a/bergamotshift-limit/src/lib.rs
+++ b/bergamotshift-limit/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! Everything here decides and nothing here acts: events, readings and `now` go in, decisions come out. What a worker
 //! thread touches on a request's path is atomic and takes `&self`; what the control thread folds takes `&mut self`.
-//! [`desk`] puts limits, shares and admission together for one entry.
+//! [`limiter`] puts limits, shares and admission together for one entry.
 //!
 //! ```
 //! use bergamotshift_limit::prelude::*;
@@ -17,8 +17,8 @@
 pub mod bucket;
 pub mod defer;
 pub mod demand;
-pub mod desk;
 pub mod hedge;
+pub mod limiter;
 pub mod prelude;
 pub mod quarantine;
 pub mod quota;
--- a/bergamotshift-limit/src/desk/kernel.rs
+++ b/bergamotshift-limit/src/limiter/kernel.rs
@@ -7,13 +7,13 @@
 use bergamotshift_core::prelude::*;
 use rustc_hash::FxHashMap;
 
+use super::Announcement;
+use super::Demand;
+use super::Organisation;
 use super::Reading;
 use super::Service;
 use super::Settings;
 use super::Table;
-use super::Tenant;
-use super::Word;
-use super::Words;
 use super::table::Row;
 use crate::admission;
 use crate::admission::Forecast;
@@ -24,7 +24,7 @@
 use crate::share::Supply;
 
 #[derive(Debug)]
-struct Desk {
+struct ServiceState {
     target: Duration,
     pool: Pool,
     forecast: Forecast,
@@ -37,7 +37,7 @@
     zones: Vec<name::Zone>,
     peers: usize,
     ledger: Ledger,
-    desks: BTreeMap<name::Service, Desk>,
+    services: BTreeMap<name::Service, ServiceState>,
 }
 
 impl Kernel {
@@ -49,29 +49,29 @@
             zones,
             peers,
             ledger,
-            desks: BTreeMap::new(),
+            services: BTreeMap::new(),
         }
     }
 
     /// Follows a configuration, and returns the table for workers; what was used so far stays counted.
-    pub fn configure(&mut self, now: Instant, tenants: &[Tenant], services: &[Service]) -> Table {
-        self.desks
+    pub fn configure(&mut self, now: Instant, organisations: &[Organisation], services: &[Service]) -> Table {
+        self.services
             .retain(|name, _| services.iter().any(|service| service.name == *name));
         for service in services {
             self.open(service);
         }
-        let named = |name: &name::Organisation| tenants.iter().find(|tenant| tenant.name == *name);
+        let named = |name: &name::Organisation| organisations.iter().find(|organisation| organisation.name == *name);
         self.ledger.retain(|name| named(name).is_some());
-        for (service, desk) in &mut self.desks {
-            let uses = |tenant: &Tenant| tenant.services.contains(service);
+        for (service, desk) in &mut self.services {
+            let uses = |organisation: &Organisation| organisation.services.contains(service);
             desk.pool.retain(|name| named(name).is_some_and(uses));
         }
-        let rows = tenants
+        let rows = organisations
             .iter()
-            .map(|tenant| (tenant.name.clone(), self.row(now, tenant)));
+            .map(|organisation| (organisation.name.clone(), self.row(now, organisation)));
         let rows = rows.collect();
         let gates = self
-            .desks
+            .services
             .iter()
             .map(|(name, desk)| (name.clone(), desk.forecast.gate()));
         Table {
@@ -82,7 +82,7 @@
 
     fn open(&mut self, service: &Service) {
         let settings = self.settings;
-        let new = || Desk {
+        let new = || ServiceState {
             target: service.target,
             pool: Pool::new(
                 settings.share,
@@ -90,16 +90,19 @@
             ),
             forecast: Forecast::new(settings.gate, settings.memory),
         };
-        let desk = self.desks.entry(service.name.clone()).or_insert_with(new);
+        let desk = self.services.entry(service.name.clone()).or_insert_with(new);
         desk.target = service.target;
     }
 
-    fn row(&mut self, now: Instant, tenant: &Tenant) -> Row {
-        let account = self.ledger.open(now, tenant.name.clone(), tenant.limits);
+    fn row(&mut self, now: Instant, organisation: &Organisation) -> Row {
+        let account = self.ledger.open(now, organisation.name.clone(), organisation.limits);
         let mut cells = FxHashMap::default();
-        for service in &tenant.services {
-            if let Some(desk) = self.desks.get_mut(service) {
-                cells.insert(service.clone(), desk.pool.join(tenant.name.clone(), tenant.weight));
+        for service in &organisation.services {
+            if let Some(desk) = self.services.get_mut(service) {
+                cells.insert(
+                    service.clone(),
+                    desk.pool.join(organisation.name.clone(), organisation.weight),
+                );
             }
         }
         Row { account, cells }
@@ -110,7 +113,7 @@
     /// A service without a reading predicts no wait, so nothing is refused for want of knowledge.
     pub fn tick(&mut self, now: Instant, readings: &BTreeMap<name::Service, Reading>) {
         self.ledger.tick(now);
-        for (service, desk) in &mut self.desks {
+        for (service, desk) in &mut self.services {
             let Some(reading) = readings.get(service) else {
                 continue;
             };
@@ -118,7 +121,7 @@
             let late = admission::Reading {
                 capacity: reading.capacity,
                 waits: reading.waits,
-                room: reading.room,
+                concurrency: reading.concurrency,
                 age: reading.age,
                 portion,
             };
@@ -134,28 +137,28 @@
 
     /// Returns the work that a service is asked for per second, here and elsewhere.
     pub fn demand(&self, now: Instant, service: &name::Service) -> f64 {
-        self.desks.get(service).map_or(0.0, |desk| desk.pool.demand(now))
+        self.services.get(service).map_or(0.0, |desk| desk.pool.demand(now))
     }
 
     /// Returns what the others should hear now.
-    pub fn tell(&mut self, now: Instant) -> Words {
-        let told = self.ledger.view.tell(now);
-        let mut words = Words::default();
-        words.entry.requests.clone_from(&told.entry);
-        words.zone.requests.clone_from(&told.zone);
-        for (service, desk) in &mut self.desks {
-            let told = desk.pool.view.tell(now);
-            words.entry.work.insert(service.clone(), told.entry.clone());
-            words.zone.work.insert(service.clone(), told.zone.clone());
+    pub fn announce(&mut self, now: Instant) -> Announcement {
+        let announced = self.ledger.view.announce(now);
+        let mut announcement = Announcement::default();
+        announcement.entry.requests.clone_from(&announced.entry);
+        announcement.zone.requests.clone_from(&announced.zone);
+        for (service, desk) in &mut self.services {
+            let announced = desk.pool.view.announce(now);
+            announcement.entry.work.insert(service.clone(), announced.entry.clone());
+            announcement.zone.work.insert(service.clone(), announced.zone.clone());
         }
-        words
+        announcement
     }
 
     /// Notes what another entry of this zone, or another zone, told; `age` is how long ago.
-    pub fn hear(&mut self, now: Instant, origin: &Origin, age: Duration, mut word: Word) {
-        self.ledger.view.observe(now, origin.clone(), age, word.requests);
-        for (service, desk) in &mut self.desks {
-            let rates = word.work.remove(service).unwrap_or_default();
+    pub fn observe(&mut self, now: Instant, origin: &Origin, age: Duration, mut demand: Demand) {
+        self.ledger.view.observe(now, origin.clone(), age, demand.requests);
+        for (service, desk) in &mut self.services {
+            let rates = demand.work.remove(service).unwrap_or_default();
             desk.pool.view.observe(now, origin.clone(), age, rates);
         }
     }
@@ -172,7 +175,7 @@
     }
 
     fn views(&mut self) -> impl Iterator<Item = &mut View> {
-        let shares = self.desks.values_mut().map(|desk| &mut desk.pool.view);
+        let shares = self.services.values_mut().map(|desk| &mut desk.pool.view);
         core::iter::once(&mut self.ledger.view).chain(shares)
     }
 }
--- a/bergamotshift-limit/src/desk/mod.rs
+++ b/bergamotshift-limit/src/limiter/mod.rs
@@ -6,7 +6,7 @@
 //! ```
 //! use bergamotshift_core::prelude::*;
 //! use bergamotshift_limit::admission::{Decision, Request};
-//! use bergamotshift_limit::desk::{Kernel, Service, Settings, Tenant};
+//! use bergamotshift_limit::limiter::{Kernel, Organisation, Service, Settings};
 //! use bergamotshift_limit::quota::{Cost, Limits};
 //! use core::time::Duration;
 //! use rand_pcg::Pcg64Mcg;
@@ -14,9 +14,9 @@
 //! let mut kernel = Kernel::new(Settings::default(), vec![], 0);
 //! let (hotel, planner) = (name::Organisation::from("hotel"), name::Service::from("planner-llm"));
 //! let limits = Limits { requests_per_second: Some(1.0), burst: 1.0, ..Limits::default() };
-//! let tenants = [Tenant { name: hotel.clone(), weight: 1.0, limits, services: vec![planner.clone()] }];
+//! let organisations = [Organisation { name: hotel.clone(), weight: 1.0, limits, services: vec![planner.clone()] }];
 //! let services = [Service { name: planner.clone(), target: Duration::from_secs(2) }];
-//! let table = kernel.configure(Instant::ZERO, &tenants, &services);
+//! let table = kernel.configure(Instant::ZERO, &organisations, &services);
 //!
 //! let request = Request {
 //!     urgency: Urgency::Urgent,
@@ -75,7 +75,7 @@
 
 /// An organisation, as configured.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Tenant {
+pub struct Organisation {
     /// Its name.
     pub name: name::Organisation,
     /// Its weight against the others.
@@ -103,7 +103,7 @@
     /// The waits then, by [`Urgency`], each including more urgent work.
     pub waits: [Duration; 3],
     /// What of the waits runs at once in free slots and makes nobody wait.
-    pub room: Duration,
+    pub concurrency: Duration,
     /// How long ago that was.
     pub age: Duration,
 }
@@ -111,7 +111,7 @@
 /// What an entry, or a zone as a sum, is asked for.
 #[derive(Clone, Debug, Default, PartialEq)]
 #[derive(Serialize, Deserialize)]
-pub struct Word {
+pub struct Demand {
     /// Requests per second.
     pub requests: Rates,
     /// Work per second, by service.
@@ -120,9 +120,9 @@
 
 /// What an entry tells, by who should hear it.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Words {
+pub struct Announcement {
     /// For the other entries of its zone.
-    pub entry: Word,
+    pub entry: Demand,
     /// For the other zones.
-    pub zone: Word,
+    pub zone: Demand,
 }
--- a/bergamotshift-limit/src/desk/table.rs
+++ b/bergamotshift-limit/src/limiter/table.rs
@@ -52,9 +52,9 @@
     }
 
     /// Notes that an admitted request ended, so that its place is free at once.
-    pub fn ended(&self, service: &name::Service, urgency: Urgency, work: u64) {
+    pub fn complete(&self, service: &name::Service, urgency: Urgency, work: u64) {
         if let Some(gate) = self.gates.get(service) {
-            gate.ended(urgency, work);
+            gate.complete(urgency, work);
         }
     }
 
--- a/bergamotshift-limit/src/quarantine/mod.rs
+++ b/bergamotshift-limit/src/quarantine/mod.rs
@@ -9,13 +9,13 @@
 //!
 //! ```
 //! use bergamotshift_core::prelude::*;
-//! use bergamotshift_limit::quarantine::{Death, Quarantine, Settings, Verdict, Victim};
+//! use bergamotshift_limit::quarantine::{Death, Quarantine, Settings, Verdict, Instance};
 //!
 //! let poison = Fingerprint::of("planner-llm", "POST", "/v1/completions", b"{}");
 //! let mut quarantine = Quarantine::new(Settings::default());
 //! for (second, vm) in [(1, "vm-1"), (9, "vm-2")] {
-//!     let victim = Victim::new(name::Vm::from(vm), Incarnation::new(1));
-//!     quarantine.died(Instant::from_secs(second), Death { victim, announced: false, running: vec![poison] });
+//!     let instance = Instance::new(name::Vm::from(vm), Incarnation::new(1));
+//!     quarantine.record_death(Instant::from_secs(second), Death { instance, announced: false, running: vec![poison] });
 //! }
 //! let verdict = quarantine.table().verdict(Instant::from_secs(10), poison);
 //! assert!(matches!(verdict, Verdict::Refused { .. }));
@@ -32,9 +32,9 @@
 use serde::Deserialize;
 use serde::Serialize;
 
+pub use self::record::Attribution;
 use self::record::Record;
 use self::record::Spared;
-pub use self::record::Standing;
 pub use self::record::Suspicion;
 pub use self::table::Table;
 pub use self::table::Verdict;
@@ -42,15 +42,15 @@
 /// One life of an endpoint's VM, the same on every entry.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Serialize, Deserialize)]
-pub struct Victim {
+pub struct Instance {
     /// The VM's name.
     pub vm: name::Vm,
     /// Which life of that name.
     pub incarnation: Incarnation,
 }
 
-impl Victim {
-    /// Makes a victim.
+impl Instance {
+    /// Makes a instance.
     pub const fn new(vm: name::Vm, incarnation: Incarnation) -> Self {
         Self { vm, incarnation }
     }
@@ -60,7 +60,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Death {
     /// Who died.
-    pub victim: Victim,
+    pub instance: Instance,
     /// Whether the platform or the endpoint had announced it.
     pub announced: bool,
     /// What ran there by this entry's doing.
@@ -110,7 +110,7 @@
 #[derive(Clone, Debug)]
 struct Recent {
     at: Instant,
-    victim: Victim,
+    instance: Instance,
     explained: bool,
     running: BTreeSet<Fingerprint>,
 }
@@ -121,7 +121,7 @@
     settings: Settings,
     records: BTreeMap<Fingerprint, Record>,
     recent: Vec<Recent>,
-    announced: BTreeMap<Victim, Instant>,
+    announced: BTreeMap<Instance, Instant>,
 }
 
 impl Quarantine {
@@ -141,27 +141,27 @@
     ///
     /// Failure: one request crashes whatever runs it, and its caller sends it again. Symptom: endpoints die one after
     /// the other until none is left. Two distinct deaths end it, counted by content and shared between entries.
-    pub fn died(&mut self, now: Instant, death: Death) {
+    pub fn record_death(&mut self, now: Instant, death: Death) {
         self.expire(now);
         if death.announced {
-            self.announce(now, death.victim);
+            self.announce(now, death.instance);
             return;
         }
-        if self.announced.contains_key(&death.victim) {
+        if self.announced.contains_key(&death.instance) {
             return;
         }
         let running = death.running.into_iter().collect();
-        self.note(now, &death.victim, running);
+        self.note(now, &death.instance, running);
         self.evict();
     }
 
     /// Notes that an endpoint's end was announced; deaths already counted for it count no longer.
     ///
     /// The platform's list lags, so the notice may be heard after the connections broke.
-    pub fn announce(&mut self, now: Instant, victim: Victim) {
-        self.pardon(&victim);
-        self.recent.retain(|recent| recent.victim != victim);
-        self.announced.insert(victim, now);
+    pub fn announce(&mut self, now: Instant, instance: Instance) {
+        self.pardon(&instance);
+        self.recent.retain(|recent| recent.instance != instance);
+        self.announced.insert(instance, now);
     }
 
     /// Merges what another entry suspects.
@@ -171,9 +171,9 @@
             record.merge(now, suspicion, self.settings.lifetime());
         }
         self.expire(now);
-        for victim in self.announced.keys() {
+        for instance in self.announced.keys() {
             for record in self.records.values_mut() {
-                record.pardon(victim);
+                record.pardon(instance);
             }
         }
         self.evict();
@@ -199,27 +199,27 @@
         self.announced.retain(|_, at| now.since(*at) <= lifetime);
     }
 
-    fn note(&mut self, now: Instant, victim: &Victim, running: BTreeSet<Fingerprint>) {
+    fn note(&mut self, now: Instant, instance: &Instance, running: BTreeSet<Fingerprint>) {
         let explains = |fingerprint| {
             let record = self.records.get(fingerprint);
-            record.is_some_and(|record| record.counts_beside(victim))
+            record.is_some_and(|record| record.counts_beside(instance))
         };
         let explained = running.iter().any(explains);
         // One death is reported once for each request that ran there, by several threads and entries.
-        if let Some(known) = self.recent.iter_mut().find(|recent| recent.victim == *victim) {
+        if let Some(known) = self.recent.iter_mut().find(|recent| recent.instance == *instance) {
             known.running.extend(running.iter().copied());
             known.explained |= explained;
         } else {
             let running = running.clone();
             self.recent.push(Recent {
                 at: now,
-                victim: victim.clone(),
+                instance: instance.clone(),
                 explained,
                 running,
             });
         }
         for fingerprint in running {
-            self.records.entry(fingerprint).or_default().count(now, victim);
+            self.records.entry(fingerprint).or_default().count(now, instance);
         }
     }
 
@@ -237,7 +237,7 @@
         let Settings {
             window, wave, pardons, ..
         } = self.settings;
-        let mut victims = BTreeSet::new();
+        let mut instances = BTreeSet::new();
         let (mut first, mut marked, mut unexplained) = (0, 0, 0);
         for (index, last) in self.recent.iter().enumerate() {
             unexplained += usize::from(!last.explained);
@@ -247,11 +247,11 @@
             }
             if unexplained >= wave {
                 let within = &self.recent[first.max(marked)..=index];
-                victims.extend(within.iter().map(|recent| recent.victim.clone()));
+                instances.extend(within.iter().map(|recent| recent.instance.clone()));
                 marked = index + 1;
             }
         }
-        Spared { victims, pardons }
+        Spared { instances, pardons }
     }
 
     /// Forgives for good what still lies in a wave when nothing more is to be heard of it.
@@ -262,18 +262,18 @@
         }
         let spared = self.spared();
         let old = self.recent.extract_if(.., |recent| now.since(recent.at) > settled);
-        for recent in old.filter(|recent| spared.victims.contains(&recent.victim)) {
+        for recent in old.filter(|recent| spared.instances.contains(&recent.instance)) {
             for fingerprint in &recent.running {
                 if let Some(record) = self.records.get_mut(fingerprint) {
-                    record.forgive(&recent.victim, self.settings.pardons);
+                    record.forgive(&recent.instance, self.settings.pardons);
                 }
             }
         }
     }
 
-    fn pardon(&mut self, victim: &Victim) {
+    fn pardon(&mut self, instance: &Instance) {
         for record in self.records.values_mut() {
-            record.pardon(victim);
+            record.pardon(instance);
         }
     }
 
--- a/bergamotshift-limit/src/quarantine/record.rs
+++ b/bergamotshift-limit/src/quarantine/record.rs
@@ -8,14 +8,14 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use super::Victim;
+use super::Instance;
 
 /// Whether a death counts against the work that ran there.
 ///
-/// The order is the merge: the higher standing wins, so a pardon reaches every entry whatever the order of messages.
+/// The order is the merge: the higher attribution wins, so a pardon reaches every entry whatever the order of messages.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 #[derive(Serialize, Deserialize)]
-pub enum Standing {
+pub enum Attribution {
     /// It counts.
     Counted,
     /// It lay in a wave and does not count.
@@ -33,24 +33,26 @@
     /// Which request.
     pub fingerprint: Fingerprint,
     /// Who died while it ran there, how long ago, and whether that counts.
-    pub deaths: Vec<(Victim, Duration, Standing)>,
+    pub deaths: Vec<(Instance, Duration, Attribution)>,
 }
 
 /// Deaths that lie in a wave, as far as is known by now.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Spared {
-    pub(super) victims: BTreeSet<Victim>,
+    pub(super) instances: BTreeSet<Instance>,
     pub(super) pardons: usize,
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(super) struct Record {
-    deaths: BTreeMap<Victim, (Instant, Standing)>,
+    deaths: BTreeMap<Instance, (Instant, Attribution)>,
 }
 
 impl Record {
-    pub(super) fn count(&mut self, now: Instant, victim: &Victim) {
-        self.deaths.entry(victim.clone()).or_insert((now, Standing::Counted));
+    pub(super) fn count(&mut self, now: Instant, instance: &Instance) {
+        self.deaths
+            .entry(instance.clone())
+            .or_insert((now, Attribution::Counted));
     }
 
     /// Returns how many deaths count that lie within `memory` of the latest.
@@ -66,18 +68,19 @@
     }
 
     /// Returns whether a death of somebody else counts.
-    pub(super) fn counts_beside(&self, victim: &Victim) -> bool {
-        let counts =
-            |(other, (_, standing)): (&Victim, &(Instant, Standing))| other != victim && *standing == Standing::Counted;
+    pub(super) fn counts_beside(&self, instance: &Instance) -> bool {
+        let counts = |(other, (_, attribution)): (&Instance, &(Instant, Attribution))| {
+            other != instance && *attribution == Attribution::Counted
+        };
         self.deaths.iter().any(counts)
     }
 
     fn counting(&self, spared: &Spared) -> impl Iterator<Item = Instant> {
         // What may yet be forgiven to one request is bounded as what is.
-        let sparing = self.with(Standing::Forgiven).count() < spared.pardons;
+        let sparing = self.with(Attribution::Forgiven).count() < spared.pardons;
         let deaths = self.deaths.iter();
-        let counting = deaths.filter(move |(victim, (_, standing))| {
-            *standing == Standing::Counted && !(sparing && spared.victims.contains(victim))
+        let counting = deaths.filter(move |(instance, (_, attribution))| {
+            *attribution == Attribution::Counted && !(sparing && spared.instances.contains(instance))
         });
         counting.map(|(_, (at, _))| *at)
     }
@@ -87,34 +90,35 @@
     }
 
     /// Forgives one death unless too many were forgiven before.
-    pub(super) fn forgive(&mut self, victim: &Victim, pardons: usize) {
-        if self.with(Standing::Forgiven).count() < pardons {
-            self.raise(victim, Standing::Forgiven);
+    pub(super) fn forgive(&mut self, instance: &Instance, pardons: usize) {
+        if self.with(Attribution::Forgiven).count() < pardons {
+            self.raise(instance, Attribution::Forgiven);
         }
     }
 
-    pub(super) fn pardon(&mut self, victim: &Victim) {
-        self.raise(victim, Standing::Announced);
+    pub(super) fn pardon(&mut self, instance: &Instance) {
+        self.raise(instance, Attribution::Announced);
     }
 
     pub(super) fn merge(&mut self, now: Instant, other: &Suspicion, lifetime: Duration) {
-        for (victim, age, standing) in &other.deaths {
+        for (instance, age, attribution) in &other.deaths {
             // A death that is forgotten here must not come back from an entry that forgets it a moment later.
             if *age > lifetime {
                 continue;
             }
             let at = now - *age;
-            let (known_at, known_standing) = self.deaths.entry(victim.clone()).or_insert((at, *standing));
+            let (known_at, known_attribution) = self.deaths.entry(instance.clone()).or_insert((at, *attribution));
             *known_at = at.min(*known_at);
-            *known_standing = (*standing).max(*known_standing);
+            *known_attribution = (*attribution).max(*known_attribution);
         }
     }
 
     pub(super) fn export(&self, fingerprint: Fingerprint, now: Instant, spared: &Spared) -> Suspicion {
         // Whether these count is settled in some seconds; what was once told as forgiven could not be taken back.
-        let settled = |(victim, _): &(&Victim, &(Instant, Standing))| !spared.victims.contains(victim);
-        let death =
-            |(victim, (at, standing)): (&Victim, &(Instant, Standing))| (victim.clone(), now.since(*at), *standing);
+        let settled = |(instance, _): &(&Instance, &(Instant, Attribution))| !spared.instances.contains(instance);
+        let death = |(instance, (at, attribution)): (&Instance, &(Instant, Attribution))| {
+            (instance.clone(), now.since(*at), *attribution)
+        };
         let deaths = self.deaths.iter().filter(settled).map(death).collect();
         Suspicion { fingerprint, deaths }
     }
@@ -125,14 +129,14 @@
         !self.deaths.is_empty()
     }
 
-    fn raise(&mut self, victim: &Victim, to: Standing) {
-        if let Some((_, standing)) = self.deaths.get_mut(victim) {
-            *standing = to.max(*standing);
+    fn raise(&mut self, instance: &Instance, to: Attribution) {
+        if let Some((_, attribution)) = self.deaths.get_mut(instance) {
+            *attribution = to.max(*attribution);
         }
     }
 
-    fn with(&self, wanted: Standing) -> impl Iterator<Item = Instant> {
-        let matching = move |(at, standing): &(Instant, Standing)| (*standing == wanted).then_some(*at);
+    fn with(&self, wanted: Attribution) -> impl Iterator<Item = Instant> {
+        let matching = move |(at, attribution): &(Instant, Attribution)| (*attribution == wanted).then_some(*at);
         self.deaths.values().filter_map(matching)
     }
 }
--- a/bergamotshift-limit/src/retry/budget.rs
+++ b/bergamotshift-limit/src/retry/budget.rs
@@ -67,7 +67,7 @@
     }
 
     /// Changes how many extra attempts are saved up at most; what is beyond that is gone.
-    pub fn bound(&self, burst: u32) {
+    pub fn set_burst(&self, burst: u32) {
         let cap = u64::from(burst) * TOKEN;
         self.cap.store(cap, Relaxed);
         self.balance.update(Relaxed, Relaxed, |balance| balance.min(cap));
--- a/bergamotshift-limit/src/retry/mod.rs
+++ b/bergamotshift-limit/src/retry/mod.rs
@@ -61,7 +61,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Decision {
     /// Another attempt starts after this delay.
-    Again(Duration),
+    Retry(Duration),
     /// The caller gets the failure now.
     Stop(Reason),
 }
@@ -108,7 +108,7 @@
         }
         let delay = self.backoff.delay(request.attempts.saturating_sub(1), rng);
         let decision = within(now, delay, request.deadline);
-        if matches!(decision, Decision::Again(_)) && !budget.try_withdraw() {
+        if matches!(decision, Decision::Retry(_)) && !budget.try_withdraw() {
             return Decision::Stop(Reason::Budget);
         }
         decision
@@ -117,7 +117,7 @@
 
 fn within(now: Instant, delay: Duration, deadline: Instant) -> Decision {
     if now + delay < deadline {
-        Decision::Again(delay)
+        Decision::Retry(delay)
     } else {
         Decision::Stop(Reason::Deadline)
     }
--- a/bergamotshift-limit/src/throttle/word.rs
+++ b/bergamotshift-limit/src/throttle/rate_limit.rs
@@ -4,14 +4,14 @@
 
 /// What is known of the rate that a server names for itself.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Word {
+pub struct RateLimit {
     /// Requests per second from all clients together; `None` when the server names none.
     pub rate: Option<f64>,
     /// Up to when it is known.
     pub at: Instant,
 }
 
-impl Word {
+impl RateLimit {
     /// Makes the word of an answer that names a rate and was received at `received`.
     pub const fn named(rate: f64, received: Instant) -> Self {
         Self {
--- a/bergamotshift-limit/tests/desk.rs
+++ b/bergamotshift-limit/tests/limiter.rs
@@ -8,12 +8,12 @@
 use bergamotshift_limit::admission::Reason;
 use bergamotshift_limit::admission::Request;
 use bergamotshift_limit::demand::Origin;
-use bergamotshift_limit::desk::Kernel;
-use bergamotshift_limit::desk::Reading;
-use bergamotshift_limit::desk::Service;
-use bergamotshift_limit::desk::Settings;
-use bergamotshift_limit::desk::Table;
-use bergamotshift_limit::desk::Tenant;
+use bergamotshift_limit::limiter::Kernel;
+use bergamotshift_limit::limiter::Organisation;
+use bergamotshift_limit::limiter::Reading;
+use bergamotshift_limit::limiter::Service;
+use bergamotshift_limit::limiter::Settings;
+use bergamotshift_limit::limiter::Table;
 use bergamotshift_limit::quota::Cost;
 use bergamotshift_limit::quota::Limits;
 use rand_pcg::Pcg64Mcg;
@@ -22,10 +22,10 @@
 const STAFF: name::Service = name::Service::new_static("staff-app");
 const TARGET: Duration = Duration::from_secs(2);
 
-fn tenant(name: &str, limits: Limits, services: &[name::Service]) -> Tenant {
+fn organisation(name: &str, limits: Limits, services: &[name::Service]) -> Organisation {
     let name = name::Organisation::new(name);
     let services = services.to_vec();
-    Tenant {
+    Organisation {
         name,
         weight: 1.0,
         limits,
@@ -69,8 +69,8 @@
 #[test]
 fn organisation_reaches_only_its_services() {
     let mut kernel = Kernel::new(Settings::default(), Vec::new(), 0);
-    let tenants = [tenant("hotel", Limits::default(), &[PLANNER])];
-    let table = kernel.configure(Instant::ZERO, &tenants, &services());
+    let organisations = [organisation("hotel", Limits::default(), &[PLANNER])];
+    let table = kernel.configure(Instant::ZERO, &organisations, &services());
     assert_eq!(ask(&table, Instant::ZERO, "hotel", &PLANNER), Some(Decision::Admit));
     assert_eq!(ask(&table, Instant::ZERO, "hotel", &STAFF), None);
     assert_eq!(ask(&table, Instant::ZERO, "congress", &PLANNER), None);
@@ -79,8 +79,8 @@
 #[test]
 fn long_wait_of_one_service_refuses_there_alone() {
     let mut kernel = Kernel::new(Settings::default(), Vec::new(), 0);
-    let tenants = [tenant("hotel", Limits::default(), &[PLANNER, STAFF])];
-    let table = kernel.configure(Instant::ZERO, &tenants, &services());
+    let organisations = [organisation("hotel", Limits::default(), &[PLANNER, STAFF])];
+    let table = kernel.configure(Instant::ZERO, &organisations, &services());
     let now = Instant::from_secs(1);
     kernel.tick(now, &reading(Duration::from_secs(3)));
     assert_eq!(reason(ask(&table, now, "hotel", &PLANNER)), Some(Reason::Target));
@@ -97,18 +97,18 @@
         ..Limits::default()
     };
     let mut kernel = Kernel::new(Settings::default(), Vec::new(), 0);
-    let mut tenants = vec![tenant("hotel", limits, &[PLANNER])];
+    let mut organisations = vec![organisation("hotel", limits, &[PLANNER])];
     let now = Instant::from_secs(1);
-    let before = kernel.configure(now, &tenants, &services());
+    let before = kernel.configure(now, &organisations, &services());
     assert_eq!(ask(&before, now, "hotel", &PLANNER), Some(Decision::Admit));
-    tenants.push(tenant("congress", limits, &[PLANNER]));
-    let after = kernel.configure(now, &tenants, &services());
+    organisations.push(organisation("congress", limits, &[PLANNER]));
+    let after = kernel.configure(now, &organisations, &services());
     assert!(matches!(
         reason(ask(&after, now, "hotel", &PLANNER)),
         Some(Reason::Limit(_))
     ));
     assert_eq!(ask(&after, now, "congress", &PLANNER), Some(Decision::Admit));
-    let without = kernel.configure(now, &tenants[1..], &services());
+    let without = kernel.configure(now, &organisations[1..], &services());
     assert_eq!(ask(&without, now, "hotel", &PLANNER), None);
 }
 
@@ -122,10 +122,10 @@
         ..Limits::default()
     };
     let mut kernels = [(); 2].map(|()| Kernel::new(Settings::default(), Vec::new(), 1));
-    let tenants = [tenant("hotel", limits, &[PLANNER])];
+    let organisations = [organisation("hotel", limits, &[PLANNER])];
     let tables = kernels
         .each_mut()
-        .map(|kernel| kernel.configure(Instant::ZERO, &tenants, &services()));
+        .map(|kernel| kernel.configure(Instant::ZERO, &organisations, &services()));
     let mut admitted = 0;
     for millis in (0..60_000).step_by(10) {
         let now = Instant::from_millis(millis);
@@ -133,10 +133,10 @@
             for kernel in &mut kernels {
                 kernel.tick(now, &reading(Duration::ZERO));
             }
-            let words = kernels.each_mut().map(|kernel| kernel.tell(now).entry);
-            for (index, word) in words.into_iter().enumerate() {
+            let announced = kernels.each_mut().map(|kernel| kernel.announce(now).entry);
+            for (index, demand) in announced.into_iter().enumerate() {
                 let origin = Origin::Entry(name::Entry::new(format!("entry-{index}")));
-                kernels[1 - index].hear(now, &origin, Duration::ZERO, word);
+                kernels[1 - index].observe(now, &origin, Duration::ZERO, demand);
             }
         }
         let asked = tables.iter().map(|table| ask(table, now, "hotel", &PLANNER));
--- a/bergamotshift-limit/tests/quarantine.rs
+++ b/bergamotshift-limit/tests/quarantine.rs
@@ -4,23 +4,23 @@
 
 use bergamotshift_core::prelude::*;
 use bergamotshift_limit::prelude::*;
+use bergamotshift_limit::quarantine::Attribution;
 use bergamotshift_limit::quarantine::Death;
+use bergamotshift_limit::quarantine::Instance;
 use bergamotshift_limit::quarantine::Settings;
-use bergamotshift_limit::quarantine::Standing;
 use bergamotshift_limit::quarantine::Suspicion;
-use bergamotshift_limit::quarantine::Victim;
 use quickcheck::quickcheck;
 
 const POISON: Fingerprint = Fingerprint::new(1);
 const INNOCENT: Fingerprint = Fingerprint::new(2);
 
-fn victim(number: u8) -> Victim {
-    Victim::new(name::Vm::new(format!("vm-{number}")), Incarnation::new(1))
+fn instance(number: u8) -> Instance {
+    Instance::new(name::Vm::new(format!("vm-{number}")), Incarnation::new(1))
 }
 
 fn death(number: u8, running: &[Fingerprint]) -> Death {
     Death {
-        victim: victim(number),
+        instance: instance(number),
         announced: false,
         running: running.to_vec(),
     }
@@ -44,11 +44,11 @@
     // caller sends it again and vm-2 dies with nothing else on it. From then on the caller is refused for ten
     // minutes after that death, and told so; the innocent request was never refused.
     let mut quarantine = Quarantine::new(Settings::default());
-    quarantine.died(at(1_000), death(1, &[POISON, INNOCENT]));
+    quarantine.record_death(at(1_000), death(1, &[POISON, INNOCENT]));
     assert_eq!(verdict(&quarantine, at(1_000), POISON), Verdict::Alone);
     assert_eq!(verdict(&quarantine, at(1_000), INNOCENT), Verdict::Alone);
 
-    quarantine.died(at(1_500), death(2, &[POISON]));
+    quarantine.record_death(at(1_500), death(2, &[POISON]));
     let retry_after = Duration::from_mins(10);
     assert_eq!(
         verdict(&quarantine, at(1_500), POISON),
@@ -66,11 +66,11 @@
     // death is explained, so it is refused before it kills a third; the others are not, then or later.
     const OTHER: Fingerprint = Fingerprint::new(3);
     let mut quarantine = Quarantine::new(Settings::default());
-    quarantine.died(at(1_000), death(1, &[INNOCENT]));
-    quarantine.died(at(1_001), death(1, &[POISON]));
-    quarantine.died(at(1_100), death(2, &[OTHER]));
+    quarantine.record_death(at(1_000), death(1, &[INNOCENT]));
+    quarantine.record_death(at(1_001), death(1, &[POISON]));
+    quarantine.record_death(at(1_100), death(2, &[OTHER]));
     assert!(!refused(&quarantine, at(1_100), POISON));
-    quarantine.died(at(1_101), death(2, &[POISON]));
+    quarantine.record_death(at(1_101), death(2, &[POISON]));
     for now in [1_101, 9_000] {
         quarantine.expire(at(now));
         assert!(refused(&quarantine, at(now), POISON));
@@ -83,8 +83,8 @@
 fn refusal_lasts_although_first_death_grows_old() {
     // The second death comes just before the first would be forgotten; the refusal still lasts its stated time.
     let mut quarantine = Quarantine::new(Settings::default());
-    quarantine.died(at(0), death(1, &[POISON]));
-    quarantine.died(at(1_199_000), death(2, &[POISON]));
+    quarantine.record_death(at(0), death(1, &[POISON]));
+    quarantine.record_death(at(1_199_000), death(2, &[POISON]));
     quarantine.expire(at(1_798_000));
     assert!(refused(&quarantine, at(1_798_000), POISON));
 }
@@ -93,7 +93,7 @@
 fn one_death_counts_once_whoever_reports_it() {
     let mut quarantine = Quarantine::new(Settings::default());
     for millis in [0, 10, 5_000] {
-        quarantine.died(at(millis), death(1, &[POISON]));
+        quarantine.record_death(at(millis), death(1, &[POISON]));
     }
     assert_eq!(verdict(&quarantine, at(5_000), POISON), Verdict::Alone);
 }
@@ -104,9 +104,9 @@
     // second inside the zone and lost that too; the third death, of an endpoint that ran nothing suspected, shows
     // the common cause. Sizes of today: three model endpoints in each zone.
     let mut quarantine = Quarantine::new(Settings::default());
-    quarantine.died(at(0), death(1, &[INNOCENT]));
-    quarantine.died(at(300), death(2, &[INNOCENT]));
-    quarantine.died(at(600), death(3, &[Fingerprint::new(9)]));
+    quarantine.record_death(at(0), death(1, &[INNOCENT]));
+    quarantine.record_death(at(300), death(2, &[INNOCENT]));
+    quarantine.record_death(at(600), death(3, &[Fingerprint::new(9)]));
     assert!(quarantine.table().is_empty());
 }
 
@@ -114,18 +114,18 @@
 fn announced_losses_do_not_count_in_either_order() {
     // The notice is heard before the death of vm-1 and after the deaths of vm-2, as the platform's list lags.
     let mut quarantine = Quarantine::new(Settings::default());
-    quarantine.announce(at(0), victim(1));
-    quarantine.died(at(10), death(1, &[INNOCENT]));
-    quarantine.died(at(20), death(2, &[INNOCENT]));
+    quarantine.announce(at(0), instance(1));
+    quarantine.record_death(at(10), death(1, &[INNOCENT]));
+    quarantine.record_death(at(20), death(2, &[INNOCENT]));
     assert_eq!(verdict(&quarantine, at(20), INNOCENT), Verdict::Alone);
-    quarantine.announce(at(30), victim(2));
+    quarantine.announce(at(30), instance(2));
     assert_eq!(verdict(&quarantine, at(30), INNOCENT), Verdict::Clear);
 
     let announced = Death {
         announced: true,
         ..death(3, &[INNOCENT])
     };
-    quarantine.died(at(40), announced);
+    quarantine.record_death(at(40), announced);
     assert!(quarantine.table().is_empty());
 }
 
@@ -141,8 +141,8 @@
         if refused(&quarantine, now, POISON) && refused(&quarantine, now, other) {
             break;
         }
-        quarantine.died(now, death(2 * round, &[POISON]));
-        quarantine.died(now, death(2 * round + 1, &[other]));
+        quarantine.record_death(now, death(2 * round, &[POISON]));
+        quarantine.record_death(now, death(2 * round + 1, &[other]));
         crashes += 2;
     }
     assert!(crashes <= 12, "{crashes} endpoints died");
@@ -155,8 +155,8 @@
     let hour = Duration::from_hours(1);
     let mut left = Quarantine::new(Settings::default());
     let mut right = Quarantine::new(Settings::default());
-    left.died(at(1_000), death(1, &[POISON]));
-    right.died(at(9_000) + hour, death(2, &[POISON]));
+    left.record_death(at(1_000), death(1, &[POISON]));
+    right.record_death(at(9_000) + hour, death(2, &[POISON]));
     let told = left.suspicions(at(10_000));
     left.merge(at(10_000), &right.suspicions(at(10_000) + hour));
     right.merge(at(10_000) + hour, &told);
@@ -170,7 +170,7 @@
     let age = Duration::from_hours(1);
     let rumour = Suspicion {
         fingerprint: POISON,
-        deaths: vec![(victim(1), age, Standing::Counted)],
+        deaths: vec![(instance(1), age, Attribution::Counted)],
     };
     quarantine.merge(Instant::from_secs(10_000), &[rumour]);
     assert!(quarantine.suspicions(Instant::from_secs(10_000)).is_empty());
@@ -185,7 +185,7 @@
     let mut quarantine = Quarantine::new(settings);
     for number in 0..100_u8 {
         let now = Instant::from_secs(u64::from(number) * 5);
-        quarantine.died(now, death(number, &[Fingerprint::new(u128::from(number))]));
+        quarantine.record_death(now, death(number, &[Fingerprint::new(u128::from(number))]));
     }
     assert_eq!(quarantine.table().len(), 10);
     let newest = Fingerprint::new(99);
@@ -199,12 +199,12 @@
     for (number, request, announced, pause) in steps {
         now = now + Duration::from_secs(u64::from(pause % 8));
         let running = vec![Fingerprint::new(u128::from(request % 4))];
-        let victim = victim(number % 8);
+        let instance = instance(number % 8);
         let announced = *announced;
-        quarantine.died(
+        quarantine.record_death(
             now,
             Death {
-                victim,
+                instance,
                 announced,
                 running,
             },
--- a/bergamotshift-limit/tests/quota.rs
+++ b/bergamotshift-limit/tests/quota.rs
@@ -63,7 +63,7 @@
         let told: Vec<_> = self
             .ledgers
             .iter_mut()
-            .map(|ledger| ledger.view.tell(now).clone())
+            .map(|ledger| ledger.view.announce(now).clone())
             .collect();
         for (index, ledger) in self.ledgers.iter_mut().enumerate() {
             let here = index / PER_ZONE;
@@ -273,7 +273,7 @@
             let mut view = demand::View::new(demand::Settings::default(), Vec::new(), count - 1);
             view.tick(Instant::ZERO, []);
             view.tick(now, [(HOTEL, u64::from(rates[index]) * 100)]);
-            view.tell(now);
+            view.announce(now);
             for other in (0..count).filter(|other| *other != index) {
                 let origin = Origin::Entry(name::Entry::new(format!("entry-{other}")));
                 view.observe(now, origin, Duration::ZERO, told(other));
--- a/bergamotshift-limit/tests/retry.rs
+++ b/bergamotshift-limit/tests/retry.rs
@@ -77,10 +77,10 @@
         reserve: 16,
         burst: 16,
     });
-    budget.bound(2);
+    budget.set_burst(2);
     let taken = (0..100).filter(|_| budget.try_withdraw()).count();
     assert_eq!(taken, 1, "a withdrawal leaves some of the balance");
-    budget.bound(16);
+    budget.set_burst(16);
     assert!(!budget.try_withdraw(), "a larger bound lends nothing");
 }
 
@@ -147,7 +147,7 @@
         let mut rng = Pcg64Mcg::new(1);
         let decision = Policy::default().decide(Instant::ZERO, request, failure, &budget, &mut rng);
         let stopped = match decision {
-            Decision::Again(_) => None,
+            Decision::Retry(_) => None,
             Decision::Stop(reason) => Some(reason),
         };
         assert_eq!(stopped, stop, "{request:?} {failure:?}");
@@ -164,7 +164,7 @@
     });
     let mut rng = Pcg64Mcg::new(1);
     let mut decide = |failure| Policy::default().decide(Instant::ZERO, REQUEST, failure, &budget, &mut rng);
-    assert_eq!(decide(Failure::Moved), Decision::Again(Duration::ZERO));
+    assert_eq!(decide(Failure::Moved), Decision::Retry(Duration::ZERO));
     assert_eq!(decide(Failure::Broken), Decision::Stop(Reason::Budget));
 }
 
--- a/bergamotshift-limit/tests/share.rs
+++ b/bergamotshift-limit/tests/share.rs
@@ -92,7 +92,7 @@
             let reading = admission::Reading {
                 capacity: CAPACITY,
                 waits: [wait; 3],
-                room: Duration::ZERO,
+                concurrency: Duration::ZERO,
                 age,
                 portion,
             };
@@ -152,7 +152,7 @@
 fn gossip(now: Instant, entries: &mut [Entry]) {
     let told: Vec<_> = entries
         .iter_mut()
-        .map(|entry| entry.pool.view.tell(now).entry.clone())
+        .map(|entry| entry.pool.view.announce(now).entry.clone())
         .collect();
     for (index, entry) in entries.iter_mut().enumerate() {
         for (other, rates) in told.iter().enumerate().filter(|(other, _)| *other != index) {
@@ -292,7 +292,7 @@
     // once all start at once; only those who come after them wait, and are refused when that is too long.
     let gate = Gate::new(admission::Settings::default());
     gate.set(Instant::ZERO, CAPACITY, [Duration::ZERO; 3], 1.0);
-    gate.set_room(Duration::from_secs(4));
+    gate.set_concurrency(Duration::from_secs(4));
     let work = (CAPACITY / 10.0) as u64;
     let request = admission::Request {
         urgency: Urgency::Urgent,
@@ -306,7 +306,7 @@
     assert_eq!(admitted.count(), 59);
     assert_eq!(gate.wait(Instant::ZERO, Urgency::Urgent), Duration::from_millis(1_900));
     // Callers who got their answers make room for as many others.
-    (0..2).for_each(|_| gate.ended(Urgency::Urgent, work));
+    (0..2).for_each(|_| gate.complete(Urgency::Urgent, work));
     let admitted = (0..100).filter(|_| gate.weigh(Instant::ZERO, request, Ok(())) == Decision::Admit);
     assert_eq!(admitted.count(), 2);
     assert_eq!(gate.wait(Instant::ZERO, Urgency::Urgent), Duration::from_millis(1_900));
--- a/bergamotshift-limit/tests/throttle.rs
+++ b/bergamotshift-limit/tests/throttle.rs
@@ -3,9 +3,9 @@
 use core::time::Duration;
 
 use bergamotshift_core::prelude::*;
-use bergamotshift_limit::throttle::SECOND;
+use bergamotshift_limit::throttle::DEPUTY_COST;
+use bergamotshift_limit::throttle::RateLimit;
 use bergamotshift_limit::throttle::Throttle;
-use bergamotshift_limit::throttle::Word;
 use quickcheck::TestResult;
 use quickcheck::quickcheck;
 
@@ -21,7 +21,7 @@
 
 fn limited(rate: f64) -> Throttle {
     let throttle = Throttle::default();
-    assert!(throttle.hear(Word::named(rate, at(0)), true));
+    assert!(throttle.update(RateLimit::named(rate, at(0)), true));
     throttle
 }
 
@@ -64,7 +64,7 @@
         let mut grants = Vec::new();
         for millis in 0..20_000 {
             let now = at(millis);
-            let granted = [first.grant(now, 1), second.grant(now, SECOND)];
+            let granted = [first.grant(now, 1), second.grant(now, DEPUTY_COST)];
             grants.extend(granted.iter().filter(|granted| granted.is_ok()).map(|_| now));
         }
         let (share, more) = MOST;
@@ -104,9 +104,9 @@
 #[test]
 fn an_answer_that_was_overtaken_lifts_no_rate() {
     let throttle = limited(2.0);
-    assert!(!throttle.hear(Word::lifted(Instant::from_millis(9_990)), true));
+    assert!(!throttle.update(RateLimit::lifted(Instant::from_millis(9_990)), true));
     assert_eq!(throttle.rate(), Some(2.0));
-    assert!(throttle.hear(Word::lifted(at(1)), true));
+    assert!(throttle.update(RateLimit::lifted(at(1)), true));
     assert_eq!(throttle.rate(), None);
 }
 
@@ -114,10 +114,10 @@
 #[test]
 fn a_limit_that_ends_opens_the_server_at_once() {
     let throttle = limited(0.01);
-    throttle.close(at(100_000));
-    assert!(throttle.closed_until(at(1)).is_some());
-    assert!(throttle.hear(Word::lifted(at(1)), false));
-    assert_eq!(throttle.closed_until(at(2)), None);
+    throttle.pause(at(100_000));
+    assert!(throttle.paused_until(at(1)).is_some());
+    assert!(throttle.update(RateLimit::lifted(at(1)), false));
+    assert_eq!(throttle.paused_until(at(2)), None);
     assert_eq!(throttle.grant(at(2), 1), Ok(()));
 }
 
@@ -135,8 +135,8 @@
 #[test]
 fn only_what_the_server_said_itself_is_passed_on() {
     let throttle = Throttle::default();
-    assert!(throttle.hear(Word::named(1.0, at(0)), false));
-    assert_eq!(throttle.first_hand(), None);
-    throttle.hear(Word::named(1.0, at(1)), true);
-    assert_eq!(throttle.first_hand(), Some(Word::named(1.0, at(1))));
+    assert!(throttle.update(RateLimit::named(1.0, at(0)), false));
+    assert_eq!(throttle.direct_limit(), None);
+    throttle.update(RateLimit::named(1.0, at(1)), true);
+    assert_eq!(throttle.direct_limit(), Some(RateLimit::named(1.0, at(1))));
 }
--- a/bergamotshift-link/src/node/mod.rs
+++ b/bergamotshift-link/src/node/mod.rs
@@ -11,7 +11,7 @@
 use core::time::Duration;
 use std::sync::Arc;
 
-use bergamotshift_core::pace::Pace;
+use bergamotshift_core::throughput::Throughput;
 use bergamotshift_fleet::kernel::Way;
 use slog::Logger;
 use thiserror::Error;
@@ -221,14 +221,14 @@
     moved: &AtomicUsize,
     going: impl Future<Output = Result<T, Error>>,
 ) -> Result<T, Error> {
-    let pace = Pace { bytes: PACE, within };
-    let mut watch = pace.watch();
+    let pace = Throughput { bytes: PACE, within };
+    let mut watch = pace.monitor();
     let mut going = pin!(going);
     loop {
         if let Ok(gone) = tokio::time::timeout(within, going.as_mut()).await {
             return gone;
         }
-        if !watch.keeps(moved.load(Relaxed)) {
+        if !watch.is_sustained(moved.load(Relaxed)) {
             return Err(Error::Timeout);
         }
     }
--- a/bergamotshift-platform/src/http/client.rs
+++ b/bergamotshift-platform/src/http/client.rs
@@ -7,7 +7,7 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-use bergamotshift_core::pace::Pace;
+use bergamotshift_core::throughput::Throughput;
 use bytes::Bytes;
 use bytes::BytesMut;
 use futures_util::StreamExt;
@@ -153,17 +153,17 @@
         let moved = Rc::new(Moved::default());
         let began = Instant::now();
         let mut call = pin!(self.exchange(request, body, &moved));
-        let pace = Pace {
+        let pace = Throughput {
             bytes: PACE,
             within: patience,
         };
-        let mut watch = pace.watch();
+        let mut watch = pace.monitor();
         loop {
             if let Ok(ended) = timeout(patience, call.as_mut()).await {
                 return ended;
             }
             let (sent, received) = (moved.sent.get(), moved.received.get());
-            if !watch.keeps(sent + received) {
+            if !watch.is_sustained(sent + received) {
                 let took = began.elapsed().as_millis();
                 let cause = format!("no whole answer in time: {received} bytes of its body after {took} ms");
                 return Err(Error::Unknown(cause));
--- a/bergamotshift-replay/src/world/reclaim.rs
+++ b/bergamotshift-replay/src/world/reclaim.rs
@@ -4,8 +4,8 @@
 
 use bergamotshift_core::prelude::*;
 use bergamotshift_limit::quarantine::Death;
+use bergamotshift_limit::quarantine::Instance;
 use bergamotshift_limit::quarantine::Verdict;
-use bergamotshift_limit::quarantine::Victim;
 use bergamotshift_route::policy;
 use bergamotshift_route::reclaim;
 use bergamotshift_route::reclaim::Action;
@@ -147,11 +147,11 @@
         let Some(engine) = self.release(vm, now) else { return };
         let jobs = engine.jobs();
         let running = jobs.iter().map(|(work, _)| self.fingerprint(work.job)).collect();
-        let victim = Victim::new(name::Vm::new(format!("vm-{vm}")), Incarnation::new(life));
-        self.quarantine.died(
+        let victim = Instance::new(name::Vm::new(format!("vm-{vm}")), Incarnation::new(life));
+        self.quarantine.record_death(
             now,
             Death {
-                victim,
+                instance: victim,
                 announced,
                 running,
             },
--- a/bergamotshift-rollout/src/detector.rs
+++ b/bergamotshift-rollout/src/detector.rs
@@ -9,7 +9,7 @@
 
 use crate::evidence::Evidence;
 use crate::evidence::Group;
-use crate::evidence::PACES;
+use crate::evidence::LATENCY_CLASSES;
 use crate::evidence::Tally;
 
 /// How much more likely what was seen has to be of a bad version than of a sound one, as a logarithm.
@@ -99,7 +99,7 @@
 struct Usual {
     ended: f64,
     bad: f64,
-    paces: [f64; PACES],
+    latencies: [f64; LATENCY_CLASSES],
     /// The newest answers alone, and the failures among them.
     newest: f64,
     newest_bad: f64,
@@ -111,7 +111,7 @@
         self.bad = self.bad * FADE + f64::from(seen.bad);
         self.newest = self.newest * FADE_NEWEST + f64::from(seen.ended());
         self.newest_bad = self.newest_bad * FADE_NEWEST + f64::from(seen.bad);
-        for (own, seen) in self.paces.iter_mut().zip(seen.paces) {
+        for (own, seen) in self.latencies.iter_mut().zip(seen.latencies) {
             *own = *own * FADE + f64::from(seen);
         }
     }
@@ -128,12 +128,12 @@
 
     /// Returns the first class of pace that is slow; `None` before enough answers were seen.
     fn slow_from(&self) -> Option<usize> {
-        let total: f64 = self.paces.iter().sum();
+        let total: f64 = self.latencies.iter().sum();
         if total < ASSUMED {
             return None;
         }
         let mut sum = 0.0;
-        let usual = self.paces.iter().position(|count| {
+        let usual = self.latencies.iter().position(|count| {
             sum += count;
             sum >= total * USUAL
         });
@@ -142,8 +142,8 @@
 
     /// Returns the part of its answers that are in a class or a slower one.
     fn beyond(&self, class: usize) -> f64 {
-        let slow: f64 = self.paces.iter().skip(class).sum();
-        slow / self.paces.iter().sum::<f64>().max(1.0)
+        let slow: f64 = self.latencies.iter().skip(class).sum();
+        slow / self.latencies.iter().sum::<f64>().max(1.0)
     }
 }
 
@@ -202,10 +202,10 @@
         let usual = self.usual.beyond(from);
         let sound = (usual * 1.5 + SLOW_SPARED).min(0.5);
         let faulty = SLOW_BAD.max(sound + 0.2);
-        let (quick, slow) = seen.paces.split_at(from.min(PACES));
+        let (quick, slow) = seen.latencies.split_at(from.min(LATENCY_CLASSES));
         self.slow.take(quick.iter().sum(), slow.iter().sum(), sound, faulty);
-        let began = |tally: &Tally| tally.paces.iter().sum::<u32>();
-        let late = |tally: &Tally| tally.paces.iter().skip(from).sum::<u32>();
+        let began = |tally: &Tally| tally.latencies.iter().sum::<u32>();
+        let late = |tally: &Tally| tally.latencies.iter().skip(from).sum::<u32>();
         let is_witness = |tally: &Tally| f64::from(late(tally)) > f64::from(began(tally)) * sound;
         let found = self.slow.odds >= ODDS && self.agree(|tally| began(tally) >= HEARD, is_witness);
         found.then(|| cause(Sign::Slow, route, self.slow, usual))
@@ -247,7 +247,7 @@
 
 impl Detector {
     /// Forgets who answered so far, since other endpoints are looked at from now on.
-    pub fn turn(&mut self) {
+    pub fn reset_tests(&mut self) {
         for track in self.routes.values_mut().chain([&mut self.all]) {
             track.failures = Test::default();
             track.slow = Test::default();
@@ -256,7 +256,7 @@
     }
 
     /// Takes in all evidence so far, of which it has seen a part before; returns why the new version is bad, if it is.
-    pub fn look(&mut self, evidence: &Evidence) -> Option<Cause> {
+    pub fn update(&mut self, evidence: &Evidence) -> Option<Cause> {
         let mut routes: BTreeMap<u32, News> = BTreeMap::new();
         let mut all = News::default();
         for (&(route, group), tally) in &evidence.tallies {
--- a/bergamotshift-rollout/src/directive.rs
+++ b/bergamotshift-rollout/src/directive.rs
@@ -6,7 +6,7 @@
 use crate::order::State;
 
 /// A whole share, in thousandths.
-pub const WHOLE: u16 = 1_000;
+pub const FULL_SHARE: u16 = 1_000;
 
 /// What happens to the requests of a service while an order stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/bergamotshift-rollout/src/director.rs
+++ b/bergamotshift-rollout/src/director.rs
@@ -7,8 +7,8 @@
 use crate::detector::Cause;
 use crate::detector::Detector;
 use crate::directive::Directive;
+use crate::directive::FULL_SHARE;
 use crate::directive::Phase;
-use crate::directive::WHOLE;
 use crate::evidence::Evidence;
 use crate::order::Order;
 use crate::order::State;
@@ -51,22 +51,22 @@
 const STEPS: [(u16, Duration); 3] = [
     (250, Duration::from_millis(600)),
     (500, Duration::from_millis(600)),
-    (WHOLE, Duration::from_millis(1_200)),
+    (FULL_SHARE, Duration::from_millis(1_200)),
 ];
 
 /// What a director sees at one look.
 #[derive(Clone, Debug)]
-pub struct Sight {
+pub struct Observation {
     /// How long ago the order was given.
     pub age: Duration,
     /// What all entries saw of the answers since then.
     pub evidence: Evidence,
     /// Endpoints of the version in force that take work.
-    pub stable: usize,
+    pub stable_endpoints: usize,
     /// Endpoints of the new version that take work.
-    pub canary: usize,
+    pub canary_endpoints: usize,
     /// Requests that are under way at endpoints of the version in force.
-    pub busy: u32,
+    pub stable_in_flight: u32,
     /// Requests that an endpoint runs at once.
     pub slots: u32,
 }
@@ -92,7 +92,7 @@
     phase: Phase,
     detector: Detector,
     /// Requests under way at endpoints of the version in force, with older looks faded.
-    busy: f64,
+    in_flight: f64,
     /// Answers of the new version that had begun when one endpoint was put under stress.
     before_stress: u32,
     /// When requests began to move.
@@ -108,7 +108,7 @@
             order,
             phase: last.map_or(Phase::Canary, |directive| directive.phase),
             detector: Detector::default(),
-            busy: 0.0,
+            in_flight: 0.0,
             before_stress: 0,
             shifting: None,
         }
@@ -120,42 +120,44 @@
     }
 
     /// Notes the state that stands in the operators' status for good.
-    pub fn settled(&mut self, state: State) {
+    pub fn set_final_state(&mut self, state: State) {
         if state.is_final() {
             self.phase = state.into();
         }
     }
 
     /// Returns what is to happen now.
-    pub fn look(&mut self, now: Instant, sight: &Sight) -> Step {
-        let cause = self.detector.look(&sight.evidence);
-        self.busy = self.busy * FADE + f64::from(sight.busy) * (1.0 - FADE);
-        self.advance(now, sight, cause.is_some());
+    pub fn observe(&mut self, now: Instant, observation: &Observation) -> Step {
+        let cause = self.detector.update(&observation.evidence);
+        self.in_flight = self.in_flight * FADE + f64::from(observation.stable_in_flight) * (1.0 - FADE);
+        self.advance(now, observation, cause.is_some());
         let halted = self.phase == Phase::Halted;
         Step {
             phase: self.phase,
-            share: self.share(now, sight),
-            state: self.state(now, sight),
+            share: self.share(now, observation),
+            state: self.state(now, observation),
             cause: cause.filter(|_| halted),
         }
     }
 
     /// Enters the phase that is due.
-    fn advance(&mut self, now: Instant, sight: &Sight, is_bad: bool) {
+    fn advance(&mut self, now: Instant, observation: &Observation, is_bad: bool) {
         let reserve = RESERVE.min(self.order.duration.mul_f64(RESERVE_SHARE));
         let stress = STRESS.min(self.order.duration.mul_f64(STRESS_SHARE));
-        let is_within = |left: Duration| sight.age + left < self.order.duration;
+        let is_within = |left: Duration| observation.age + left < self.order.duration;
         match self.phase {
             Phase::Canary | Phase::Stress | Phase::Shifting if is_bad => self.phase = Phase::Halted,
-            Phase::Canary | Phase::Stress if sight.canary > 0 && (sight.stable == 0 || !is_within(reserve)) => {
+            Phase::Canary | Phase::Stress
+                if observation.canary_endpoints > 0 && (observation.stable_endpoints == 0 || !is_within(reserve)) =>
+            {
                 self.phase = Phase::Shifting;
                 self.shifting = Some(now);
-                self.detector.turn();
+                self.detector.reset_tests();
             }
-            Phase::Canary if sight.canary > 0 && !is_within(reserve + stress) => {
+            Phase::Canary if observation.canary_endpoints > 0 && !is_within(reserve + stress) => {
                 self.phase = Phase::Stress;
-                self.before_stress = sight.evidence.total(true).began();
-                self.detector.turn();
+                self.before_stress = observation.evidence.total(true).began();
+                self.detector.reset_tests();
             }
             // The holder before began to move them, and not all entries may know yet.
             Phase::Shifting => {
@@ -165,10 +167,10 @@
         }
     }
 
-    fn share(&self, now: Instant, sight: &Sight) -> u16 {
+    fn share(&self, now: Instant, observation: &Observation) -> u16 {
         match self.phase {
-            Phase::Canary if sight.canary > 0 => self.canary_share(sight),
-            Phase::Stress => self.stress_share(sight),
+            Phase::Canary if observation.canary_endpoints > 0 => self.canary_share(observation),
+            Phase::Stress => self.stress_share(observation),
             Phase::Shifting => self.shifted(now),
             Phase::Canary | Phase::Halted | Phase::Completed | Phase::RolledBack => 0,
         }
@@ -178,26 +180,30 @@
     ///
     /// Failure: a version fails once half of its places are taken, and the canary's share takes a few. Symptom: it passes for
     /// sound, and fails everybody at the next peak.
-    fn stress_share(&self, sight: &Sight) -> u16 {
-        let answers = sight.evidence.total(true).began().saturating_sub(self.before_stress);
-        if f64::from(answers) >= self.allowed(sight) * STRESS_USED {
+    fn stress_share(&self, observation: &Observation) -> u16 {
+        let answers = observation
+            .evidence
+            .total(true)
+            .began()
+            .saturating_sub(self.before_stress);
+        if f64::from(answers) >= self.allowed(observation) * STRESS_USED {
             return 0;
         }
-        let wanted = f64::from(sight.slots) * STRESSED;
-        thousandths((wanted / self.busy.max(1.0) * SMALL).min(MOST_SHARE))
+        let wanted = f64::from(observation.slots) * STRESSED;
+        thousandths((wanted / self.in_flight.max(1.0) * SMALL).min(MOST_SHARE))
     }
 
     /// Returns how many requests a bad version may get until the time limit, as far as is known by now.
-    fn allowed(&self, sight: &Sight) -> f64 {
-        let expected = rate(sight) * self.order.duration.as_secs_f64();
+    fn allowed(&self, observation: &Observation) -> f64 {
+        let expected = rate(observation) * self.order.duration.as_secs_f64();
         self.settings.expose_share * expected + self.settings.expose_slack
     }
 
     /// Returns the part of the requests that a canary gets.
-    fn canary_share(&self, sight: &Sight) -> u16 {
-        let expected = rate(sight) * self.order.duration.as_secs_f64();
+    fn canary_share(&self, observation: &Observation) -> u16 {
+        let expected = rate(observation) * self.order.duration.as_secs_f64();
         let share = if expected > 0.0 {
-            self.allowed(sight) / expected
+            self.allowed(observation) / expected
         } else {
             self.settings.expose_share
         };
@@ -219,12 +225,12 @@
                 return share;
             }
         }
-        WHOLE
+        FULL_SHARE
     }
 
-    fn state(&self, now: Instant, sight: &Sight) -> State {
+    fn state(&self, now: Instant, observation: &Observation) -> State {
         match self.phase {
-            Phase::Shifting if self.has_moved(now, sight) => State::Completed,
+            Phase::Shifting if self.has_moved(now, observation) => State::Completed,
             Phase::Canary | Phase::Stress | Phase::Shifting => State::Running,
             Phase::Halted | Phase::RolledBack => State::RolledBack,
             Phase::Completed => State::Completed,
@@ -233,19 +239,21 @@
 
     /// Returns whether nothing is left at the old endpoints, which stop at once when the order is completed, or the time
     /// limit leaves no more time. Without endpoints of the new version nothing has moved.
-    fn has_moved(&self, now: Instant, sight: &Sight) -> bool {
+    fn has_moved(&self, now: Instant, observation: &Observation) -> bool {
         let steps: Duration = STEPS.iter().map(|(_, span)| *span).sum();
         let since = self.moving_for(now);
-        sight.canary > 0 && since >= steps && (sight.busy == 0 || sight.age + CLOSE >= self.order.duration)
+        observation.canary_endpoints > 0
+            && since >= steps
+            && (observation.stable_in_flight == 0 || observation.age + CLOSE >= self.order.duration)
     }
 }
 
 /// Returns how many requests a second were answered since the order.
-fn rate(sight: &Sight) -> f64 {
-    let seen = sight.evidence.total(false).began() + sight.evidence.total(true).began();
-    f64::from(seen) / sight.age.as_secs_f64().max(1.0)
+fn rate(observation: &Observation) -> f64 {
+    let seen = observation.evidence.total(false).began() + observation.evidence.total(true).began();
+    f64::from(seen) / observation.age.as_secs_f64().max(1.0)
 }
 
 fn thousandths(share: f64) -> u16 {
-    (share * f64::from(WHOLE)).round() as u16
+    (share * f64::from(FULL_SHARE)).round() as u16
 }
--- a/bergamotshift-rollout/src/evidence.rs
+++ b/bergamotshift-rollout/src/evidence.rs
@@ -6,7 +6,7 @@
 use serde::Serialize;
 
 /// How many classes of pace are told apart.
-pub const PACES: usize = 12;
+pub const LATENCY_CLASSES: usize = 12;
 
 /// How many groups the endpoints of a new version are counted in.
 const CANARIES: u64 = 16;
@@ -45,7 +45,7 @@
     /// It tells a failure, broke off or cannot be used.
     Bad,
     /// It began after this many times the expected time.
-    Pace(f64),
+    Latency(f64),
 }
 
 /// Answers by what was seen of them.
@@ -57,16 +57,17 @@
     /// Failures.
     pub bad: u32,
     /// Answers that began, by their class of pace.
-    pub paces: [u32; PACES],
+    #[serde(rename = "paces")]
+    pub latencies: [u32; LATENCY_CLASSES],
 }
 
 impl Tally {
     /// Counts an answer.
-    pub fn note(&mut self, answer: Answer) {
+    pub fn record(&mut self, answer: Answer) {
         match answer {
             Answer::Good => self.good += 1,
             Answer::Bad => self.bad += 1,
-            Answer::Pace(times) => self.paces[class(times)] += 1,
+            Answer::Latency(times) => self.latencies[class(times)] += 1,
         }
     }
 
@@ -77,7 +78,7 @@
 
     /// Returns how many answers began, or failed before.
     pub fn began(&self) -> u32 {
-        let began: u32 = self.paces.iter().sum();
+        let began: u32 = self.latencies.iter().sum();
         began.max(self.ended())
     }
 
@@ -85,7 +86,7 @@
     pub fn add(&mut self, other: &Self) {
         self.good += other.good;
         self.bad += other.bad;
-        for (own, other) in self.paces.iter_mut().zip(other.paces) {
+        for (own, other) in self.latencies.iter_mut().zip(other.latencies) {
             *own += other;
         }
     }
@@ -96,7 +97,7 @@
         Self {
             good: self.good.saturating_sub(before.good),
             bad: self.bad.saturating_sub(before.bad),
-            paces: core::array::from_fn(|class| self.paces[class].saturating_sub(before.paces[class])),
+            latencies: core::array::from_fn(|class| self.latencies[class].saturating_sub(before.latencies[class])),
         }
     }
 }
@@ -104,7 +105,7 @@
 /// Returns the class of an answer that began after so many times the expected time.
 fn class(times: f64) -> usize {
     let steps = (times / FIRST).max(1.0).ln() / STEP.ln();
-    (steps.ceil() as usize).min(PACES - 1)
+    (steps.ceil() as usize).min(LATENCY_CLASSES - 1)
 }
 
 /// What one entry, or all together, saw of the answers since an order was given.
@@ -127,8 +128,8 @@
     }
 
     /// Counts an answer.
-    pub fn note(&mut self, route: u32, group: Group, answer: Answer) {
-        self.tallies.entry((route, group)).or_default().note(answer);
+    pub fn record(&mut self, route: u32, group: Group, answer: Answer) {
+        self.tallies.entry((route, group)).or_default().record(answer);
     }
 
     /// Adds what another entry saw of the same order.
--- a/bergamotshift-rollout/src/settings.rs
+++ b/bergamotshift-rollout/src/settings.rs
@@ -59,7 +59,7 @@
     /// Returns how old a holder's word may be until a canary gets nothing any more.
     ///
     /// An entry that is cut off does not hear that a version was rolled back.
-    pub fn patience(&self) -> Duration {
+    pub fn directive_timeout(&self) -> Duration {
         Duration::from_millis(self.rollback_ms).mul_f64(0.5)
     }
 }
--- a/bergamotshift-rollout/src/standing.rs
+++ b/bergamotshift-rollout/src/tracker.rs
@@ -30,31 +30,31 @@
 /// until a directive says how much, and nothing once the directive is stale: entries that are cut off fall back to the
 /// version that was in force.
 #[derive(Clone, Debug, Default)]
-pub struct Standing {
+pub struct Tracker {
     order: Option<Order>,
     /// When the order was given, as far as this entry knows.
     since: Instant,
     directive: Option<Directive>,
     /// When a directive was last news.
-    heard: Instant,
+    directive_received: Instant,
     /// The version of the last order that was completed.
     current: Option<SmolStr>,
     /// The versions of orders that were rolled back or given up for another.
     refused: Vec<SmolStr>,
-    patience: Option<Duration>,
+    timeout: Option<Duration>,
 }
 
-impl Standing {
+impl Tracker {
     /// Makes a standing that knows of no order.
     pub fn new(settings: &Settings) -> Self {
         Self {
-            patience: Some(settings.patience()),
+            timeout: Some(settings.directive_timeout()),
             ..Self::default()
         }
     }
 
     /// Notes an order that was given `age` ago; returns whether that is news.
-    pub fn order(&mut self, now: Instant, order: Order, age: Duration) -> bool {
+    pub fn apply_order(&mut self, now: Instant, order: Order, age: Duration) -> bool {
         let given = now - age;
         match &self.order {
             Some(before) if before.number > order.number => return false,
@@ -85,14 +85,14 @@
     }
 
     /// Notes what a holder of the duties directs; returns whether that is news.
-    pub fn direct(&mut self, now: Instant, directive: Directive) -> bool {
+    pub fn apply_directive(&mut self, now: Instant, directive: Directive) -> bool {
         let is_known = self.order.as_ref().is_some_and(|order| order.number == directive.order);
         let is_news = self.directive.is_none_or(|before| directive.replaces(&before));
         if !is_known || !is_news {
             return false;
         }
         self.directive = Some(directive);
-        self.heard = now;
+        self.directive_received = now;
         true
     }
 
@@ -144,7 +144,9 @@
         let Some(directive) = &self.directive else {
             return 0;
         };
-        let is_stale = self.patience.is_some_and(|patience| now.since(self.heard) >= patience);
+        let is_stale = self
+            .timeout
+            .is_some_and(|timeout| now.since(self.directive_received) >= timeout);
         match directive.phase {
             Phase::Canary | Phase::Stress if !is_stale => directive.share,
             // The endpoints of the version before may have stopped already where this entry is cut off.
--- a/bergamotshift-rollout/tests/rollout/director.rs
+++ b/bergamotshift-rollout/tests/rollout/director.rs
@@ -16,15 +16,15 @@
 }
 
 fn look(director: &mut Director, millis: u64, stable: usize, canary: usize, busy: u32) -> Step {
-    let sight = Sight {
+    let observation = Observation {
         age: Duration::from_millis(millis),
         evidence: Evidence::new(3),
-        stable,
-        canary,
-        busy,
+        stable_endpoints: stable,
+        canary_endpoints: canary,
+        stable_in_flight: busy,
         slots: 8,
     };
-    director.look(Instant::from_millis(100_000 + millis), &sight)
+    director.observe(Instant::from_millis(100_000 + millis), &observation)
 }
 
 fn director() -> Director {
--- a/bergamotshift-rollout/tests/rollout/sim.rs
+++ b/bergamotshift-rollout/tests/rollout/sim.rs
@@ -118,23 +118,23 @@
         let age = LOOK * look as u32;
         let heard = world.evidence[world.evidence.len() - LAG].clone();
         let running = scene.rate * TAKES;
-        let sight = Sight {
+        let observation = Observation {
             age,
             evidence: heard,
-            stable: scene.endpoints,
-            canary: scene.endpoints,
-            busy: if steps.last().is_some_and(|step| step.share >= 1_000) {
+            stable_endpoints: scene.endpoints,
+            canary_endpoints: scene.endpoints,
+            stable_in_flight: if steps.last().is_some_and(|step| step.share >= 1_000) {
                 0
             } else {
                 running as u32
             },
             slots: scene.slots,
         };
-        let step = director.look(Instant::ZERO + age, &sight);
+        let step = director.observe(Instant::ZERO + age, &observation);
         if step.state.is_final() && world.ending.state.is_none() {
             world.ending.state = Some(step.state);
             world.ending.after = age;
-            director.settled(step.state);
+            director.set_final_state(step.state);
         }
         steps.push(step);
         let known = steps.len().checked_sub(LAG).map(|place| steps[place]);
@@ -174,10 +174,10 @@
             };
             let spread: f64 = self.random.random_range(0.5..2.0);
             if is_bad {
-                evidence.note(route, group, Answer::Bad);
+                evidence.record(route, group, Answer::Bad);
             } else {
-                evidence.note(route, group, Answer::Pace(spread * slower));
-                evidence.note(route, group, Answer::Good);
+                evidence.record(route, group, Answer::Latency(spread * slower));
+                evidence.record(route, group, Answer::Good);
             }
         }
         self.evidence.push(evidence);
