--- a/bergamotshift-limit/benches/admission.rs
+++ b/bergamotshift-limit/benches/admission.rs
@@ -1,4 +1,4 @@
-//! The cost of one admission, and of the control thread's tick, against the number of organisations.
+//! Cost of one admission decision and of the control thread's tick, by the number of organisations.
 
 use core::hint::black_box;
 use core::time::Duration;
@@ -24,7 +24,7 @@
     spend: Price::from_micros(50),
 };
 
-/// Limits of every kind that no bench reaches.
+/// Limits of every kind that no benchmark reaches.
 const LIMITS: Limits = Limits {
     requests_per_second: Some(1e6),
     burst: 1e6,
@@ -42,6 +42,7 @@
     }
 }
 
+/// Benchmarks admission decisions without look-ups by name.
 fn admit(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("admit");
     for organisations in [5, 50, 500] {
@@ -60,13 +61,13 @@
             bencher.iter(|| {
                 micros += 5;
                 let now = Instant::from_micros(micros);
-                let (account, cell) = &rows[rng.random_range(0..rows.len())];
+                let (account, allowance) = &rows[rng.random_range(0..rows.len())];
                 black_box(admission::decide(
                     now,
                     request(now),
                     COST,
                     account,
-                    cell,
+                    allowance,
                     &gate,
                     &mut rng,
                 ))
@@ -76,31 +77,31 @@
     group.finish();
 }
 
-/// The same by names, as workers ask.
+/// Benchmarks admission decisions by name, as workers make them.
 fn decide(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("decide");
     for organisations in [5, 50, 500] {
         let service = name::Service::new_static("planner-llm");
-        let tenant = |index: usize| Organisation {
+        let organisation = |index: usize| Organisation {
             name: name::Organisation::new(format!("organisation-{index}")),
             weight: 1.0,
             limits: LIMITS,
             services: vec![service.clone()],
         };
-        let tenants: Vec<_> = (0..organisations).map(tenant).collect();
+        let configured: Vec<_> = (0..organisations).map(organisation).collect();
         let services = [Service {
             name: service.clone(),
             target: Duration::from_secs(2),
         }];
         let mut kernel = Kernel::new(Settings::default(), Vec::new(), 0);
-        let table = kernel.configure(Instant::ZERO, &tenants, &services);
+        let table = kernel.configure(Instant::ZERO, &configured, &services);
         let mut rng = Pcg64Mcg::new(1);
         let mut micros = 0;
         group.bench_function(BenchmarkId::from_parameter(organisations), |bencher| {
             bencher.iter(|| {
                 micros += 5;
                 let now = Instant::from_micros(micros);
-                let organisation = &tenants[rng.random_range(0..tenants.len())].name;
+                let organisation = &configured[rng.random_range(0..configured.len())].name;
                 black_box(table.decide(now, organisation, &service, request(now), COST, &mut rng))
             });
         });
@@ -108,8 +109,9 @@
     group.finish();
 }
 
-/// What an entry of the target size hears: 77 entries of its zone, each asked by 60 organisations, and 4 zones.
-fn hear(view: &mut demand::View, organisations: usize) {
+/// Records the announcements of a fleet of the target size: 77 entries of the zone with 60 organisations each, and 4
+/// zones.
+fn observe(view: &mut demand::View, organisations: usize) {
     let rates = |first: usize, count: usize| {
         let name = |index: usize| name::Organisation::new(format!("organisation-{}", (first + index) % organisations));
         (0..count.min(organisations)).map(|index| (name(index), 1.0)).collect()
@@ -135,7 +137,7 @@
         for index in 0..organisations {
             pool.join(name::Organisation::new(format!("organisation-{index}")), 1.0);
         }
-        hear(&mut pool.view, organisations);
+        observe(&mut pool.view, organisations);
         let supply = share::Supply {
             capacity: 1e6,
             wait: Duration::ZERO,
--- a/bergamotshift-limit/src/admission/forecast.rs
+++ b/bergamotshift-limit/src/admission/forecast.rs
@@ -1,4 +1,4 @@
-//! Waits of the moment, from reports that are late.
+//! Present waits of a service, computed from delayed load reports.
 
 use core::time::Duration;
 use std::collections::VecDeque;
@@ -10,57 +10,61 @@
 use super::Settings;
 use super::gate::CLASSES;
 
-/// What is known of a service at some earlier moment.
+/// Load of a service at an earlier time.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Reading {
     /// Units of work per second, over all endpoints.
     pub capacity: f64,
-    /// The waits then, by [`Urgency`], each including more urgent work.
+    /// Waits at that time, by [`Urgency`], each including more urgent work.
     pub waits: [Duration; CLASSES],
-    /// What of the waits runs at once and makes nobody wait; see [`Gate::set_concurrency`].
+    /// Part of the waits that runs concurrently without waiting; see [`Gate::set_concurrency`].
     pub concurrency: Duration,
-    /// How long ago that was.
+    /// Age of the reading.
     pub age: Duration,
-    /// This entry's part of the service's demand.
+    /// This entry's share of the service's demand.
     pub portion: f64,
 }
 
+/// Work admitted until a given time.
 #[derive(Clone, Copy, Debug)]
 struct Sample {
     at: Instant,
     admitted: [u64; CLASSES],
 }
 
-/// Sets a service's [`Gate`] from late reports; kept by the control thread.
+/// Updates a service's [`Gate`] from delayed reports, on the control thread.
 ///
-/// Failure: a report from before a burst replaces what the gate has seen since. Symptom: with each report the gate
-/// opens anew and the queue grows past the target. What was admitted since the report's moment is added to it.
+/// A report from before a burst must not replace the work that the gate has admitted since; otherwise each report would
+/// open the gate again and the queue would grow past the target. The work admitted since the time of the report is
+/// therefore added to it.
 #[derive(Debug)]
 pub struct Forecast {
     gate: Arc<Gate>,
     samples: VecDeque<Sample>,
-    memory: Duration,
+    max_report_age: Duration,
 }
 
 impl Forecast {
-    /// Makes a forecast and its gate; reports older than `memory` count as that old.
-    pub fn new(settings: Settings, memory: Duration) -> Self {
+    /// Creates a forecast and its gate.
+    ///
+    /// Admitted work is remembered for `max_report_age`; older reports count as that old.
+    pub fn new(settings: Settings, max_report_age: Duration) -> Self {
         Self {
             gate: Arc::new(Gate::new(settings)),
             samples: VecDeque::new(),
-            memory,
+            max_report_age,
         }
     }
 
-    /// Returns the gate that workers ask.
+    /// Returns the gate, for the workers.
     pub fn gate(&self) -> Arc<Gate> {
         Arc::clone(&self.gate)
     }
 
-    /// Sets the gate from a reading, and what was admitted since.
+    /// Updates the gate from a reading and from the work admitted since.
     ///
-    /// Called at each tick of the control thread, whether or not the reading is new: it also notes how much was
-    /// admitted until now.
+    /// Call it at each tick of the control thread, even if the reading is not new: it also samples the work admitted until
+    /// now.
     pub fn tick(&mut self, now: Instant, reading: Reading) {
         let admitted = self.gate.admitted();
         self.samples.push_back(Sample { at: now, admitted });
@@ -68,8 +72,8 @@
         let rate = reading.capacity * reading.portion.clamp(f64::MIN_POSITIVE, 1.0);
         let wait = |class: usize| {
             let since = admitted[class].saturating_sub(then[class]) as f64;
-            let grown = Duration::try_from_secs_f64(since / rate).unwrap_or(Duration::MAX);
-            reading.waits[class].saturating_add(grown).saturating_sub(reading.age)
+            let added = Duration::try_from_secs_f64(since / rate).unwrap_or(Duration::MAX);
+            reading.waits[class].saturating_add(added).saturating_sub(reading.age)
         };
         let waits = core::array::from_fn(wait);
         self.gate.set_concurrency(reading.concurrency);
@@ -77,12 +81,13 @@
         while self
             .samples
             .get(1)
-            .is_some_and(|next| now.since(next.at) >= self.memory)
+            .is_some_and(|next| now.since(next.at) >= self.max_report_age)
         {
             self.samples.pop_front();
         }
     }
 
+    /// Returns the work that had been admitted at an earlier time.
     fn admitted_at(&self, then: Instant) -> [u64; CLASSES] {
         let index = self.samples.partition_point(|sample| sample.at <= then);
         let sample = self.samples.get(index.saturating_sub(1));
--- a/bergamotshift-limit/src/admission/gate.rs
+++ b/bergamotshift-limit/src/admission/gate.rs
@@ -1,4 +1,4 @@
-//! The predicted wait of one service, kept in one clock per urgency.
+//! Predicted wait of one service, by urgency.
 
 use core::sync::atomic::AtomicU64;
 use core::sync::atomic::Ordering::Relaxed;
@@ -11,14 +11,14 @@
 use super::Request;
 use crate::bucket::Bucket;
 
-/// When a service counts as contended.
+/// Admission parameters of a service.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Settings {
-    /// The part of the target at which waits begin to be shared by weight.
+    /// Wait, as a part of the latency target, above which a service is contended and shares are enforced.
     pub contention: f64,
-    /// The part of the target kept for what the prediction does not see.
+    /// Part of the latency target reserved for prediction errors.
     pub margin: f64,
-    /// The shortest time that a refused caller is told to stay away.
+    /// Shortest retry time given to a refused caller.
     pub min_retry: Duration,
 }
 
@@ -32,52 +32,55 @@
     }
 }
 
-/// One per urgency.
+/// Number of urgency classes.
 pub(super) const CLASSES: usize = 3;
 
-/// Predicts waits from the last reports and from what was admitted since.
+/// Predicts waits from the last load reports and from the work admitted since, and decides on requests.
 ///
-/// For each urgency a clock holds when the service will have done all admitted work at least as urgent, as engines
-/// honour priorities. The control thread sets the clocks from load reports; each admission moves them on, so a burst
-/// between two reports sees itself.
+/// For each urgency, a bucket holds the time at which the service will have done all admitted work that is at least as
+/// urgent, because engines serve requests by priority. The control thread sets the backlogs from load reports. Each
+/// admission adds to them, so that a burst between two reports is taken into account.
 #[derive(Debug)]
 pub struct Gate {
     settings: Settings,
-    clocks: [Bucket; CLASSES],
+    /// Backlog of admitted work by urgency, each including more urgent work.
+    backlogs: [Bucket; CLASSES],
+    /// Work that runs concurrently without waiting, as nanoseconds at full capacity.
     concurrency_nanos: AtomicU64,
+    /// Work admitted so far, by urgency, each including more urgent work.
     admitted: [AtomicU64; CLASSES],
 }
 
 impl Gate {
-    /// Makes a gate that knows of no capacity: it predicts no wait, as nothing has been admitted.
+    /// Creates a gate without a known capacity, which predicts no wait.
     pub fn new(settings: Settings) -> Self {
-        let clocks = core::array::from_fn(|_| Bucket::new(f64::INFINITY, 0.0));
+        let backlogs = core::array::from_fn(|_| Bucket::new(f64::INFINITY, 0.0));
         let admitted = Default::default();
         Self {
             settings,
-            clocks,
+            backlogs,
             concurrency_nanos: AtomicU64::new(0),
             admitted,
         }
     }
 
-    /// Sets the service's capacity and its present waits; see [`super::Forecast`] for waits that are not present.
+    /// Sets the service's capacity and its present waits; [`super::Forecast`] computes these from delayed reports.
     ///
-    /// `capacity` is the whole service's, in units of work per second. `waits` are by [`Urgency`], each including more
-    /// urgent work, and what [`Gate::set_concurrency`] takes off. `portion` is this entry's part of the demand: what the others admit meanwhile is taken to grow
-    /// in step with what this one admits.
+    /// `capacity` is that of the whole service, in units of work per second. `waits` are ordered by [`Urgency`]. Each wait
+    /// includes more urgent work and the concurrent work that [`Gate::set_concurrency`] subtracts. `portion` is this entry's
+    /// share of the demand; the other entries are assumed to admit work in proportion to this one.
     pub fn set(&self, now: Instant, capacity: f64, waits: [Duration; CLASSES], portion: f64) {
-        let seen = capacity * portion.clamp(f64::MIN_POSITIVE, 1.0);
-        for (clock, wait) in self.clocks.iter().zip(waits) {
-            clock.set_rate(now, seen, 0.0);
-            clock.set_owed(now, wait);
+        let rate = capacity * portion.clamp(f64::MIN_POSITIVE, 1.0);
+        for (backlog, wait) in self.backlogs.iter().zip(waits) {
+            backlog.set_rate(now, rate, 0.0);
+            backlog.set_owed(now, wait);
         }
     }
 
-    /// Sets how much of the admitted work runs at once, as the time that it takes at the whole capacity.
+    /// Sets the amount of work that runs concurrently, as the time that it takes at full capacity.
     ///
-    /// Failure: an engine runs a full batch side by side, and its work is taken for a queue. Symptom: requests are
-    /// refused while slots are free. Only what goes beyond the slots waits.
+    /// An engine runs a full batch of requests in parallel. If that work counted as a queue, requests would be refused while
+    /// slots are free; only work beyond the slots waits.
     pub fn set_concurrency(&self, concurrency: Duration) {
         let nanos = u64::try_from(concurrency.as_nanos()).unwrap_or(u64::MAX);
         self.concurrency_nanos.store(nanos, Relaxed);
@@ -86,51 +89,54 @@
     /// Returns the predicted wait of a request that arrives now.
     pub fn wait(&self, now: Instant, urgency: Urgency) -> Duration {
         let concurrency = Duration::from_nanos(self.concurrency_nanos.load(Relaxed));
-        self.clocks[class(urgency)].owed(now).saturating_sub(concurrency)
+        self.backlogs[class(urgency)].owed(now).saturating_sub(concurrency)
     }
 
-    /// Decides on a request, given whether its organisation's share held its work, and notes it when admitted.
-    pub fn weigh(&self, now: Instant, request: Request, share: Result<(), Duration>) -> Decision {
+    /// Decides on a request and records its work if it is admitted.
+    ///
+    /// `share` is the result of taking the work from the organisation's share.
+    pub fn decide(&self, now: Instant, request: Request, share: Result<(), Duration>) -> Decision {
         let wait = self.wait(now, request.urgency);
-        let decision = self.judge(now, request, share, wait);
+        let decision = self.evaluate(now, request, share, wait);
         if decision == Decision::Admit {
-            self.note(now, request);
+            self.record(now, request);
         }
         decision
     }
 
-    fn judge(&self, now: Instant, request: Request, share: Result<(), Duration>, wait: Duration) -> Decision {
+    /// Decides on a request without recording it.
+    fn evaluate(&self, now: Instant, request: Request, share: Result<(), Duration>, wait: Duration) -> Decision {
         let contended = wait > request.target.mul_f64(self.settings.contention);
         let bound = request.target.mul_f64(1.0 - self.settings.margin);
-        let excess = |reason, over: Duration| {
-            let retry_after = over.max(self.settings.min_retry);
+        let refuse = |reason, wait: Duration| {
+            let retry_after = wait.max(self.settings.min_retry);
             Decision::Refuse { reason, retry_after }
         };
         if contended && request.deferrable && (share.is_err() || request.urgency == Urgency::Deferrable) {
-            // It yields: what it would make wait might be urgent, or lie within its share.
+            // Deferrable work yields, because it could delay work that is urgent or within its share.
             return Decision::Defer;
         }
         if now + wait >= request.deadline {
-            return excess(Reason::Deadline, wait);
+            return refuse(Reason::Deadline, wait);
         }
-        if let (Err(until), true) = (share, contended) {
-            let uncontended = wait.saturating_sub(request.target.mul_f64(self.settings.contention));
-            return excess(Reason::Share, until.min(uncontended));
+        if let (Err(share_wait), true) = (share, contended) {
+            let contention_wait = wait.saturating_sub(request.target.mul_f64(self.settings.contention));
+            return refuse(Reason::Share, share_wait.min(contention_wait));
         }
         if request.urgency == Urgency::Urgent && wait > bound {
-            return excess(Reason::Target, wait.saturating_sub(bound));
+            return refuse(Reason::Target, wait.saturating_sub(bound));
         }
         Decision::Admit
     }
 
-    /// Notes that an admitted request ended, of whatever was expected of it.
+    /// Records that an admitted request ended; `work` is its expected work.
     ///
-    /// Failure: a full batch ends and as many callers come at once. Symptom: until the next reading the freed slots
-    /// count as taken, and callers are refused before idle engines. Time takes off what the capacity does as well, so
-    /// between two readings the wait may be believed shorter by the time between them, and no more.
+    /// When a full batch ends and as many new callers arrive, the freed slots would otherwise count as taken until the next
+    /// reading, and callers would be refused although engines are idle. The backlog also falls with time, so the predicted
+    /// wait can be too short by at most the time between two readings.
     pub fn complete(&self, urgency: Urgency, work: u64) {
-        for clock in &self.clocks[class(urgency)..] {
-            clock.refund(work);
+        for backlog in &self.backlogs[class(urgency)..] {
+            backlog.refund(work);
         }
     }
 
@@ -139,9 +145,10 @@
         core::array::from_fn(|class| self.admitted[class].load(Relaxed))
     }
 
-    fn note(&self, now: Instant, request: Request) {
+    /// Adds an admitted request to the backlogs.
+    fn record(&self, now: Instant, request: Request) {
         for class in class(request.urgency)..CLASSES {
-            self.clocks[class].charge(now, request.work);
+            self.backlogs[class].charge(now, request.work);
             self.admitted[class].fetch_add(request.work, Relaxed);
         }
     }
--- a/bergamotshift-limit/src/admission/mod.rs
+++ b/bergamotshift-limit/src/admission/mod.rs
@@ -1,7 +1,7 @@
-//! Admission by predicted wait against the latency target.
+//! Admission control by comparing the predicted wait with the latency target.
 //!
-//! A request that cannot make its target is refused while it is cheap: before any byte goes to an endpoint, with the
-//! time at which it may come back. Deferrable work is taken for later instead.
+//! A request that cannot meet its target is refused early, before any byte is sent to an endpoint, with the time after
+//! which it may be retried. Deferrable work is deferred instead.
 //!
 //! ```
 //! use bergamotshift_core::prelude::*;
@@ -17,7 +17,7 @@
 //!     deferrable: false,
 //!     work: 100,
 //! };
-//! assert_eq!(gate.weigh(Instant::ZERO, request, Ok(())), Decision::Admit);
+//! assert_eq!(gate.decide(Instant::ZERO, request, Ok(())), Decision::Admit);
 //! ```
 
 mod forecast;
@@ -36,64 +36,64 @@
 use crate::quota;
 use crate::quota::Account;
 use crate::quota::Cost;
-use crate::share::Cell;
+use crate::share::Allowance;
 
-/// What admission needs to know of a request.
+/// Properties of a request on which admission depends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Request {
-    /// How soon its answer is needed.
+    /// Urgency of the request.
     pub urgency: Urgency,
-    /// The longest wait before its first token, or its answer, that meets the target.
+    /// Longest wait for the first token, or for the answer, that meets the latency target.
     pub target: Duration,
-    /// When the caller's deadline passes.
+    /// Caller's deadline.
     pub deadline: Instant,
-    /// Whether rules and caller let it run later.
+    /// Whether the rules and the caller allow the request to be deferred.
     pub deferrable: bool,
-    /// Its expected work, in the units of the service's capacity.
+    /// Expected work, in the units of the service's capacity.
     pub work: u64,
 }
 
-/// Why a request is refused.
+/// Reason why a request is refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reason {
     /// The organisation reached a limit of its own.
     Limit(quota::Limit),
     /// The service is contended and the organisation has used its share.
     Share,
-    /// The predicted wait passes the latency target.
+    /// The predicted wait exceeds the latency target.
     Target,
-    /// The predicted wait passes the caller's deadline.
+    /// The predicted wait reaches the caller's deadline.
     Deadline,
 }
 
-/// Whether a request is let in.
+/// Admission decision on a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Decision {
-    /// It goes on to an endpoint now.
+    /// The request is sent to an endpoint now.
     Admit,
-    /// It is kept for later.
+    /// The request is deferred.
     Defer,
-    /// It gets its final answer now: not run.
+    /// The request is refused without having run.
     Refuse {
-        /// Why.
+        /// Reason for the refusal.
         reason: Reason,
-        /// When it may come back.
+        /// Time after which the caller may retry.
         retry_after: Duration,
     },
 }
 
-/// Decides on a request: the organisation's limits first, then its share and the wait.
+/// Decides on a request: first by the organisation's limits, then by its share and the predicted wait.
 ///
-/// The path is a handful of atomic operations and depends on no other organisation.
+/// The decision takes a few atomic operations and does not depend on other organisations.
 ///
-/// Failure: refused callers are all told the same moment. Symptom: they come back together and are refused again. Up
-/// to half is added to the time at random, which spreads them over it.
+/// If all refused callers got the same retry time, they would come back together and be refused again. A random part of
+/// up to half of the time is therefore added to it.
 pub fn decide(
     now: Instant,
     request: Request,
     cost: Cost,
     account: &Account,
-    cell: &Cell,
+    share: &Allowance,
     gate: &Gate,
     rng: &mut Pcg64Mcg,
 ) -> Decision {
@@ -104,12 +104,12 @@
         let reason = Reason::Limit(excess.limit);
         return refuse(reason, excess.retry_after, rng);
     }
-    let share = cell.try_take(now, request.work);
-    let decision = gate.weigh(now, request, share);
+    let taken = share.try_take(now, request.work);
+    let decision = gate.decide(now, request, taken);
     if decision != Decision::Admit {
         account.refund(cost);
-        if share.is_ok() {
-            cell.refund(request.work);
+        if taken.is_ok() {
+            share.refund(request.work);
         }
     }
     match decision {
@@ -118,6 +118,7 @@
     }
 }
 
+/// Returns a refusal, with a random part of up to half of `wait` added to its retry time.
 fn refuse(reason: Reason, wait: Duration, rng: &mut Pcg64Mcg) -> Decision {
     let half = u64::try_from(wait.as_micros() / 2).unwrap_or(u64::MAX);
     let spread = Duration::from_micros(rng.random_range(0..=half));
--- a/bergamotshift-limit/src/backoff.rs
+++ b/bergamotshift-limit/src/backoff.rs
@@ -1,15 +1,14 @@
-//! Delays between attempts: exponential, with jitter, from a seeded generator.
+//! Delays between attempts: exponential backoff with jitter from a seeded generator.
 
 use core::time::Duration;
 
 use rand::RngExt;
 use rand_pcg::Pcg64Mcg;
 
-/// Exponential backoff whose upper half is random.
+/// Exponential backoff with jitter in the upper half of each delay.
 ///
-/// Failure: many requests fail at one moment and come back at one moment. Symptom: waves of load at fixed distances.
-/// Half of each delay is random, which spreads the wave over as long as the delay's half; the fixed half keeps an
-/// unlucky draw from sending again at once.
+/// Requests that fail together would otherwise be retried together, in bursts at regular intervals. The random half
+/// spreads the retries; the fixed half prevents an immediate retry.
 ///
 /// ```
 /// use bergamotshift_limit::backoff::Backoff;
@@ -21,9 +20,9 @@
 /// ```
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Backoff {
-    /// The longest delay after the first failure.
+    /// Longest delay after the first failure.
     pub base: Duration,
-    /// The longest delay of all.
+    /// Upper bound of every delay.
     pub cap: Duration,
 }
 
@@ -37,7 +36,7 @@
 }
 
 impl Backoff {
-    /// Returns the longest delay after this many earlier retries.
+    /// Returns the longest delay after `retries` earlier retries.
     pub const fn ceiling(&self, retries: u32) -> Duration {
         const MAX_DOUBLINGS: u32 = 30;
         let doublings = if retries < MAX_DOUBLINGS {
@@ -53,7 +52,7 @@
         }
     }
 
-    /// Draws the delay after this many earlier retries: between half the ceiling and the ceiling.
+    /// Draws the delay after `retries` earlier retries, between half the ceiling and the ceiling.
     pub fn delay(&self, retries: u32, rng: &mut Pcg64Mcg) -> Duration {
         let ceiling = u64::try_from(self.ceiling(retries).as_micros()).unwrap_or(u64::MAX);
         Duration::from_micros(rng.random_range(ceiling / 2..=ceiling))
--- a/bergamotshift-limit/src/bucket.rs
+++ b/bergamotshift-limit/src/bucket.rs
@@ -1,4 +1,4 @@
-//! A lock-free token bucket whose rate may change.
+//! Lock-free token bucket with a variable rate.
 
 use core::sync::atomic::AtomicU64;
 use core::sync::atomic::Ordering::Relaxed;
@@ -10,10 +10,11 @@
 const PICOS_PER_NANO: u64 = 1_000;
 const NANOS_PER_MICRO: u64 = 1_000;
 
-/// Limits units per second, with bursts, in three atomics (the generic cell rate algorithm).
+/// Token bucket that limits units per second and allows bursts, by the generic cell rate algorithm.
 ///
-/// The state is one instant: when all units taken so far are paid for. It lies in the past when the bucket is full.
-/// Any worker may take; only the control thread sets the rate.
+/// The state is a single instant, the algorithm's theoretical arrival time: the time at which all units taken so far are
+/// paid for. It lies in the past when the bucket is full. Any worker may take units; only the control thread sets the
+/// rate.
 ///
 /// ```
 /// use bergamotshift_core::prelude::*;
@@ -27,29 +28,30 @@
 /// ```
 #[derive(Debug)]
 pub struct Bucket {
+    /// Theoretical arrival time, in nanoseconds since the epoch.
     paid_at: AtomicU64,
     picos_per_unit: AtomicU64,
     burst_nanos: AtomicU64,
 }
 
 impl Bucket {
-    /// Makes a full bucket of `rate` units per second that holds `burst` units.
+    /// Creates a full bucket of `rate` units per second that holds `burst` units.
     pub fn new(rate: f64, burst: f64) -> Self {
-        let price = picos_per_unit(rate);
+        let picos = picos_per_unit(rate);
         Self {
             paid_at: AtomicU64::new(0),
-            picos_per_unit: AtomicU64::new(price),
-            burst_nanos: AtomicU64::new(burst_nanos(price, burst)),
+            picos_per_unit: AtomicU64::new(picos),
+            burst_nanos: AtomicU64::new(burst_nanos(picos, burst)),
         }
     }
 
     /// Takes units if the bucket holds them.
     ///
-    /// A cost above the burst is taken from a full bucket, which then stays in debt until it is paid.
+    /// More units than the burst can be taken from a full bucket, which is then in debt.
     ///
     /// # Errors
     ///
-    /// Returns how long it takes until the bucket holds enough.
+    /// Returns the time until the bucket holds enough units.
     pub fn try_take(&self, now: Instant, units: u64) -> Result<(), Duration> {
         let now = nanos(now);
         let cost = self.cost(units);
@@ -65,7 +67,7 @@
         })
     }
 
-    /// Takes units whether or not the bucket holds them.
+    /// Takes units even if the bucket does not hold them.
     pub fn charge(&self, now: Instant, units: u64) {
         let now = nanos(now);
         let cost = self.cost(units);
@@ -73,32 +75,32 @@
             .update(Relaxed, Relaxed, |paid_at| paid_at.max(now).saturating_add(cost));
     }
 
-    /// Gives units back.
+    /// Returns units to the bucket.
     pub fn refund(&self, units: u64) {
         let cost = self.cost(units);
         self.paid_at
             .update(Relaxed, Relaxed, |paid_at| paid_at.saturating_sub(cost));
     }
 
-    /// Returns how long it takes, from `now`, until all units taken are paid for.
+    /// Returns the time from `now` until all units taken are paid for.
     pub fn owed(&self, now: Instant) -> Duration {
         Duration::from_nanos(self.paid_at.load(Relaxed).saturating_sub(nanos(now)))
     }
 
-    /// Returns how many units of those taken are not paid for yet.
+    /// Returns the number of units taken that are not paid for yet.
     pub fn owed_units(&self, now: Instant) -> u64 {
-        let picos = self.owed(now).as_nanos() * u128::from(PICOS_PER_NANO);
-        let price = u128::from(self.picos_per_unit.load(Relaxed).max(1));
-        u64::try_from(picos / price).unwrap_or(u64::MAX)
+        let owed = self.owed(now).as_nanos() * u128::from(PICOS_PER_NANO);
+        let per_unit = u128::from(self.picos_per_unit.load(Relaxed).max(1));
+        u64::try_from(owed / per_unit).unwrap_or(u64::MAX)
     }
 
-    /// Sets how long it takes, from `now`, until all units taken are paid for.
+    /// Sets the time from `now` until all units taken are paid for.
     pub fn set_owed(&self, now: Instant, owed: Duration) {
         let owed = u64::try_from(owed.as_nanos()).unwrap_or(u64::MAX);
         self.paid_at.store(nanos(now).saturating_add(owed), Relaxed);
     }
 
-    /// Changes the rate and the burst; what is owed stays the same number of units.
+    /// Changes the rate and the burst; the debt stays the same in units.
     pub fn set_rate(&self, now: Instant, rate: f64, burst: f64) {
         let new = picos_per_unit(rate);
         let old = self.picos_per_unit.swap(new, Relaxed);
@@ -118,6 +120,7 @@
         });
     }
 
+    /// Returns the time in which the bucket refills by `units`, in nanoseconds.
     fn cost(&self, units: u64) -> u64 {
         let picos = u128::from(self.picos_per_unit.load(Relaxed)) * u128::from(units);
         u64::try_from(picos / u128::from(PICOS_PER_NANO)).unwrap_or(u64::MAX)
@@ -128,16 +131,17 @@
     at.as_micros().saturating_mul(NANOS_PER_MICRO)
 }
 
-/// Returns the price of a unit in time; a rate of nothing makes it longer than any process lives.
+/// Returns the refill time of one unit, in picoseconds; a rate of zero gives a time longer than any process runs.
 fn picos_per_unit(rate: f64) -> u64 {
     if rate > 0.0 {
-        // The conversion saturates, and a price of zero would make the bucket endless.
+        // The conversion saturates; a refill time of zero would remove the limit.
         ((PICOS_PER_SECOND / rate) as u64).max(1)
     } else {
         u64::MAX
     }
 }
 
-fn burst_nanos(price: u64, burst: f64) -> u64 {
-    (price as f64 * burst.max(0.0) / PICOS_PER_NANO as f64) as u64
+/// Returns the refill time of `burst` units, in nanoseconds.
+fn burst_nanos(picos_per_unit: u64, burst: f64) -> u64 {
+    (picos_per_unit as f64 * burst.max(0.0) / PICOS_PER_NANO as f64) as u64
 }
--- a/bergamotshift-limit/src/defer.rs
+++ b/bergamotshift-limit/src/defer.rs
@@ -1,6 +1,6 @@
-//! When a deferred job starts.
+//! Start times of deferred jobs.
 //!
-//! It waits for room that nobody else wants, and no longer than its deadline allows.
+//! A deferred job waits for spare capacity, but no longer than its deadline allows.
 //!
 //! ```
 //! use bergamotshift_core::prelude::*;
@@ -20,61 +20,61 @@
 
 use crate::admission::Gate;
 
-/// A deferred job that waits to start.
+/// Deferred job that has not started yet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Job {
-    /// When it has to be done.
+    /// Time by which the job has to be done.
     pub deadline: Instant,
-    /// How long it is expected to take once it has started.
+    /// Expected run time of the job.
     pub span: Duration,
 }
 
-/// How long deferred jobs hold back.
+/// Parameters for the release of deferred jobs.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Settings {
-    /// The wait of deferred work up to which a service counts as having room.
-    pub room: Duration,
-    /// What is kept before the deadline, as a part of the expected time.
+    /// Longest wait of deferrable work at which a service counts as having spare capacity.
+    pub max_wait: Duration,
+    /// Reserve before the deadline, as a part of the expected run time.
     pub margin: f64,
-    /// The longest time until a job is looked at again.
+    /// Longest time until a job is checked again.
     pub recheck: Duration,
 }
 
 impl Default for Settings {
     fn default() -> Self {
         Self {
-            room: Duration::from_millis(500),
+            max_wait: Duration::from_millis(500),
             margin: 0.5,
             recheck: Duration::from_secs(30),
         }
     }
 }
 
-/// What a waiting job does now.
+/// Decision on a waiting job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Release {
-    /// It starts, with this urgency.
+    /// The job starts now with this urgency.
     Start(Urgency),
-    /// It is looked at again after this time.
+    /// The job is checked again after this time.
     Wait(Duration),
 }
 
-/// Decides on a waiting job.
+/// Decides whether a waiting job starts.
 ///
-/// Failure: the service is full of more urgent work all day, and a job that always yields never starts. Symptom: it
-/// misses its deadline, although it was known for hours. While there is slack it starts only into room; when the
-/// slack is used up it starts as normal work, which waits for urgent work alone.
+/// While there is slack before its deadline, the job starts only if the service has spare capacity. A job that always
+/// yields would miss its deadline on a service that is full of more urgent work, so when the slack is used up, the job
+/// starts with normal urgency and waits only for urgent work.
 pub fn release(now: Instant, job: Job, gate: &Gate, settings: Settings) -> Release {
-    let kept = job.span.mul_f64(1.0 + settings.margin);
+    let reserve = job.span.mul_f64(1.0 + settings.margin);
     let normal = gate.wait(now, Urgency::Normal);
-    let latest = job.deadline - kept - normal;
+    let latest = job.deadline - reserve - normal;
     if now >= latest {
         return Release::Start(Urgency::Normal);
     }
     let wait = gate.wait(now, Urgency::Deferrable);
-    if wait <= settings.room {
+    if wait <= settings.max_wait {
         return Release::Start(Urgency::Deferrable);
     }
-    let until_room = wait.saturating_sub(settings.room);
-    Release::Wait(until_room.min(latest.since(now)).min(settings.recheck))
+    let until_spare = wait.saturating_sub(settings.max_wait);
+    Release::Wait(until_spare.min(latest.since(now)).min(settings.recheck))
 }
--- a/bergamotshift-limit/src/demand.rs
+++ b/bergamotshift-limit/src/demand.rs
@@ -1,18 +1,18 @@
-//! Who asks for how much, here and elsewhere, and what part of a fleet-wide allowance is this entry's.
+//! Demand per organisation across the fleet, and this entry's portion of a fleet-wide allowance.
 //!
-//! No entry asks another before it admits. Each tells the entries of its zone what it is asked for, and zones tell
-//! each other their sums; from that each works out its own portion. The portions of entries with equal views add up
-//! to one.
+//! Entries do not coordinate before they admit a request. Each entry announces its demand to the other entries of its
+//! zone, and zones announce their sums to each other. Every entry computes its own portion from these figures; the
+//! portions of entries with equal views add up to one.
 //!
-//! Failure: zones are cut off from each other, and each believes that the others are asked for nothing. Symptom: an
-//! organisation gets its whole limit in every zone for as long as the cut lasts. A view loses its say with age: from
-//! `fresh` to `horizon` its weight falls from one to nothing, and then the silent zone's equal portion is kept in
-//! reserve. So with `k` groups of zones cut off from each other, the portions add up to at most `1 + (k - 1) × say`, and
-//! the excess of a cut of any length is at most `(k - 1) × (fresh + horizon) / 2` seconds' worth.
+//! A network partition must not give an organisation its whole limit in every zone. The weight of a report therefore
+//! falls from one to zero as its age grows from `fresh` to `horizon`; after that, the silent zone's equal portion is
+//! held in reserve. With `k` groups of zones partitioned from each other, the portions add up to at most
+//! `1 + (k - 1) × weight`, and the excess of a partition of any length is at most `(k - 1) × (fresh + horizon) / 2`
+//! seconds' worth of the limit.
 //!
-//! Failure: demand appears at several entries at once, and each works with its own new demand and the others' old one.
-//! Symptom: each takes the whole allowance until the next gossip. A portion follows only what was told to the others,
-//! so all entries divide by the same figures, one round of gossip late.
+//! When demand appears at several entries at once, an entry that combined its own new demand with the old demand of the
+//! others would take the whole allowance until the next round of gossip. A portion therefore depends only on announced
+//! demand, so that all entries divide by the same figures, one round of gossip late.
 
 use core::time::Duration;
 use std::collections::BTreeMap;
@@ -21,26 +21,26 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Who says so: another entry of this zone, or another zone as a sum.
+/// Source of a demand report.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 #[derive(Serialize, Deserialize)]
 pub enum Origin {
     /// Another entry of the same zone.
     Entry(name::Entry),
-    /// All entries of another zone.
+    /// Another zone, as the sum of its entries.
     Zone(name::Zone),
 }
 
-/// How views age and portions follow demand.
+/// Parameters for the ageing of reports and for the portions.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Settings {
-    /// The age up to which an origin's last word counts in full; some rounds of gossip.
+    /// Age up to which an origin's last report has full weight; a few rounds of gossip.
     pub fresh: Duration,
-    /// The age at which a silent origin's last word counts no longer.
+    /// Age from which an origin's last report has no weight.
     pub horizon: Duration,
-    /// The part of every portion that does not follow demand, so that new demand finds room at once.
+    /// Part of every portion that does not depend on demand, so that new demand can be admitted at once.
     pub floor: f64,
-    /// The time over which demand is averaged.
+    /// Time constant of the demand average.
     pub window: Duration,
 }
 
@@ -55,16 +55,16 @@
     }
 }
 
-/// Units per second asked for, by organisation.
+/// Demand in units per second, by organisation.
 pub type Rates = BTreeMap<name::Organisation, f64>;
 
-/// What an entry last told the others.
+/// Demand that an entry announces to the others.
 #[derive(Clone, Debug, Default, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub struct Announcement {
-    /// What this entry is asked for, for the entries of its zone.
+    /// Demand at this entry, for the other entries of its zone.
     pub entry: Rates,
-    /// What its zone is asked for, for the other zones.
+    /// Demand in the whole zone, for the other zones.
     pub zone: Rates,
 }
 
@@ -77,172 +77,179 @@
     }
 }
 
+/// Last demand report of an origin.
 #[derive(Clone, Debug)]
-struct Heard {
+struct Report {
+    /// Time of the reading.
     at: Instant,
     rates: Rates,
 }
 
-/// What one entry knows of demand.
+/// One entry's view of demand in the fleet.
 #[derive(Clone, Debug)]
 pub struct View {
     settings: Settings,
+    /// Averaged demand at this entry.
     own: Rates,
-    told: Announcement,
-    ticked: Option<Instant>,
-    entries: BTreeMap<name::Entry, Heard>,
-    zones: BTreeMap<name::Zone, Heard>,
+    /// Last announcement, from which portions are computed.
+    announced: Announcement,
+    last_tick: Option<Instant>,
+    entries: BTreeMap<name::Entry, Report>,
+    zones: BTreeMap<name::Zone, Report>,
+    /// Number of other live entries in the zone.
     peers: usize,
-    others: Vec<name::Zone>,
+    /// Other zones, as configured.
+    other_zones: Vec<name::Zone>,
 }
 
 impl View {
-    /// Makes a view of a fleet with these other zones, as configured, and this many other entries in the zone.
-    pub const fn new(settings: Settings, others: Vec<name::Zone>, peers: usize) -> Self {
+    /// Creates a view of a fleet with the given other zones, as configured, and `peers` other entries in this zone.
+    pub const fn new(settings: Settings, other_zones: Vec<name::Zone>, peers: usize) -> Self {
         Self {
             settings,
             own: Rates::new(),
-            told: Announcement::new(),
-            ticked: None,
+            announced: Announcement::new(),
+            last_tick: None,
             entries: BTreeMap::new(),
             zones: BTreeMap::new(),
             peers,
-            others,
+            other_zones,
         }
     }
 
-    /// Sets how many other entries of the zone are alive.
+    /// Sets the number of other live entries in the zone.
     pub const fn set_peers(&mut self, peers: usize) {
         self.peers = peers;
     }
 
-    /// Forgets an entry that left or died.
+    /// Removes an entry that left or failed.
     pub fn remove(&mut self, entry: &name::Entry) {
         self.entries.remove(entry);
     }
 
-    /// Notes what another origin is asked for; `age` is how old the reading is.
+    /// Records the demand reported by another origin; `age` is the age of the reading.
     pub fn observe(&mut self, now: Instant, origin: Origin, age: Duration, rates: Rates) {
         let at = now - age;
         match origin {
-            Origin::Entry(name) => newer(&mut self.entries, name, at, rates),
-            Origin::Zone(name) => newer(&mut self.zones, name, at, rates),
+            Origin::Entry(name) => insert_newer(&mut self.entries, name, at, rates),
+            Origin::Zone(name) => insert_newer(&mut self.zones, name, at, rates),
         }
     }
 
-    /// Folds units asked for since the last call into the averages.
-    pub fn tick(&mut self, now: Instant, asked: impl IntoIterator<Item = (name::Organisation, u64)>) {
-        let span = self.ticked.map(|ticked| now.since(ticked)).unwrap_or_default();
-        self.ticked = Some(now);
+    /// Updates the demand averages with the units requested since the last call.
+    pub fn tick(&mut self, now: Instant, requested: impl IntoIterator<Item = (name::Organisation, u64)>) {
+        let span = self.last_tick.map(|last| now.since(last)).unwrap_or_default();
+        self.last_tick = Some(now);
         if span.is_zero() {
             return;
         }
-        let kept = (-span.as_secs_f64() / self.settings.window.as_secs_f64()).exp();
-        for (organisation, units) in asked {
+        let decay = (-span.as_secs_f64() / self.settings.window.as_secs_f64()).exp();
+        for (organisation, units) in requested {
             let rate = units as f64 / span.as_secs_f64();
             let average = self.own.entry(organisation).or_insert(0.0);
-            *average = *average * kept + rate * (1.0 - kept);
+            *average = *average * decay + rate * (1.0 - decay);
         }
     }
 
-    /// Returns what the others should hear now; portions follow it from the next call on.
+    /// Returns the demand to announce now; portions are computed from it until the next call.
     pub fn announce(&mut self, now: Instant) -> &Announcement {
         let mut zone = self.own.clone();
-        for heard in self.entries.values() {
-            let say = self.say(now, heard);
-            for (organisation, rate) in &heard.rates {
-                *zone.entry(organisation.clone()).or_insert(0.0) += rate * say;
+        for report in self.entries.values() {
+            let weight = self.weight(now, report);
+            for (organisation, rate) in &report.rates {
+                *zone.entry(organisation.clone()).or_insert(0.0) += rate * weight;
             }
         }
         let entry = self.own.clone();
-        self.told = Announcement { entry, zone };
-        &self.told
+        self.announced = Announcement { entry, zone };
+        &self.announced
     }
 
-    /// Adds up what the others said, by organisation.
+    /// Sums the reported demand of the others by organisation.
     ///
-    /// All organisations' portions are then read from one pass over what was heard.
+    /// One pass over the reports serves the portions of all organisations.
     pub fn sums(&self, now: Instant) -> Sums<'_> {
-        let zones = self.others.iter().filter_map(|zone| self.zones.get(zone));
+        let zones = self.other_zones.iter().filter_map(|zone| self.zones.get(zone));
         let entries = self.entries.values();
         Sums {
-            zones: self.side(now, &self.told.zone, self.others.len(), zones),
-            entries: self.side(now, &self.told.entry, self.peers, entries),
+            zones: self.level(now, &self.announced.zone, self.other_zones.len(), zones),
+            entries: self.level(now, &self.announced.entry, self.peers, entries),
             floor: self.settings.floor,
         }
     }
 
-    fn side<'a>(
+    /// Sums the reports of one level; members that did not report count by `other_members` alone.
+    fn level<'a>(
         &self,
         now: Instant,
-        told: &'a Rates,
-        others: usize,
-        heard: impl Iterator<Item = &'a Heard>,
-    ) -> Side<'a> {
+        announced: &'a Rates,
+        other_members: usize,
+        reports: impl Iterator<Item = &'a Report>,
+    ) -> Level<'a> {
         let mut elsewhere: BTreeMap<&name::Organisation, f64> = BTreeMap::new();
-        let mut speaking = 1.0;
-        for heard in heard {
-            let say = self.say(now, heard);
-            speaking += say;
-            for (organisation, rate) in &heard.rates {
-                *elsewhere.entry(organisation).or_insert(0.0) += rate * say;
+        let mut reporting = 1.0;
+        for report in reports {
+            let weight = self.weight(now, report);
+            reporting += weight;
+            for (organisation, rate) in &report.rates {
+                *elsewhere.entry(organisation).or_insert(0.0) += rate * weight;
             }
         }
-        let count = (others + 1) as f64;
-        Side {
-            told,
+        let members = (other_members + 1) as f64;
+        Level {
+            announced,
             elsewhere,
-            count,
-            speaking: speaking.min(count),
+            members,
+            reporting: reporting.min(members),
         }
     }
 
-    /// Returns how much an origin's last word counts: all when fresh, nothing at the horizon.
-    fn say(&self, now: Instant, heard: &Heard) -> f64 {
+    /// Returns the weight of a report: one up to `fresh`, then falling to zero at `horizon`.
+    fn weight(&self, now: Instant, report: &Report) -> f64 {
         let Settings { fresh, horizon, .. } = self.settings;
-        let left = horizon.saturating_sub(now.since(heard.at)).as_secs_f64();
+        let left = horizon.saturating_sub(now.since(report.at)).as_secs_f64();
         let falling = horizon.saturating_sub(fresh).as_secs_f64();
         (left / falling.max(f64::MIN_POSITIVE)).min(1.0)
     }
 }
 
-/// Everybody's demand at one moment, and what portions follow from it.
+/// Demand of the whole fleet at one moment, from which portions are computed.
 #[derive(Clone, Debug)]
 pub struct Sums<'a> {
-    zones: Side<'a>,
-    entries: Side<'a>,
+    zones: Level<'a>,
+    entries: Level<'a>,
     floor: f64,
 }
 
 impl Sums<'_> {
-    /// Returns the whole fleet's demand of an organisation, as far as it is known.
+    /// Returns the known demand of an organisation over the whole fleet.
     pub fn total(&self, organisation: &name::Organisation) -> f64 {
         let (here, elsewhere) = self.zones.demand(organisation);
         here + elsewhere
     }
 
-    /// Returns this entry's portion of an organisation's allowance, between nought and one.
+    /// Returns this entry's portion of an organisation's allowance, from 0 to 1.
     ///
-    /// Silent zones and entries keep theirs in reserve, so that all portions never add up to much more than one.
+    /// The portions of silent zones and entries stay in reserve, so that all portions never add up to much more than one.
     pub fn portion(&self, organisation: &name::Organisation) -> f64 {
-        let zone = self.zones.among_speaking(organisation, self.floor) * self.zones.heard();
+        let zone = self.zones.portion_among_reporting(organisation, self.floor) * self.zones.reporting_part();
         zone * self.within_zone(organisation)
     }
 
-    /// Returns this entry's portion of an organisation's share of what can be reached from here.
+    /// Returns this entry's portion of an organisation's share of the endpoints that can be reached from here.
     ///
-    /// Silent zones get nothing: a zone that is cut off has its own endpoints to itself. Entries of this zone that
-    /// are alive and silent share its endpoints and keep theirs.
-    pub fn reachable(&self, organisation: &name::Organisation) -> f64 {
-        self.zones.among_speaking(organisation, self.floor) * self.within_zone(organisation)
+    /// Silent zones get no portion, because a zone that is cut off serves from its own endpoints. Live but silent entries
+    /// of this zone share its endpoints and keep their portions.
+    pub fn reachable_portion(&self, organisation: &name::Organisation) -> f64 {
+        self.zones.portion_among_reporting(organisation, self.floor) * self.within_zone(organisation)
     }
 
-    /// Returns this entry's part of all demand, for predicting how fast everybody's work grows with its own.
-    pub fn part(&self) -> f64 {
-        let here: f64 = self.entries.told.values().sum();
+    /// Returns this entry's share of all demand, used to predict how fast the fleet's work grows with its own.
+    pub fn demand_share(&self) -> f64 {
+        let here: f64 = self.entries.announced.values().sum();
         let zone = here + self.entries.elsewhere.values().sum::<f64>();
         let all = zone + self.zones.elsewhere.values().sum::<f64>();
-        let members = self.entries.speaking * self.zones.speaking;
+        let members = self.entries.reporting * self.zones.reporting;
         if all > 0.0 {
             here.max(all * self.floor / members) / all
         } else {
@@ -250,44 +257,52 @@
         }
     }
 
+    /// Returns this entry's portion within its zone.
     fn within_zone(&self, organisation: &name::Organisation) -> f64 {
-        self.entries.among_speaking(organisation, self.floor) * self.entries.heard()
+        self.entries.portion_among_reporting(organisation, self.floor) * self.entries.reporting_part()
     }
 }
 
-/// An allowance between this member and others: this zone and other zones, or this entry and others of its zone.
+/// Division of an allowance at one level: among the zones, or among the entries of this zone.
 #[derive(Clone, Debug)]
-struct Side<'a> {
-    told: &'a Rates,
+struct Level<'a> {
+    /// Announced demand of this member.
+    announced: &'a Rates,
+    /// Weighted demand of the other members.
     elsewhere: BTreeMap<&'a name::Organisation, f64>,
-    count: f64,
-    speaking: f64,
+    /// Number of members, this one included.
+    members: f64,
+    /// Sum of the weights of the members that report, this one included.
+    reporting: f64,
 }
 
-impl Side<'_> {
-    /// Returns the part of the allowance that is not kept for silent members.
-    fn heard(&self) -> f64 {
-        self.speaking / self.count
+impl Level<'_> {
+    /// Returns the part of the allowance that is not reserved for silent members.
+    fn reporting_part(&self) -> f64 {
+        self.reporting / self.members
     }
 
+    /// Returns the demand of an organisation at this member and at the others.
     fn demand(&self, organisation: &name::Organisation) -> (f64, f64) {
-        let here = self.told.get(organisation).copied().unwrap_or(0.0);
+        let here = self.announced.get(organisation).copied().unwrap_or(0.0);
         let elsewhere = self.elsewhere.get(organisation).copied().unwrap_or(0.0);
         (here, elsewhere)
     }
 
-    fn among_speaking(&self, organisation: &name::Organisation, floor: f64) -> f64 {
+    /// Returns this member's portion among the members that report.
+    fn portion_among_reporting(&self, organisation: &name::Organisation, floor: f64) -> f64 {
         let (here, elsewhere) = self.demand(organisation);
         let demand = here + elsewhere;
-        let equal = 1.0 / self.speaking;
+        let equal = 1.0 / self.reporting;
         let by_demand = if demand > 0.0 { here / demand } else { equal };
         (1.0 - floor) * by_demand + floor * equal
     }
 }
 
-fn newer<K: Ord>(known: &mut BTreeMap<K, Heard>, key: K, at: Instant, rates: Rates) {
-    let stale = known.get(&key).is_some_and(|heard| heard.at > at);
+/// Stores a report unless a newer one of the same origin is known.
+fn insert_newer<K: Ord>(known: &mut BTreeMap<K, Report>, key: K, at: Instant, rates: Rates) {
+    let stale = known.get(&key).is_some_and(|report| report.at > at);
     if !stale {
-        known.insert(key, Heard { at, rates });
+        known.insert(key, Report { at, rates });
     }
 }
--- a/bergamotshift-limit/src/hedge.rs
+++ b/bergamotshift-limit/src/hedge.rs
@@ -1,4 +1,4 @@
-//! Hedging: a second attempt beside a slow first one.
+//! Hedging: a second attempt in parallel with a slow first one.
 
 use core::sync::atomic::AtomicU64;
 use core::sync::atomic::Ordering::Relaxed;
@@ -8,14 +8,14 @@
 
 use crate::retry::Budget;
 
-/// When a service's requests are hedged.
+/// Hedging parameters of a service.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Settings {
-    /// The share of requests that are answered before a hedge is considered, for instance 0.95.
+    /// Share of requests that are answered before a hedge is considered, for instance 0.95.
     pub quantile: f64,
-    /// The shortest wait before a hedge.
+    /// Shortest wait before a hedge.
     pub floor: Duration,
-    /// The wait assumed before any answer was seen.
+    /// Wait before any answer has been observed.
     pub initial: Duration,
 }
 
@@ -29,37 +29,38 @@
     }
 }
 
-/// What the decision needs to know of a request.
+/// State of a request that may be hedged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Request {
-    /// Whether running it twice is harmless.
+    /// Whether the request is safe to run twice.
     pub repeatable: bool,
-    /// How soon its answer is needed.
+    /// Urgency of the request.
     pub urgency: Urgency,
-    /// How long the first attempt has gone without its first byte.
+    /// Time that the first attempt has waited for its first byte.
     pub waited: Duration,
-    /// Whether a hedge was sent already.
+    /// Whether a hedge has already been sent.
     pub hedged: bool,
-    /// Whether it is suspected of killing endpoints.
+    /// Whether the request is suspected of crashing endpoints.
     pub suspected: bool,
 }
 
-/// Learns how long first bytes take and decides on second attempts.
+/// Tracks the time to the first byte and decides on second attempts.
 ///
-/// The wait follows a quantile by stochastic approximation: each answer moves it up or down by a small part of
-/// itself, in the proportion that leaves it still at the quantile. One atomic holds it, so workers share it freely;
-/// a lost update between two of them costs one sample.
+/// The wait follows a quantile by stochastic approximation: each answer moves it up or down by a small part of itself,
+/// in the proportion that makes the quantile its equilibrium. It is a single atomic, shared by all workers; a lost
+/// update between two workers costs one sample.
 #[derive(Debug)]
 pub struct Hedge {
     settings: Settings,
+    /// Wait before a hedge, in microseconds.
     wait: AtomicU64,
 }
 
-/// Parts of the wait by which one answer at most moves it.
+/// Largest part of the wait by which one answer moves it.
 const STEP: f64 = 1.0 / 16.0;
 
 impl Hedge {
-    /// Makes a hedge that has seen no answer.
+    /// Creates a hedge that has observed no answer.
     pub fn new(settings: Settings) -> Self {
         Self {
             settings,
@@ -67,7 +68,7 @@
         }
     }
 
-    /// Notes how long an unhedged attempt took to its first byte.
+    /// Records the time to the first byte of an unhedged attempt.
     pub fn observe(&self, first_byte: Duration) {
         let wait = self.wait.load(Relaxed) as f64;
         let late = micros(first_byte) as f64 > wait;
@@ -78,14 +79,15 @@
         self.wait.store(moved.max(floor).round() as u64, Relaxed);
     }
 
-    /// Returns how long an attempt may go without its first byte before it is hedged.
+    /// Returns the time that an attempt may wait for its first byte before it is hedged.
     pub fn wait(&self) -> Duration {
         Duration::from_micros(self.wait.load(Relaxed))
     }
 
     /// Returns whether a second attempt starts now, and takes it from the budget.
     ///
-    /// Only repeatable and urgent work is hedged, once. Suspected work is not: it would kill two endpoints at a time.
+    /// Only repeatable, urgent requests are hedged, and only once. A request suspected of crashing endpoints is not
+    /// hedged, because it could crash two at a time.
     pub fn decide(&self, request: Request, budget: &Budget) -> bool {
         let eligible = request.repeatable && !request.hedged && !request.suspected;
         eligible && request.urgency == Urgency::Urgent && request.waited >= self.wait() && budget.try_withdraw()
--- a/bergamotshift-limit/src/lib.rs
+++ b/bergamotshift-limit/src/lib.rs
@@ -1,15 +1,15 @@
 //! Fair sharing, admission, retry budgets, hedging and quarantine without I/O.
 //!
-//! Everything here decides and nothing here acts: events, readings and `now` go in, decisions come out. What a worker
-//! thread touches on a request's path is atomic and takes `&self`; what the control thread folds takes `&mut self`.
-//! [`limiter`] puts limits, shares and admission together for one entry.
+//! Events, readings and the current time go in; decisions come out. Types that worker threads use on the request path
+//! are atomic and take `&self`; types that the control thread updates take `&mut self`. [`limiter`] combines limits,
+//! shares and admission for one entry.
 //!
 //! ```
 //! use bergamotshift_limit::prelude::*;
 //!
 //! let budget = Budget::new(retry::Settings::default());
 //! budget.deposit();
-//! assert!(budget.try_withdraw(), "the reserve lets the first failure be retried");
+//! assert!(budget.try_withdraw(), "the reserve covers a retry of the first failure");
 //! ```
 
 pub mod admission;
--- a/bergamotshift-limit/src/limiter/mod.rs
+++ b/bergamotshift-limit/src/limiter/mod.rs
@@ -1,7 +1,8 @@
-//! Limits, shares and admission of one entry, put together.
+//! Limits, shares and admission of one entry combined.
 //!
-//! The control thread keeps a [`Kernel`]: it follows the configuration, hears load and gossip, and ticks. Workers ask
-//! the [`Table`] that each configuration gives; its cells change under them, the table itself does not.
+//! The control thread keeps a [`Kernel`], which applies the configuration, load readings and the announcements of other
+//! entries. Workers use the [`Table`] that it returns for each configuration. A table is immutable; the control thread
+//! updates the allowances and accounts behind it.
 //!
 //! ```
 //! use bergamotshift_core::prelude::*;
@@ -26,9 +27,9 @@
 //!     work: 100,
 //! };
 //! let mut rng = Pcg64Mcg::new(1);
-//! let mut ask = || table.decide(Instant::ZERO, &hotel, &planner, request, Cost::default(), &mut rng);
-//! assert_eq!(ask(), Some(Decision::Admit));
-//! assert!(matches!(ask(), Some(Decision::Refuse { .. })));
+//! let mut decide = || table.decide(Instant::ZERO, &hotel, &planner, request, Cost::default(), &mut rng);
+//! assert_eq!(decide(), Some(Decision::Admit));
+//! assert!(matches!(decide(), Some(Decision::Refuse { .. })));
 //! ```
 
 mod kernel;
@@ -49,17 +50,17 @@
 use crate::quota::Limits;
 use crate::share;
 
-/// How the parts are set.
+/// Settings of the parts.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Settings {
-    /// How demand is told and aged.
+    /// Demand reports and portions.
     pub demand: demand::Settings,
-    /// How services are shared.
+    /// Shares of services.
     pub share: share::Settings,
-    /// When services count as contended.
+    /// Admission to services.
     pub gate: admission::Settings,
-    /// The age at which load reports say no more than that.
-    pub memory: Duration,
+    /// Age at which a load report counts as at most; older reports are treated as this old.
+    pub max_report_age: Duration,
 }
 
 impl Default for Settings {
@@ -68,61 +69,61 @@
             demand: demand::Settings::default(),
             share: share::Settings::default(),
             gate: admission::Settings::default(),
-            memory: Duration::from_secs(5),
+            max_report_age: Duration::from_secs(5),
         }
     }
 }
 
-/// An organisation, as configured.
+/// Configuration of an organisation.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Organisation {
-    /// Its name.
+    /// Name of the organisation.
     pub name: name::Organisation,
-    /// Its weight against the others.
+    /// Weight relative to the other organisations.
     pub weight: f64,
-    /// What it may use in all.
+    /// Limits over the whole fleet.
     pub limits: Limits,
-    /// The services that it may use.
+    /// Services that the organisation may use.
     pub services: Vec<name::Service>,
 }
 
-/// A service, as configured.
+/// Configuration of a service.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Service {
-    /// Its name.
+    /// Name of the service.
     pub name: name::Service,
-    /// Its latency target.
+    /// Latency target of the service.
     pub target: Duration,
 }
 
-/// What is known of a service's load, some time late.
+/// Load of a service at an earlier time.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Reading {
     /// Units of work per second, over all endpoints that can be reached from here.
     pub capacity: f64,
-    /// The waits then, by [`Urgency`], each including more urgent work.
+    /// Waits at that time, by [`Urgency`], each including more urgent work.
     pub waits: [Duration; 3],
-    /// What of the waits runs at once in free slots and makes nobody wait.
+    /// Part of the waits that runs concurrently in the slots without waiting.
     pub concurrency: Duration,
-    /// How long ago that was.
+    /// Age of the reading.
     pub age: Duration,
 }
 
-/// What an entry, or a zone as a sum, is asked for.
+/// Demand at an entry, or in a zone as a sum.
 #[derive(Clone, Debug, Default, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub struct Demand {
-    /// Requests per second.
+    /// Requests per second, by organisation.
     pub requests: Rates,
-    /// Work per second, by service.
+    /// Work per second, by service and organisation.
     pub work: BTreeMap<name::Service, Rates>,
 }
 
-/// What an entry tells, by who should hear it.
+/// Demand that an entry announces, by recipient.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Announcement {
-    /// For the other entries of its zone.
+    /// Demand at this entry, for the other entries of its zone.
     pub entry: Demand,
-    /// For the other zones.
+    /// Demand in its zone, for the other zones.
     pub zone: Demand,
 }
--- a/bergamotshift-limit/src/limiter/table.rs
+++ b/bergamotshift-limit/src/limiter/table.rs
@@ -1,4 +1,4 @@
-//! What workers ask on a request's path.
+//! Admission decisions for workers, on the request path.
 
 use std::sync::Arc;
 
@@ -12,15 +12,18 @@
 use crate::admission::Request;
 use crate::quota::Account;
 use crate::quota::Cost;
-use crate::share::Cell;
+use crate::share::Allowance;
 
+/// Account and allowances of one organisation.
 #[derive(Clone, Debug)]
 pub(super) struct Row {
     pub(super) account: Arc<Account>,
-    pub(super) cells: FxHashMap<name::Service, Arc<Cell>>,
+    pub(super) allowances: FxHashMap<name::Service, Arc<Allowance>>,
 }
 
-/// One configuration's organisations and services; cheap to clone, and the same whatever the load.
+/// Organisations and services of one configuration.
+///
+/// It is cheap to clone and does not change with the load.
 #[derive(Clone, Debug, Default)]
 pub struct Table {
     pub(super) rows: Arc<FxHashMap<name::Organisation, Row>>,
@@ -28,7 +31,7 @@
 }
 
 impl Table {
-    /// Decides on a request, or returns nothing when the organisation may not use the service.
+    /// Decides on a request; returns `None` if the organisation may not use the service.
     pub fn decide(
         &self,
         now: Instant,
@@ -39,26 +42,26 @@
         rng: &mut Pcg64Mcg,
     ) -> Option<Decision> {
         let row = self.rows.get(organisation)?;
-        let cell = row.cells.get(service)?;
+        let share = row.allowances.get(service)?;
         let gate = self.gates.get(service)?;
-        Some(admission::decide(now, request, cost, &row.account, cell, gate, rng))
+        Some(admission::decide(now, request, cost, &row.account, share, gate, rng))
     }
 
-    /// Corrects an admitted request's expected cost to what it did use.
+    /// Replaces the expected cost of an admitted request by its actual cost.
     pub fn settle(&self, now: Instant, organisation: &name::Organisation, expected: Cost, used: Cost) {
         if let Some(row) = self.rows.get(organisation) {
             row.account.settle(now, expected, used);
         }
     }
 
-    /// Notes that an admitted request ended, so that its place is free at once.
+    /// Records that an admitted request ended, so that its slot counts as free at once.
     pub fn complete(&self, service: &name::Service, urgency: Urgency, work: u64) {
         if let Some(gate) = self.gates.get(service) {
             gate.complete(urgency, work);
         }
     }
 
-    /// Returns a service's gate, for releasing deferred jobs and for metrics.
+    /// Returns the gate of a service, for releasing deferred jobs and for metrics.
     pub fn gate(&self, service: &name::Service) -> Option<&Gate> {
         self.gates.get(service).map(AsRef::as_ref)
     }
--- a/bergamotshift-limit/src/quarantine/mod.rs
+++ b/bergamotshift-limit/src/quarantine/mod.rs
@@ -1,23 +1,24 @@
-//! Quarantine: recognising a request that kills each endpoint it runs on.
+//! Detection and quarantine of requests that crash the endpoints they run on.
 //!
-//! A request that runs on an endpoint when it dies earns a suspicion, kept under its content fingerprint so that the
-//! caller's re-sends count. Suspected work runs alone; after two distinct deaths it is refused for a while. Deaths
-//! that have another explanation do not count: announced ones, and several at once ([`Settings::wave`]).
+//! A request that was running on an endpoint when the endpoint died becomes suspected. Suspicions are kept by content
+//! fingerprint, so that requests sent again by the caller are recognised. Suspected requests run alone; after two
+//! distinct deaths they are refused for some time. Deaths with another explanation do not count: announced deaths, and
+//! correlated ones ([`Settings::correlated_deaths`]).
 //!
-//! The control thread folds deaths into a [`Quarantine`] and publishes a [`Table`]; workers ask the table. Entries
-//! exchange [`Suspicion`]s, whose merge is commutative and idempotent, so any order and repetition will do.
+//! The control thread records deaths in a [`Quarantine`] and publishes a [`Table`] for the workers. Entries exchange
+//! [`Suspicion`]s, whose merge is commutative and idempotent, so their order and repetition do not matter.
 //!
 //! ```
 //! use bergamotshift_core::prelude::*;
-//! use bergamotshift_limit::quarantine::{Death, Quarantine, Settings, Verdict, Instance};
+//! use bergamotshift_limit::quarantine::{Death, Instance, Quarantine, Settings, Verdict};
 //!
-//! let poison = Fingerprint::of("planner-llm", "POST", "/v1/completions", b"{}");
+//! let crashing = Fingerprint::of("planner-llm", "POST", "/v1/completions", b"{}");
 //! let mut quarantine = Quarantine::new(Settings::default());
 //! for (second, vm) in [(1, "vm-1"), (9, "vm-2")] {
 //!     let instance = Instance::new(name::Vm::from(vm), Incarnation::new(1));
-//!     quarantine.record_death(Instant::from_secs(second), Death { instance, announced: false, running: vec![poison] });
+//!     quarantine.record_death(Instant::from_secs(second), Death { instance, announced: false, running: vec![crashing] });
 //! }
-//! let verdict = quarantine.table().verdict(Instant::from_secs(10), poison);
+//! let verdict = quarantine.table().verdict(Instant::from_secs(10), crashing);
 //! assert!(matches!(verdict, Verdict::Refused { .. }));
 //! ```
 
@@ -33,56 +34,58 @@
 use serde::Serialize;
 
 pub use self::record::Attribution;
+use self::record::Correlated;
 use self::record::Record;
-use self::record::Spared;
 pub use self::record::Suspicion;
 pub use self::table::Table;
 pub use self::table::Verdict;
 
-/// One life of an endpoint's VM, the same on every entry.
+/// One incarnation of an endpoint's VM, with the same identity on every entry.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Serialize, Deserialize)]
 pub struct Instance {
-    /// The VM's name.
+    /// Name of the VM.
     pub vm: name::Vm,
-    /// Which life of that name.
+    /// Incarnation of the VM of that name.
     pub incarnation: Incarnation,
 }
 
 impl Instance {
-    /// Makes a instance.
+    /// Creates an instance identity.
     pub const fn new(vm: name::Vm, incarnation: Incarnation) -> Self {
         Self { vm, incarnation }
     }
 }
 
-/// The end of an endpoint, as one entry saw it.
+/// Death of an endpoint, as observed by one entry.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Death {
-    /// Who died.
+    /// Instance that died.
     pub instance: Instance,
-    /// Whether the platform or the endpoint had announced it.
+    /// Whether the platform or the endpoint had announced the death.
     pub announced: bool,
-    /// What ran there by this entry's doing.
+    /// Requests of this entry that were running on the instance.
     pub running: Vec<Fingerprint>,
 }
 
-/// When work is suspected and refused.
+/// Quarantine parameters.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Settings {
-    /// Distinct deaths after which work is refused.
+    /// Number of distinct deaths from which a request is refused.
     pub deaths: usize,
-    /// How long refused work stays refused after its last death.
+    /// Time for which a request is refused after its last death.
     pub hold: Duration,
-    /// How long a death is remembered: the work runs alone until then.
+    /// Time for which a death counts; a suspected request runs alone until then.
     pub memory: Duration,
-    /// Deaths within this time of each other may have one cause.
+    /// Time span within which deaths may have a common cause.
     pub window: Duration,
-    /// This many deaths in the window, not explained by work already suspected, are a wave and do not count.
-    pub wave: usize,
-    /// How many deaths may be forgiven to one request because they lay in a wave.
-    pub pardons: usize,
-    /// Most fingerprints kept; the oldest go first.
+    /// Number of deaths within the window, not explained by requests already suspected, that are treated as correlated.
+    ///
+    /// Correlated deaths do not count.
+    pub correlated_deaths: usize,
+    /// Maximum number of deaths of one request that are forgiven because they were correlated.
+    pub max_forgiven: usize,
+    /// Maximum number of fingerprints; the oldest are evicted first.
     pub capacity: usize,
 }
 
@@ -93,39 +96,43 @@
             hold: Duration::from_mins(10),
             memory: Duration::from_mins(20),
             window: Duration::from_secs(3),
-            wave: 2,
-            pardons: 4,
+            correlated_deaths: 2,
+            max_forgiven: 4,
             capacity: 4_096,
         }
     }
 }
 
 impl Settings {
-    /// Returns how long a death is kept: it counts for `memory`, and may be the first of a refusal that lasts `hold`.
+    /// Returns the time for which a death is stored.
+    ///
+    /// A death counts for `memory` and may then still be the first one of a refusal that lasts `hold`.
     fn lifetime(&self) -> Duration {
         self.memory + self.hold
     }
 }
 
+/// Death that may still prove to be correlated.
 #[derive(Clone, Debug)]
-struct Recent {
+struct RecentDeath {
     at: Instant,
     instance: Instance,
+    /// Whether a request that was already suspected was running on the instance.
     explained: bool,
     running: BTreeSet<Fingerprint>,
 }
 
-/// Folds deaths into suspicions.
+/// Suspicions derived from the deaths of endpoints.
 #[derive(Clone, Debug)]
 pub struct Quarantine {
     settings: Settings,
     records: BTreeMap<Fingerprint, Record>,
-    recent: Vec<Recent>,
+    recent: Vec<RecentDeath>,
     announced: BTreeMap<Instance, Instant>,
 }
 
 impl Quarantine {
-    /// Makes a quarantine that suspects nothing.
+    /// Creates a quarantine without suspicions.
     pub const fn new(settings: Settings) -> Self {
         Self {
             settings,
@@ -135,12 +142,12 @@
         }
     }
 
-    /// Notes the end of an endpoint; `running` is empty when nothing of this entry ran there.
+    /// Records the death of an endpoint; `running` is empty if no request of this entry was running there.
     ///
-    /// Deaths that hit no work of this entry belong here too: they show that a wave is under way.
+    /// Deaths without requests of this entry have to be recorded too, because they help to recognise correlated deaths.
     ///
-    /// Failure: one request crashes whatever runs it, and its caller sends it again. Symptom: endpoints die one after
-    /// the other until none is left. Two distinct deaths end it, counted by content and shared between entries.
+    /// A request that crashes every endpoint, sent again and again by its caller, would bring down one endpoint after the
+    /// other until none is left. It is refused after two distinct deaths, counted by content and shared between entries.
     pub fn record_death(&mut self, now: Instant, death: Death) {
         self.expire(now);
         if death.announced {
@@ -151,20 +158,20 @@
             return;
         }
         let running = death.running.into_iter().collect();
-        self.note(now, &death.instance, running);
+        self.add_death(now, &death.instance, running);
         self.evict();
     }
 
-    /// Notes that an endpoint's end was announced; deaths already counted for it count no longer.
+    /// Records that the end of an instance was announced; deaths already counted for it no longer count.
     ///
-    /// The platform's list lags, so the notice may be heard after the connections broke.
+    /// The platform's list lags, so the notice may arrive after the connections broke.
     pub fn announce(&mut self, now: Instant, instance: Instance) {
-        self.pardon(&instance);
+        self.mark_announced(&instance);
         self.recent.retain(|recent| recent.instance != instance);
         self.announced.insert(instance, now);
     }
 
-    /// Merges what another entry suspects.
+    /// Merges the suspicions of another entry.
     pub fn merge(&mut self, now: Instant, suspicions: &[Suspicion]) {
         for suspicion in suspicions {
             let record = self.records.entry(suspicion.fingerprint).or_default();
@@ -173,45 +180,46 @@
         self.expire(now);
         for instance in self.announced.keys() {
             for record in self.records.values_mut() {
-                record.pardon(instance);
+                record.mark_announced(instance);
             }
         }
         self.evict();
     }
 
-    /// Returns what other entries should know.
+    /// Returns the suspicions to send to other entries.
     pub fn suspicions(&self, now: Instant) -> Vec<Suspicion> {
-        let spared = self.spared();
-        let export = |(fingerprint, record): (&Fingerprint, &Record)| record.export(*fingerprint, now, &spared);
+        let correlated = self.correlated();
+        let export = |(fingerprint, record): (&Fingerprint, &Record)| record.export(*fingerprint, now, &correlated);
         self.records.iter().map(export).collect()
     }
 
-    /// Returns the table that workers ask.
+    /// Returns the table for the workers.
     pub fn table(&self) -> Table {
-        Table::new(&self.settings, &self.records, &self.spared())
+        Table::new(&self.settings, &self.records, &self.correlated())
     }
 
-    /// Forgets what no verdict depends on any longer.
+    /// Removes state that no verdict depends on any more.
     pub fn expire(&mut self, now: Instant) {
         let lifetime = self.settings.lifetime();
         self.records.retain(|_, record| record.expire(now, lifetime));
-        self.settle(now);
+        self.forgive_settled(now);
         self.announced.retain(|_, at| now.since(*at) <= lifetime);
     }
 
-    fn note(&mut self, now: Instant, instance: &Instance, running: BTreeSet<Fingerprint>) {
+    /// Adds an unannounced death to the recent deaths and to the records of the requests that were running.
+    fn add_death(&mut self, now: Instant, instance: &Instance, running: BTreeSet<Fingerprint>) {
         let explains = |fingerprint| {
             let record = self.records.get(fingerprint);
-            record.is_some_and(|record| record.counts_beside(instance))
+            record.is_some_and(|record| record.has_other_counted(instance))
         };
         let explained = running.iter().any(explains);
-        // One death is reported once for each request that ran there, by several threads and entries.
+        // Several threads and entries report the same death, once for each request that was running.
         if let Some(known) = self.recent.iter_mut().find(|recent| recent.instance == *instance) {
             known.running.extend(running.iter().copied());
             known.explained |= explained;
         } else {
             let running = running.clone();
-            self.recent.push(Recent {
+            self.recent.push(RecentDeath {
                 at: now,
                 instance: instance.clone(),
                 explained,
@@ -219,23 +227,26 @@
             });
         }
         for fingerprint in running {
-            self.records.entry(fingerprint).or_default().count(now, instance);
+            self.records.entry(fingerprint).or_default().add(now, instance);
         }
     }
 
-    /// Returns the recent deaths that have a common cause, as far as is known by now.
+    /// Returns the recent deaths that appear correlated so far.
     ///
-    /// Failure: a zone is lost without notice and each request there is next to a death, or to two when it was moved
-    /// within the zone. Symptom: innocent requests refused. Deaths of endpoints that ran nothing suspected cannot be
-    /// one request's doing, so two of them in a window show another cause. Two poisonous requests that start in the
-    /// same window look alike; the number of pardons bounds what they cost.
+    /// When a zone is lost without notice, each request there is involved in one death, or in two if it was moved within
+    /// the zone, and would be refused without fault. Endpoints that ran no suspected request cannot all have died because
+    /// of one request, so two such deaths in a window indicate another cause. Two crashing requests that start in the same
+    /// window look alike; `max_forgiven` bounds the number of endpoints that they crash.
     ///
-    /// Failure: an innocent request reports its endpoint's death before the guilty one that ran there too. Symptom: the
-    /// death looks unexplained, two of them look like a wave, and the guilty one goes on to kill a third endpoint. So
-    /// deaths are spared for the time being, and forgiven for good when their reports must be in.
-    fn spared(&self) -> Spared {
+    /// This is provisional: if a harmless request reports the death of its endpoint before the crashing request that ran
+    /// there too, the death first looks unexplained, and two of them look correlated. Deaths are forgiven permanently only
+    /// when all their reports must have arrived; otherwise the crashing request would bring down a third endpoint.
+    fn correlated(&self) -> Correlated {
         let Settings {
-            window, wave, pardons, ..
+            window,
+            correlated_deaths,
+            max_forgiven,
+            ..
         } = self.settings;
         let mut instances = BTreeSet::new();
         let (mut first, mut marked, mut unexplained) = (0, 0, 0);
@@ -245,38 +256,43 @@
                 unexplained -= usize::from(!self.recent[first].explained);
                 first += 1;
             }
-            if unexplained >= wave {
+            if unexplained >= correlated_deaths {
                 let within = &self.recent[first.max(marked)..=index];
                 instances.extend(within.iter().map(|recent| recent.instance.clone()));
                 marked = index + 1;
             }
         }
-        Spared { instances, pardons }
+        Correlated {
+            instances,
+            max_forgiven,
+        }
     }
 
-    /// Forgives for good what still lies in a wave when nothing more is to be heard of it.
-    fn settle(&mut self, now: Instant) {
+    /// Forgives deaths permanently that still appear correlated when no more reports of them are expected.
+    fn forgive_settled(&mut self, now: Instant) {
         let settled = self.settings.window * 2;
         if self.recent.iter().all(|recent| now.since(recent.at) <= settled) {
             return;
         }
-        let spared = self.spared();
+        let correlated = self.correlated();
         let old = self.recent.extract_if(.., |recent| now.since(recent.at) > settled);
-        for recent in old.filter(|recent| spared.instances.contains(&recent.instance)) {
+        for recent in old.filter(|recent| correlated.instances.contains(&recent.instance)) {
             for fingerprint in &recent.running {
                 if let Some(record) = self.records.get_mut(fingerprint) {
-                    record.forgive(&recent.instance, self.settings.pardons);
+                    record.forgive(&recent.instance, self.settings.max_forgiven);
                 }
             }
         }
     }
 
-    fn pardon(&mut self, instance: &Instance) {
+    /// Marks the death of an instance as announced in all records.
+    fn mark_announced(&mut self, instance: &Instance) {
         for record in self.records.values_mut() {
-            record.pardon(instance);
+            record.mark_announced(instance);
         }
     }
 
+    /// Removes the oldest records beyond the capacity.
     fn evict(&mut self) {
         while self.records.len() > self.settings.capacity {
             let oldest = self.records.iter().min_by_key(|(_, record)| record.latest());
--- a/bergamotshift-limit/src/quarantine/record.rs
+++ b/bergamotshift-limit/src/quarantine/record.rs
@@ -1,4 +1,4 @@
-//! What is held against one request.
+//! Deaths in which one request was involved.
 
 use core::time::Duration;
 use std::collections::BTreeMap;
@@ -10,99 +10,106 @@
 
 use super::Instance;
 
-/// Whether a death counts against the work that ran there.
+/// Attribution of a death to the requests that were running there.
 ///
-/// The order is the merge: the higher attribution wins, so a pardon reaches every entry whatever the order of messages.
+/// On a merge, the higher attribution wins, so a death that does not count reaches every entry in any order of messages.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 #[derive(Serialize, Deserialize)]
 pub enum Attribution {
-    /// It counts.
+    /// The death counts.
     Counted,
-    /// It lay in a wave and does not count.
+    /// The death was correlated with others and does not count.
     Forgiven,
-    /// It was announced and does not count.
+    /// The death was announced and does not count.
     Announced,
 }
 
-/// What one entry tells others about one request.
+/// Suspicion of one request, as entries exchange it.
 ///
-/// Deaths go with their age, since every process counts its time from an epoch of its own.
+/// Deaths carry their age, because every process has its own epoch.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Suspicion {
-    /// Which request.
+    /// Fingerprint of the request.
     pub fingerprint: Fingerprint,
-    /// Who died while it ran there, how long ago, and whether that counts.
+    /// Instances that died while the request was running there, with the age and the attribution of each death.
     pub deaths: Vec<(Instance, Duration, Attribution)>,
 }
 
-/// Deaths that lie in a wave, as far as is known by now.
+/// Recent deaths that appear correlated so far.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Spared {
+pub(super) struct Correlated {
     pub(super) instances: BTreeSet<Instance>,
-    pub(super) pardons: usize,
+    /// Maximum number of deaths forgiven to one request.
+    pub(super) max_forgiven: usize,
 }
 
+/// Deaths in which one request was involved.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(super) struct Record {
     deaths: BTreeMap<Instance, (Instant, Attribution)>,
 }
 
 impl Record {
-    pub(super) fn count(&mut self, now: Instant, instance: &Instance) {
+    /// Adds a death that counts, unless it is already known.
+    pub(super) fn add(&mut self, now: Instant, instance: &Instance) {
         self.deaths
             .entry(instance.clone())
             .or_insert((now, Attribution::Counted));
     }
 
-    /// Returns how many deaths count that lie within `memory` of the latest.
-    pub(super) fn counted(&self, memory: Duration, spared: &Spared) -> usize {
-        let latest = self.latest_counted(spared).unwrap_or_default();
+    /// Returns the number of counted deaths within `memory` of the latest one.
+    pub(super) fn count(&self, memory: Duration, correlated: &Correlated) -> usize {
+        let latest = self.latest_counted(correlated).unwrap_or_default();
         let recent = |at: &Instant| latest.since(*at) <= memory;
-        self.counting(spared).filter(recent).count()
+        self.counted(correlated).filter(recent).count()
     }
 
-    /// Returns the instant of the latest death that counts.
-    pub(super) fn latest_counted(&self, spared: &Spared) -> Option<Instant> {
-        self.counting(spared).max()
+    /// Returns the time of the latest counted death.
+    pub(super) fn latest_counted(&self, correlated: &Correlated) -> Option<Instant> {
+        self.counted(correlated).max()
     }
 
-    /// Returns whether a death of somebody else counts.
-    pub(super) fn counts_beside(&self, instance: &Instance) -> bool {
+    /// Returns whether the death of another instance counts.
+    pub(super) fn has_other_counted(&self, instance: &Instance) -> bool {
         let counts = |(other, (_, attribution)): (&Instance, &(Instant, Attribution))| {
             other != instance && *attribution == Attribution::Counted
         };
         self.deaths.iter().any(counts)
     }
 
-    fn counting(&self, spared: &Spared) -> impl Iterator<Item = Instant> {
-        // What may yet be forgiven to one request is bounded as what is.
-        let sparing = self.with(Attribution::Forgiven).count() < spared.pardons;
+    /// Returns the times of the counted deaths.
+    fn counted(&self, correlated: &Correlated) -> impl Iterator<Item = Instant> {
+        // The limit of forgiven deaths also applies to those that may still be forgiven.
+        let may_forgive = self.times(Attribution::Forgiven).count() < correlated.max_forgiven;
         let deaths = self.deaths.iter();
-        let counting = deaths.filter(move |(instance, (_, attribution))| {
-            *attribution == Attribution::Counted && !(sparing && spared.instances.contains(instance))
+        let counted = deaths.filter(move |(instance, (_, attribution))| {
+            *attribution == Attribution::Counted && !(may_forgive && correlated.instances.contains(instance))
         });
-        counting.map(|(_, (at, _))| *at)
+        counted.map(|(_, (at, _))| *at)
     }
 
+    /// Returns the time of the latest death.
     pub(super) fn latest(&self) -> Option<Instant> {
         self.deaths.values().map(|(at, _)| *at).max()
     }
 
-    /// Forgives one death unless too many were forgiven before.
-    pub(super) fn forgive(&mut self, instance: &Instance, pardons: usize) {
-        if self.with(Attribution::Forgiven).count() < pardons {
+    /// Forgives one death unless `max_forgiven` deaths are already forgiven.
+    pub(super) fn forgive(&mut self, instance: &Instance, max_forgiven: usize) {
+        if self.times(Attribution::Forgiven).count() < max_forgiven {
             self.raise(instance, Attribution::Forgiven);
         }
     }
 
-    pub(super) fn pardon(&mut self, instance: &Instance) {
+    /// Marks one death as announced.
+    pub(super) fn mark_announced(&mut self, instance: &Instance) {
         self.raise(instance, Attribution::Announced);
     }
 
+    /// Merges the deaths that another entry knows of.
     pub(super) fn merge(&mut self, now: Instant, other: &Suspicion, lifetime: Duration) {
         for (instance, age, attribution) in &other.deaths {
-            // A death that is forgotten here must not come back from an entry that forgets it a moment later.
+            // A death that has expired here must not come back from an entry on which it expires a moment later.
             if *age > lifetime {
                 continue;
             }
@@ -113,9 +120,10 @@
         }
     }
 
-    pub(super) fn export(&self, fingerprint: Fingerprint, now: Instant, spared: &Spared) -> Suspicion {
-        // Whether these count is settled in some seconds; what was once told as forgiven could not be taken back.
-        let settled = |(instance, _): &(&Instance, &(Instant, Attribution))| !spared.instances.contains(instance);
+    /// Returns the suspicion to send to other entries.
+    pub(super) fn export(&self, fingerprint: Fingerprint, now: Instant, correlated: &Correlated) -> Suspicion {
+        // The attribution of correlated deaths is settled within seconds; one announced as forgiven could not be revoked.
+        let settled = |(instance, _): &(&Instance, &(Instant, Attribution))| !correlated.instances.contains(instance);
         let death = |(instance, (at, attribution)): (&Instance, &(Instant, Attribution))| {
             (instance.clone(), now.since(*at), *attribution)
         };
@@ -123,19 +131,21 @@
         Suspicion { fingerprint, deaths }
     }
 
-    /// Forgets old deaths and returns whether any is left.
+    /// Removes expired deaths and returns whether any remain.
     pub(super) fn expire(&mut self, now: Instant, lifetime: Duration) -> bool {
         self.deaths.retain(|_, (at, _)| now.since(*at) <= lifetime);
         !self.deaths.is_empty()
     }
 
+    /// Raises the attribution of a death.
     fn raise(&mut self, instance: &Instance, to: Attribution) {
         if let Some((_, attribution)) = self.deaths.get_mut(instance) {
             *attribution = to.max(*attribution);
         }
     }
 
-    fn with(&self, wanted: Attribution) -> impl Iterator<Item = Instant> {
+    /// Returns the times of the deaths with an attribution.
+    fn times(&self, wanted: Attribution) -> impl Iterator<Item = Instant> {
         let matching = move |(at, attribution): &(Instant, Attribution)| (*attribution == wanted).then_some(*at);
         self.deaths.values().filter_map(matching)
     }
--- a/bergamotshift-limit/src/quarantine/table.rs
+++ b/bergamotshift-limit/src/quarantine/table.rs
@@ -1,4 +1,4 @@
-//! The immutable view that workers ask on a request's path.
+//! Immutable verdicts for workers, on the request path.
 
 use core::time::Duration;
 use std::collections::BTreeMap;
@@ -6,70 +6,77 @@
 use bergamotshift_core::prelude::*;
 
 use super::Settings;
+use super::record::Correlated;
 use super::record::Record;
-use super::record::Spared;
 
-/// How a request may run.
+/// Restrictions on how a request may run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// It runs as any other.
+    /// The request runs without restrictions.
     Clear,
-    /// It runs alone on one endpoint, so that its death would harm and accuse nobody else.
+    /// The request runs alone on an endpoint, so that a crash affects and casts suspicion on no other request.
     Alone,
-    /// It is refused; the caller may come back after this time.
+    /// The request is refused; the caller may retry after this time.
     Refused {
-        /// What is left of the refusal.
+        /// Remaining time of the refusal.
         retry_after: Duration,
     },
 }
 
+/// Restrictions on one request.
 #[derive(Clone, Copy, Debug)]
 struct Row {
-    refused: Option<Instant>,
-    alone: Instant,
+    refused_until: Option<Instant>,
+    alone_until: Instant,
 }
 
-/// The suspected work, sorted by fingerprint; nearly always empty.
+/// Suspected requests, sorted by fingerprint; nearly always empty.
 #[derive(Clone, Debug, Default)]
 pub struct Table {
     rows: Vec<(Fingerprint, Row)>,
 }
 
 impl Table {
-    pub(super) fn new(settings: &Settings, records: &BTreeMap<Fingerprint, Record>, spared: &Spared) -> Self {
+    pub(super) fn new(settings: &Settings, records: &BTreeMap<Fingerprint, Record>, correlated: &Correlated) -> Self {
         let row = |(fingerprint, record): (&Fingerprint, &Record)| {
-            let latest = record.latest_counted(spared)?;
-            let condemned = record.counted(settings.memory, spared) >= settings.deaths;
-            let refused = condemned.then(|| latest + settings.hold);
-            let alone = latest + settings.memory;
-            Some((*fingerprint, Row { refused, alone }))
+            let latest = record.latest_counted(correlated)?;
+            let is_refused = record.count(settings.memory, correlated) >= settings.deaths;
+            let refused_until = is_refused.then(|| latest + settings.hold);
+            let alone_until = latest + settings.memory;
+            Some((
+                *fingerprint,
+                Row {
+                    refused_until,
+                    alone_until,
+                },
+            ))
         };
         Self {
             rows: records.iter().filter_map(row).collect(),
         }
     }
 
-    /// Returns how a request may run.
+    /// Returns the restrictions on a request.
     pub fn verdict(&self, now: Instant, fingerprint: Fingerprint) -> Verdict {
         let Ok(index) = self.rows.binary_search_by_key(&fingerprint, |(key, _)| *key) else {
             return Verdict::Clear;
         };
         let (_, row) = self.rows[index];
-        match row.refused {
+        match row.refused_until {
             Some(until) if now < until => Verdict::Refused {
                 retry_after: until.since(now),
             },
-            _ if now < row.alone => Verdict::Alone,
+            _ if now < row.alone_until => Verdict::Alone,
             _ => Verdict::Clear,
         }
     }
 
-    /// Returns whether nothing is suspected, so that no fingerprint need be computed early.
+    /// Returns whether no request is suspected, in which case no fingerprint has to be computed early.
     pub const fn is_empty(&self) -> bool {
         self.rows.is_empty()
     }
 
-    /// Returns how many requests are suspected or refused.
+    /// Returns the number of suspected or refused requests.
     pub const fn len(&self) -> usize {
         self.rows.len()
     }
--- a/bergamotshift-limit/src/quota/account.rs
+++ b/bergamotshift-limit/src/quota/account.rs
@@ -1,4 +1,4 @@
-//! One organisation's use at this entry, asked on each request's path.
+//! One organisation's use of its limits at this entry, on the request path.
 
 use core::sync::atomic::AtomicU64;
 use core::sync::atomic::Ordering::Relaxed;
@@ -14,13 +14,16 @@
 
 const SECONDS_PER_HOUR: f64 = 3_600.0;
 
-/// One organisation's buckets at this entry; every method takes `&self` and is lock-free.
+/// Token buckets of one organisation at this entry.
+///
+/// All methods take `&self` and are lock-free.
 #[derive(Debug)]
 pub struct Account {
     requests: Option<Bucket>,
     tokens: Option<Bucket>,
     spend: Option<Bucket>,
-    asked: AtomicU64,
+    /// Requests since the last tick, refused ones included.
+    requested: AtomicU64,
 }
 
 impl Account {
@@ -30,23 +33,23 @@
             requests: bucket(limits.requests_per_second),
             tokens: bucket(limits.tokens_per_second),
             spend: bucket(limits.spend_per_hour.map(|_| 0.0)),
-            asked: AtomicU64::new(0),
+            requested: AtomicU64::new(0),
         }
     }
 
-    /// Takes one request of this cost from all limits, or from none.
+    /// Charges one request of this cost to all limits, or to none of them.
     ///
     /// # Errors
     ///
-    /// Returns the first limit that is reached and when the request would pass.
+    /// Returns the first limit that is reached and the time until the request would be admitted.
     pub fn admit(&self, now: Instant, cost: Cost) -> Result<(), Excess> {
-        self.asked.fetch_add(1, Relaxed);
-        let steps = self.steps(cost);
-        for (index, (limit, bucket, units)) in steps.iter().enumerate() {
+        self.requested.fetch_add(1, Relaxed);
+        let charges = self.charges(cost);
+        for (index, (limit, bucket, units)) in charges.iter().enumerate() {
             let Err(retry_after) = take(*bucket, now, *units) else {
                 continue;
             };
-            for (_, bucket, units) in &steps[..index] {
+            for (_, bucket, units) in &charges[..index] {
                 refund(*bucket, *units);
             }
             let limit = *limit;
@@ -55,41 +58,43 @@
         Ok(())
     }
 
-    /// Gives back an admitted request that was then refused or deferred.
+    /// Gives back the cost of an admitted request that was then refused or deferred.
     pub fn refund(&self, cost: Cost) {
-        for (_, bucket, units) in self.steps(cost) {
+        for (_, bucket, units) in self.charges(cost) {
             refund(bucket, units);
         }
     }
 
-    /// Corrects an admitted request's expected cost to what it did use.
+    /// Replaces the expected cost of an admitted request by its actual cost.
     pub fn settle(&self, now: Instant, expected: Cost, used: Cost) {
         settle(self.tokens.as_ref(), now, expected.tokens, used.tokens);
         let spend = (expected.spend.as_micros(), used.spend.as_micros());
         settle(self.spend.as_ref(), now, spend.0, spend.1);
     }
 
-    /// Returns the requests asked for since the last call, refused ones included.
-    pub(super) fn drain_asked(&self) -> u64 {
-        self.asked.swap(0, Relaxed)
+    /// Returns the number of requests since the last call, refused ones included.
+    pub(super) fn take_requested(&self) -> u64 {
+        self.requested.swap(0, Relaxed)
     }
 
-    /// Sets the buckets to this portion of the limits' rates; bursts are kept whole.
+    /// Sets the buckets to this portion of the limits' rates, with the whole burst.
     ///
-    /// Failure: a caller that was quiet comes to one entry, whose portion is small until the others have heard of it.
-    /// Symptom: it is refused far below its limit. Each entry holds the whole burst for that time. What is taken stays
-    /// owed in units, so all entries together give one burst each, once, and the limit's rate after that.
-    pub(super) fn set(&self, now: Instant, limits: &Limits, portion: f64) {
+    /// When an idle organisation sends requests to one entry, that entry's portion is small until the others have received
+    /// its announcement. Each entry therefore holds the whole burst; otherwise the organisation would be refused far below
+    /// its limit. Debt is kept in units, so that every entry grants at most one burst, once, and the fleet grants the
+    /// limit's rate after that.
+    pub(super) fn set_portion(&self, now: Instant, limits: &Limits, portion: f64) {
         let seconds = limits.burst_seconds();
         let requests = limits.requests_per_second.unwrap_or(0.0);
-        set(self.requests.as_ref(), now, requests * portion, limits.burst.max(1.0));
+        set_rate(self.requests.as_ref(), now, requests * portion, limits.burst.max(1.0));
         let tokens = limits.tokens_per_second.unwrap_or(0.0);
-        set(self.tokens.as_ref(), now, tokens * portion, tokens * seconds);
+        set_rate(self.tokens.as_ref(), now, tokens * portion, tokens * seconds);
         let spend = limits.spend_per_hour.unwrap_or_default().as_micros() as f64 / SECONDS_PER_HOUR;
-        set(self.spend.as_ref(), now, spend * portion, spend * seconds);
+        set_rate(self.spend.as_ref(), now, spend * portion, spend * seconds);
     }
 
-    const fn steps(&self, cost: Cost) -> [(Limit, Option<&Bucket>, u64); 3] {
+    /// Returns each limit with its bucket and the units that a request of this cost takes from it.
+    const fn charges(&self, cost: Cost) -> [(Limit, Option<&Bucket>, u64); 3] {
         [
             (Limit::Requests, self.requests.as_ref(), 1),
             (Limit::Tokens, self.tokens.as_ref(), cost.tokens),
@@ -117,7 +122,7 @@
     }
 }
 
-fn set(bucket: Option<&Bucket>, now: Instant, rate: f64, burst: f64) {
+fn set_rate(bucket: Option<&Bucket>, now: Instant, rate: f64, burst: f64) {
     if let Some(bucket) = bucket {
         bucket.set_rate(now, rate, burst);
     }
--- a/bergamotshift-limit/src/quota/ledger.rs
+++ b/bergamotshift-limit/src/quota/ledger.rs
@@ -1,4 +1,4 @@
-//! All organisations' accounts, kept by the control thread.
+//! Accounts of all organisations, on the control thread.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -15,22 +15,24 @@
     account: Arc<Account>,
 }
 
-/// Sets every account to this entry's portion of its organisation's limits.
+/// Accounts of all organisations, each set to this entry's portion of the limits.
 #[derive(Debug)]
 pub struct Ledger {
-    /// What is known of demand, in requests per second.
+    /// View of the demand in the fleet, in requests per second.
     pub view: View,
     rows: BTreeMap<name::Organisation, Row>,
 }
 
 impl Ledger {
-    /// Makes a ledger without organisations.
+    /// Creates a ledger without organisations.
     pub const fn new(view: View) -> Self {
         let rows = BTreeMap::new();
         Self { view, rows }
     }
 
-    /// Opens an organisation's account, or returns it with new limits; use so far is kept if the same limits are set.
+    /// Opens an organisation's account, or returns it with new limits.
+    ///
+    /// Past use is kept if the new limits are of the same kinds as before.
     pub fn open(&mut self, now: Instant, organisation: name::Organisation, limits: Limits) -> Arc<Account> {
         let portion = self.view.sums(now).portion(&organisation);
         let known = self
@@ -38,7 +40,7 @@
             .get(&organisation)
             .filter(|row| same_kinds(&row.limits, &limits));
         let account = known.map_or_else(|| Arc::new(Account::new(&limits)), |row| Arc::clone(&row.account));
-        account.set(now, &limits, portion);
+        account.set_portion(now, &limits, portion);
         let row = Row {
             limits,
             account: Arc::clone(&account),
@@ -47,29 +49,29 @@
         account
     }
 
-    /// Closes the accounts of organisations that are no longer configured.
+    /// Keeps only the accounts of organisations for which `keep` returns `true`.
     pub fn retain(&mut self, keep: impl Fn(&name::Organisation) -> bool) {
         self.rows.retain(|organisation, _| keep(organisation));
     }
 
-    /// Folds what was asked for since the last call and sets all accounts to their portions.
+    /// Records the demand since the last call and sets all accounts to their portions.
     pub fn tick(&mut self, now: Instant) {
-        let asked = self
+        let requested = self
             .rows
             .iter()
-            .map(|(name, row)| (name.clone(), row.account.drain_asked()));
-        self.view.tick(now, asked);
+            .map(|(name, row)| (name.clone(), row.account.take_requested()));
+        self.view.tick(now, requested);
         let sums = self.view.sums(now);
         for (organisation, row) in &self.rows {
             let portion = sums.portion(organisation);
-            row.account.set(now, &row.limits, portion);
+            row.account.set_portion(now, &row.limits, portion);
         }
     }
 }
 
-/// Returns whether both limit the same things, so that one account serves for both.
-const fn same_kinds(one: &Limits, other: &Limits) -> bool {
-    one.requests_per_second.is_some() == other.requests_per_second.is_some()
-        && one.tokens_per_second.is_some() == other.tokens_per_second.is_some()
-        && one.spend_per_hour.is_some() == other.spend_per_hour.is_some()
+/// Returns whether both set limits of the same kinds, so that one account serves both.
+const fn same_kinds(left: &Limits, right: &Limits) -> bool {
+    left.requests_per_second.is_some() == right.requests_per_second.is_some()
+        && left.tokens_per_second.is_some() == right.tokens_per_second.is_some()
+        && left.spend_per_hour.is_some() == right.spend_per_hour.is_some()
 }
--- a/bergamotshift-limit/src/quota/mod.rs
+++ b/bergamotshift-limit/src/quota/mod.rs
@@ -1,7 +1,7 @@
-//! Limits of one organisation: requests, tokens and spend, held across all entries.
+//! Limits on requests, tokens and spend of an organisation, enforced across all entries.
 //!
-//! Workers ask an [`Account`]; the control thread keeps a [`Ledger`] of accounts and sets each to this entry's portion
-//! of the organisation's limits (see [`crate::demand`]).
+//! Workers charge requests to an [`Account`]. The control thread keeps a [`Ledger`] of accounts and sets each to this
+//! entry's portion of the organisation's limits (see [`crate::demand`]).
 //!
 //! ```
 //! use bergamotshift_core::prelude::*;
@@ -25,14 +25,14 @@
 pub use self::account::Account;
 pub use self::ledger::Ledger;
 
-/// What an organisation may use in all; `None` is without limit.
+/// Limits of an organisation over the whole fleet; `None` means unlimited.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Limits {
     /// Requests per second.
     pub requests_per_second: Option<f64>,
-    /// Requests at once. The other limits allow bursts of as many seconds as this is at the request rate.
+    /// Burst in requests. The other limits allow bursts of the same duration, measured at the request rate.
     pub burst: f64,
-    /// Tokens per second, prompt and answer.
+    /// Tokens per second, of prompts and answers.
     pub tokens_per_second: Option<f64>,
     /// Spend per hour.
     pub spend_per_hour: Option<Price>,
@@ -50,27 +50,28 @@
 }
 
 impl Limits {
-    /// The burst, in seconds, of limits that come without a request rate.
-    const BURST_SECONDS: f64 = 10.0;
+    /// Burst, in seconds, of limits without a request rate.
+    const DEFAULT_BURST_SECONDS: f64 = 10.0;
 
+    /// Returns the burst of the token and spend limits, in seconds.
     fn burst_seconds(&self) -> f64 {
         match self.requests_per_second {
             Some(rate) if rate > 0.0 => self.burst / rate,
-            _ => Self::BURST_SECONDS,
+            _ => Self::DEFAULT_BURST_SECONDS,
         }
     }
 }
 
-/// What a request is expected to use, or did use, besides being one request.
+/// Expected or actual cost of a request, besides counting as one request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Cost {
-    /// Tokens, prompt and answer.
+    /// Tokens of the prompt and the answer.
     pub tokens: u64,
-    /// The price of the endpoint time it takes.
+    /// Price of the endpoint time that it takes.
     pub spend: Price,
 }
 
-/// Which limit was reached.
+/// Kind of a limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Limit {
     /// Requests per second.
@@ -81,11 +82,11 @@
     Spend,
 }
 
-/// A limit was reached.
+/// Refusal of a request because a limit is reached.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Excess {
-    /// Which one.
+    /// Limit that is reached.
     pub limit: Limit,
-    /// When the same request would pass, if nothing else were sent until then.
+    /// Time until the same request would be admitted if no other is sent.
     pub retry_after: Duration,
 }
--- a/bergamotshift-limit/src/retry/budget.rs
+++ b/bergamotshift-limit/src/retry/budget.rs
@@ -1,19 +1,19 @@
-//! A token bucket that ties a service's extra attempts to its requests.
+//! Token bucket that bounds a service's extra attempts by its number of requests.
 
 use core::sync::atomic::AtomicU64;
 use core::sync::atomic::Ordering::Relaxed;
 
-/// Thousandths of a token, so that a ratio needs no floating point on the request path.
+/// One token in thousandths; integers avoid floating point on the request path.
 const TOKEN: u64 = 1_000;
 
-/// How large a service's retry budget is.
+/// Size of a service's retry budget.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Settings {
     /// Extra attempts per request, for instance 0.2.
     pub ratio: f64,
-    /// Extra attempts lent at the start, so that a quiet service can retry; the first requests pay them back.
+    /// Extra attempts lent at the start, so that a service with few requests can retry; the first requests pay them back.
     pub reserve: u32,
-    /// Most extra attempts that calm times save up.
+    /// Maximum number of extra attempts saved up while nothing fails.
     pub burst: u32,
 }
 
@@ -27,11 +27,11 @@
     }
 }
 
-/// Bounds all retries and hedges of one service.
+/// Budget for all retries and hedges of one service.
 ///
-/// Failure: a third of the endpoints break, and every caller's request is sent again and again. Symptom: attempts
-/// multiply until the healthy endpoints fail too. Each request adds `ratio` tokens and each extra attempt takes one,
-/// so after `n` requests fewer than `max(reserve, ratio × n)` extra attempts were made, whatever fails.
+/// Unbounded retries would multiply the load while some endpoints fail, until the healthy ones fail too. Each request
+/// adds `ratio` tokens and each extra attempt takes one, so that fewer than `max(reserve, ratio × n)` extra attempts are
+/// made after `n` requests.
 ///
 /// All methods take `&self` and are lock-free.
 ///
@@ -48,13 +48,14 @@
 #[derive(Debug)]
 pub struct Budget {
     balance: AtomicU64,
+    /// Part of the reserve that is not paid back yet.
     debt: AtomicU64,
     deposit: u64,
     cap: AtomicU64,
 }
 
 impl Budget {
-    /// Makes a budget that holds its reserve.
+    /// Creates a budget that holds its reserve.
     pub fn new(settings: Settings) -> Self {
         let reserve = u64::from(settings.reserve) * TOKEN;
         let burst = u64::from(settings.burst) * TOKEN;
@@ -66,17 +67,17 @@
         }
     }
 
-    /// Changes how many extra attempts are saved up at most; what is beyond that is gone.
+    /// Sets the maximum number of saved-up extra attempts and discards any excess.
     pub fn set_burst(&self, burst: u32) {
         let cap = u64::from(burst) * TOKEN;
         self.cap.store(cap, Relaxed);
         self.balance.update(Relaxed, Relaxed, |balance| balance.min(cap));
     }
 
-    /// Notes one request; called once per request, not per attempt.
+    /// Adds the tokens of one request; call it once per request, not per attempt.
     pub fn deposit(&self) {
-        let paid = self.repay(self.deposit);
-        let left = self.deposit - paid;
+        let repaid = self.repay(self.deposit);
+        let left = self.deposit - repaid;
         if left > 0 {
             let cap = self.cap.load(Relaxed);
             self.balance
@@ -84,9 +85,9 @@
         }
     }
 
-    /// Takes one extra attempt from the budget and returns whether there was one.
+    /// Takes one extra attempt from the budget and returns whether it was available.
     ///
-    /// The balance has to exceed the token, so that attempts stay strictly under `1 + ratio` times the requests.
+    /// The balance has to exceed one token, so that attempts stay strictly below `1 + ratio` times the requests.
     pub fn try_withdraw(&self) -> bool {
         self.balance
             .try_update(Relaxed, Relaxed, |balance| (balance > TOKEN).then(|| balance - TOKEN))
@@ -100,12 +101,12 @@
             .update(Relaxed, Relaxed, |balance| (balance + TOKEN).min(cap));
     }
 
-    /// Returns how many extra attempts could be made now.
+    /// Returns the number of extra attempts available now.
     pub fn available(&self) -> u64 {
         self.balance.load(Relaxed).saturating_sub(1) / TOKEN
     }
 
-    /// Pays back the reserve and returns how much of `amount` it took.
+    /// Pays back the reserve and returns the part of `amount` used for it.
     fn repay(&self, amount: u64) -> u64 {
         if self.debt.load(Relaxed) == 0 {
             return 0;
--- a/bergamotshift-limit/src/retry/mod.rs
+++ b/bergamotshift-limit/src/retry/mod.rs
@@ -1,4 +1,4 @@
-//! Retries: whether a failed attempt may be followed by another, and when.
+//! Retry decisions after failed attempts.
 //!
 //! [`Budget`] bounds the extra load of a whole service; [`Policy`] decides for one request.
 
@@ -13,16 +13,16 @@
 pub use self::budget::Settings;
 use crate::backoff::Backoff;
 
-/// How an attempt ended without an answer.
+/// Failure of an attempt that got no answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Failure {
-    /// The endpoint proved that it refused before any work.
+    /// The endpoint proved that it refused the request before doing any work.
     Refused,
-    /// The endpoint died, broke off or answered wrongly; the attempt may have run.
+    /// The endpoint failed, closed the connection early or sent an invalid answer; the attempt may have run.
     Broken,
-    /// The attempt took longer than it was given; it may have run.
+    /// The attempt timed out; it may have run.
     Timeout,
-    /// The endpoint announced that it leaves, so the work moves on.
+    /// The endpoint announced that it is leaving, so the request moves to another one.
     Moved,
 }
 
@@ -33,23 +33,23 @@
     }
 }
 
-/// What the decision needs to know of a request.
+/// State of a request whose attempt failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Request {
-    /// Whether running it twice is harmless.
+    /// Whether the request is safe to run twice.
     pub repeatable: bool,
-    /// Attempts made so far, the failed one included.
+    /// Number of attempts so far, including the failed one.
     pub attempts: u32,
-    /// When the caller's deadline passes.
+    /// Caller's deadline.
     pub deadline: Instant,
 }
 
-/// Why no further attempt is made.
+/// Reason why no further attempt is made.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reason {
     /// The request may have run and must not run twice.
     NonRepeatable,
-    /// The service's number of attempts is used up.
+    /// The service's attempt limit is reached.
     Attempts,
     /// The next attempt would start after the deadline.
     Deadline,
@@ -57,21 +57,21 @@
     Budget,
 }
 
-/// Whether another attempt is made.
+/// Decision after a failed attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Decision {
-    /// Another attempt starts after this delay.
+    /// Make another attempt after this delay.
     Retry(Duration),
-    /// The caller gets the failure now.
+    /// Return the failure to the caller.
     Stop(Reason),
 }
 
-/// A service's retry policy.
+/// Retry policy of a service.
 #[derive(Clone, Copy, Debug)]
 pub struct Policy {
-    /// Most attempts per request, the first included. Moves off leaving endpoints do not count.
+    /// Maximum number of attempts per request, including the first. Moves away from leaving endpoints do not count.
     pub attempts: u32,
-    /// How long to wait before an attempt that follows a failure.
+    /// Delay before an attempt that follows a failure.
     pub backoff: Backoff,
 }
 
@@ -85,10 +85,11 @@
 }
 
 impl Policy {
-    /// Decides on a request whose attempt failed, and takes from the budget when another attempt is made.
+    /// Decides on a request whose attempt failed, and takes from the budget if another attempt is made.
     ///
-    /// A move off an endpoint that announced its end is no retry: an accepted request survives an announced reclaim,
-    /// so it spends neither attempts nor budget and waits for nothing. The number of announced reclaims bounds it.
+    /// A move away from an endpoint that announced its end is not a retry: an accepted request has to survive an announced
+    /// reclaim, so the move uses neither attempts nor budget and has no delay. The number of announced reclaims bounds the
+    /// number of moves.
     pub fn decide(
         &self,
         now: Instant,
@@ -101,13 +102,13 @@
             return Decision::Stop(Reason::NonRepeatable);
         }
         if failure == Failure::Moved {
-            return within(now, Duration::ZERO, request.deadline);
+            return retry_before(now, Duration::ZERO, request.deadline);
         }
         if request.attempts >= self.attempts {
             return Decision::Stop(Reason::Attempts);
         }
         let delay = self.backoff.delay(request.attempts.saturating_sub(1), rng);
-        let decision = within(now, delay, request.deadline);
+        let decision = retry_before(now, delay, request.deadline);
         if matches!(decision, Decision::Retry(_)) && !budget.try_withdraw() {
             return Decision::Stop(Reason::Budget);
         }
@@ -115,7 +116,8 @@
     }
 }
 
-fn within(now: Instant, delay: Duration, deadline: Instant) -> Decision {
+/// Returns a retry after `delay` if that is before the deadline.
+fn retry_before(now: Instant, delay: Duration, deadline: Instant) -> Decision {
     if now + delay < deadline {
         Decision::Retry(delay)
     } else {
--- a/bergamotshift-limit/src/share/cell.rs
+++ b/bergamotshift-limit/src/share/allowance.rs
@@ -8,31 +8,34 @@
 
 use crate::bucket::Bucket;
 
-/// One organisation's share at this entry; every method takes `&self` and is lock-free.
+/// One organisation's share of a service at this entry.
+///
+/// All methods take `&self` and are lock-free.
 #[derive(Debug)]
-pub struct Cell {
+pub struct Allowance {
     bucket: Bucket,
-    asked: AtomicU64,
+    /// Work requested since the last tick, refused work included.
+    requested: AtomicU64,
 }
 
-impl Cell {
+impl Allowance {
     pub(super) fn new() -> Self {
         Self {
             bucket: Bucket::new(0.0, 0.0),
-            asked: AtomicU64::new(0),
+            requested: AtomicU64::new(0),
         }
     }
 
     /// Takes work from the share.
     ///
-    /// The caller admits without contention even when this fails; a share that is used up holds no debt, so borrowing
-    /// what others leave costs nothing later.
+    /// Without contention, the caller admits the work even if this fails. A failed attempt takes nothing, so capacity that
+    /// is borrowed from others does not have to be paid back.
     ///
     /// # Errors
     ///
-    /// Returns how long it takes until the share holds enough.
+    /// Returns the time until the share holds enough.
     pub fn try_take(&self, now: Instant, work: u64) -> Result<(), Duration> {
-        self.asked.fetch_add(work, Relaxed);
+        self.requested.fetch_add(work, Relaxed);
         self.bucket.try_take(now, work)
     }
 
@@ -41,10 +44,12 @@
         self.bucket.refund(work);
     }
 
-    pub(super) fn drain_asked(&self) -> u64 {
-        self.asked.swap(0, Relaxed)
+    /// Returns the work requested since the last call, refused work included.
+    pub(super) fn take_requested(&self) -> u64 {
+        self.requested.swap(0, Relaxed)
     }
 
+    /// Sets the rate and the burst of the share.
     pub(super) fn set(&self, now: Instant, rate: f64, burst: f64) {
         self.bucket.set_rate(now, rate, burst);
     }
--- a/bergamotshift-limit/src/throttle/mod.rs
+++ b/bergamotshift-limit/src/throttle/mod.rs
@@ -1,12 +1,12 @@
-//! Rates that servers name for themselves, kept as one budget over all clients.
+//! Rate limits that servers announce for themselves, enforced as one budget over all clients.
 //!
-//! A server in need names the requests a second that it takes from all clients together. [`RateLimit`] is what is known of
-//! that. Each client has a [`Throttle`] for each server, which keeps the newest limit. One of the clients grants requests to
-//! the server from its throttle, and the others ask that one.
+//! An overloaded server announces the number of requests per second that it accepts from all clients together, as a
+//! [`RateLimit`]. Each client has a [`Throttle`] for each server, which keeps the newest limit. One client grants requests
+//! to the server from its throttle, and the other clients ask it for permits.
 //!
 //! ```
 //! use bergamotshift_core::prelude::*;
-//! use bergamotshift_limit::throttle::{Throttle, RateLimit};
+//! use bergamotshift_limit::throttle::{RateLimit, Throttle};
 //!
 //! let throttle = Throttle::default();
 //! let now = Instant::from_secs(5);
@@ -31,31 +31,36 @@
 pub use self::rate_limit::RateLimit;
 use crate::bucket::Bucket;
 
-/// What one request counts that a client grants in the place of the first one, which it does not reach: both may grant at
-/// the same time.
+/// Cost of a request that a deputy grants because the first granter cannot be reached, in requests.
+///
+/// Both may grant requests at the same time.
 pub const DEPUTY_COST: u64 = 3;
 
-/// The rate that is kept where a server takes none at all, in requests per second: only an answer tells that a limit has
-/// ended.
-const LEAST: f64 = 0.1;
+/// Rate used for a server that announces a rate of zero, in requests per second.
+///
+/// Some requests have to be sent, because only an answer can lift the limit.
+const MIN_RATE: f64 = 0.1;
 
-/// The requests that come at once without waiting for one another are those of this time at the rate, and one at the least.
-const BURST: Duration = Duration::from_millis(100);
+/// Burst size, as time at the rate; a burst is at least one request.
+const BURST_TIME: Duration = Duration::from_millis(100);
 
-/// The newest word, and how it came here.
+/// Newest known limit and its source.
 #[derive(Clone, Copy, Debug, Default)]
 struct Known {
     limit: RateLimit,
+    /// Whether the server itself announced the limit to this client.
     is_direct: bool,
 }
 
-/// One server's rate, as one client knows and keeps it. Threads hold its lock for the time of a copy.
+/// Rate limit of one server, as known to and enforced by one client.
+///
+/// Threads hold the lock only for the time of a copy or an update.
 #[derive(Debug)]
 pub struct Throttle {
     known: Mutex<Known>,
-    /// What this client grants to all of them.
+    /// Budget from which this client grants requests of all clients.
     bucket: Bucket,
-    /// Until when this client sends nothing.
+    /// Time until which this client sends nothing.
     paused: Expiry,
 }
 
@@ -70,13 +75,14 @@
 }
 
 impl Throttle {
-    /// Takes in a word, and returns whether it changes the rate; `is_direct` says that the server itself gave it to
-    /// this client.
+    /// Applies a limit if it is newer than the known one, and returns whether the rate changed.
+    ///
+    /// `is_direct` means that the server itself announced the limit to this client.
     pub fn update(&self, limit: RateLimit, is_direct: bool) -> bool {
         let mut known = self.known();
         let before = known.limit;
-        let is_news = limit.rate.is_some() || before.rate.is_some();
-        if !is_news || !limit.replaces(before) {
+        let is_relevant = limit.rate.is_some() || before.rate.is_some();
+        if !is_relevant || !limit.replaces(before) {
             return false;
         }
         *known = Known { limit, is_direct };
@@ -85,8 +91,8 @@
         }
         match limit.rate {
             Some(rate) => {
-                let rate = if rate > 0.0 { rate } else { LEAST };
-                let burst = (rate * BURST.as_secs_f64()).max(1.0);
+                let rate = if rate > 0.0 { rate } else { MIN_RATE };
+                let burst = (rate * BURST_TIME.as_secs_f64()).max(1.0);
                 self.bucket.set_rate(limit.at, rate, burst);
             }
             None => self.paused.set(Instant::ZERO),
@@ -94,29 +100,29 @@
         true
     }
 
-    /// Returns the rate that the server names, in requests per second; `None` without a limit.
+    /// Returns the rate that the server announced, in requests per second; `None` without a limit.
     pub fn rate(&self) -> Option<f64> {
         self.limit().rate
     }
 
-    /// Returns the newest limit.
+    /// Returns the newest known limit.
     pub fn limit(&self) -> RateLimit {
         self.known().limit
     }
 
-    /// Returns the newest word if the server itself gave it to this client, for clients that do not know it.
+    /// Returns the newest limit if the server itself announced it to this client.
     ///
-    /// Only that is passed on: words that go round among clients would look newer with each step.
+    /// Only such a limit is passed on to other clients: a limit relayed among clients would look newer with each hop.
     pub fn direct_limit(&self) -> Option<RateLimit> {
         let known = *self.known();
         known.is_direct.then_some(known.limit)
     }
 
-    /// Grants one request, which counts as `cost` of them.
+    /// Grants one request, which counts as `cost` requests.
     ///
     /// # Errors
     ///
-    /// Returns how long it takes until one can be granted.
+    /// Returns the time until a request can be granted.
     pub fn grant(&self, now: Instant, cost: u64) -> Result<(), Duration> {
         if self.rate().is_none() {
             return Ok(());
@@ -124,12 +130,12 @@
         self.bucket.try_take(now, cost)
     }
 
-    /// Has this client send nothing until `until`, unless the limit ends before.
+    /// Stops this client from sending until `until`, unless the limit is lifted earlier.
     pub fn pause(&self, until: Instant) {
         self.paused.extend(until);
     }
 
-    /// Returns until when this client sends nothing; `None` when it may ask.
+    /// Returns the time until which this client sends nothing; `None` if it may ask for permits.
     pub fn paused_until(&self, now: Instant) -> Option<Instant> {
         self.paused.after(now)
     }
--- a/bergamotshift-limit/src/throttle/rate_limit.rs
+++ b/bergamotshift-limit/src/throttle/rate_limit.rs
@@ -1,18 +1,18 @@
-//! What one answer says of its server's rate.
+//! Rate limit that a server announces for itself.
 
 use bergamotshift_core::prelude::*;
 
-/// What is known of the rate that a server names for itself.
+/// Rate limit of a server as known at a given time.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct RateLimit {
-    /// Requests per second from all clients together; `None` when the server names none.
+    /// Requests per second from all clients together; `None` without a limit.
     pub rate: Option<f64>,
-    /// Up to when it is known.
+    /// Time up to which this is known.
     pub at: Instant,
 }
 
 impl RateLimit {
-    /// Makes the word of an answer that names a rate and was received at `received`.
+    /// Creates the limit from an answer that names a rate and was received at `received`.
     pub const fn named(rate: f64, received: Instant) -> Self {
         Self {
             rate: Some(rate),
@@ -20,14 +20,16 @@
         }
     }
 
-    /// Makes the word of an answer that names none, to a request that was sent at `sent`.
+    /// Creates the limit from an answer that names no rate, to a request that was sent at `sent`.
     ///
-    /// Answers overtake one another. One that names no rate lifts only what was heard before its request was sent.
+    /// Answers may arrive out of order. An answer without a rate lifts only limits known before its request was sent.
     pub const fn lifted(sent: Instant) -> Self {
         Self { rate: None, at: sent }
     }
 
-    /// Returns whether this word takes the place of another one; of two with the same time the one with a rate does.
+    /// Returns whether this limit replaces `before`.
+    ///
+    /// The later one replaces the earlier one; at equal times, a limit with a rate does.
     pub fn replaces(self, before: Self) -> bool {
         self.at > before.at || self.at == before.at && self.rate.is_some()
     }
--- a/bergamotshift-limit/tests/common/mod.rs
+++ b/bergamotshift-limit/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Committed bounds of figures that are measured in virtual time.
+//! Committed bounds for figures measured in virtual time.
 
 use std::collections::BTreeMap;
 
@@ -12,7 +12,7 @@
     margin: f64,
 }
 
-/// Checks that a figure, the lower the better, exceeds its committed one by no more than its margin.
+/// Checks that a figure exceeds its committed value by no more than its margin; lower is better.
 #[track_caller]
 pub fn check(name: &str, figure: f64) {
     let bounds: BTreeMap<String, Bound> = toml::from_str(include_str!("../../bounds.toml")).unwrap();
--- a/bergamotshift-limit/tests/defer.rs
+++ b/bergamotshift-limit/tests/defer.rs
@@ -1,4 +1,4 @@
-//! Deferred jobs start into room, and in time.
+//! Deferred jobs use spare capacity and still start in time.
 
 use core::time::Duration;
 
@@ -10,7 +10,7 @@
 use bergamotshift_limit::prelude::*;
 use quickcheck::quickcheck;
 
-/// Makes a gate with these waits of normal and of deferred work, in seconds.
+/// Creates a gate with these waits of normal and of deferrable work, in seconds.
 fn gate(now: Instant, normal: u64, deferred: u64) -> Gate {
     let gate = Gate::new(admission::Settings::default());
     let waits = [0, normal, deferred].map(Duration::from_secs);
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn jobs_wait_for_room_until_their_slack_is_used_up() {
+fn jobs_wait_for_spare_capacity_until_their_slack_is_used_up() {
     let now = Instant::from_secs(1_000);
     let job = |left: u64| Job {
         deadline: now + Duration::from_secs(left),
@@ -45,8 +45,8 @@
 }
 
 quickcheck! {
-    fn job_starts_in_time_although_there_is_never_room(span: u16, left: u16, normal: u8) -> bool {
-        // The service never has room for deferred work; the job is looked at whenever it asked to be.
+    fn job_starts_in_time_without_spare_capacity(span: u16, left: u16, normal: u8) -> bool {
+        // The service never has spare capacity; the job is checked again after each requested wait.
         let span = Duration::from_secs(u64::from(span));
         let deadline = Instant::ZERO + span * 2 + Duration::from_secs(u64::from(left) + 600);
         let mut now = Instant::ZERO;
--- a/bergamotshift-limit/tests/limiter.rs
+++ b/bergamotshift-limit/tests/limiter.rs
@@ -1,4 +1,4 @@
-//! Limits, shares and admission of entries, put together.
+//! Limits, shares and admission of entries combined.
 
 use core::time::Duration;
 use std::collections::BTreeMap;
@@ -37,7 +37,7 @@
     [PLANNER, STAFF].map(|name| Service { name, target: TARGET })
 }
 
-fn ask(table: &Table, now: Instant, organisation: &str, service: &name::Service) -> Option<Decision> {
+fn decide(table: &Table, now: Instant, organisation: &str, service: &name::Service) -> Option<Decision> {
     let request = Request {
         urgency: Urgency::Urgent,
         target: TARGET,
@@ -67,30 +67,30 @@
 }
 
 #[test]
-fn organisation_reaches_only_its_services() {
+fn organisation_may_use_only_its_services() {
     let mut kernel = Kernel::new(Settings::default(), Vec::new(), 0);
     let organisations = [organisation("hotel", Limits::default(), &[PLANNER])];
     let table = kernel.configure(Instant::ZERO, &organisations, &services());
-    assert_eq!(ask(&table, Instant::ZERO, "hotel", &PLANNER), Some(Decision::Admit));
-    assert_eq!(ask(&table, Instant::ZERO, "hotel", &STAFF), None);
-    assert_eq!(ask(&table, Instant::ZERO, "congress", &PLANNER), None);
+    assert_eq!(decide(&table, Instant::ZERO, "hotel", &PLANNER), Some(Decision::Admit));
+    assert_eq!(decide(&table, Instant::ZERO, "hotel", &STAFF), None);
+    assert_eq!(decide(&table, Instant::ZERO, "congress", &PLANNER), None);
 }
 
 #[test]
-fn long_wait_of_one_service_refuses_there_alone() {
+fn long_wait_of_one_service_affects_no_other() {
     let mut kernel = Kernel::new(Settings::default(), Vec::new(), 0);
     let organisations = [organisation("hotel", Limits::default(), &[PLANNER, STAFF])];
     let table = kernel.configure(Instant::ZERO, &organisations, &services());
     let now = Instant::from_secs(1);
     kernel.tick(now, &reading(Duration::from_secs(3)));
-    assert_eq!(reason(ask(&table, now, "hotel", &PLANNER)), Some(Reason::Target));
-    assert_eq!(ask(&table, now, "hotel", &STAFF), Some(Decision::Admit));
+    assert_eq!(reason(decide(&table, now, "hotel", &PLANNER)), Some(Reason::Target));
+    assert_eq!(decide(&table, now, "hotel", &STAFF), Some(Decision::Admit));
 }
 
 #[test]
-fn use_stays_counted_over_a_change_of_configuration() {
-    // An organisation uses its limit up, and an operator changes the folder: another organisation comes, the limit
-    // stays. A table built anew from nothing would give the first one its burst again with each change.
+fn past_use_stays_counted_after_a_configuration_change() {
+    // Guards against a new burst with each configuration change: an organisation uses up its limit, then a second
+    // organisation is added and the limit stays the same.
     let limits = Limits {
         requests_per_second: Some(1.0),
         burst: 1.0,
@@ -100,22 +100,22 @@
     let mut organisations = vec![organisation("hotel", limits, &[PLANNER])];
     let now = Instant::from_secs(1);
     let before = kernel.configure(now, &organisations, &services());
-    assert_eq!(ask(&before, now, "hotel", &PLANNER), Some(Decision::Admit));
+    assert_eq!(decide(&before, now, "hotel", &PLANNER), Some(Decision::Admit));
     organisations.push(organisation("congress", limits, &[PLANNER]));
     let after = kernel.configure(now, &organisations, &services());
     assert!(matches!(
-        reason(ask(&after, now, "hotel", &PLANNER)),
+        reason(decide(&after, now, "hotel", &PLANNER)),
         Some(Reason::Limit(_))
     ));
-    assert_eq!(ask(&after, now, "congress", &PLANNER), Some(Decision::Admit));
+    assert_eq!(decide(&after, now, "congress", &PLANNER), Some(Decision::Admit));
     let without = kernel.configure(now, &organisations[1..], &services());
-    assert_eq!(ask(&without, now, "hotel", &PLANNER), None);
+    assert_eq!(decide(&without, now, "hotel", &PLANNER), None);
 }
 
 #[test]
-fn two_entries_hold_one_limit_by_what_they_tell() {
-    // Two entries of a zone are asked ten times the limit each for a minute and talk each half second. Together they
-    // give the limit and one burst each.
+fn two_entries_enforce_one_limit_by_announcements() {
+    // Two entries of a zone each receive ten times the limit for a minute and exchange announcements every half second.
+    // Together they admit the limit and one burst each.
     let limits = Limits {
         requests_per_second: Some(10.0),
         burst: 10.0,
@@ -139,8 +139,8 @@
                 kernels[1 - index].observe(now, &origin, Duration::ZERO, demand);
             }
         }
-        let asked = tables.iter().map(|table| ask(table, now, "hotel", &PLANNER));
-        admitted += asked.filter(|decision| *decision == Some(Decision::Admit)).count();
+        let decisions = tables.iter().map(|table| decide(table, now, "hotel", &PLANNER));
+        admitted += decisions.filter(|decision| *decision == Some(Decision::Admit)).count();
     }
     assert!((600..=622).contains(&admitted), "{admitted} for 600 and two bursts");
 }
--- a/bergamotshift-limit/tests/quarantine.rs
+++ b/bergamotshift-limit/tests/quarantine.rs
@@ -1,4 +1,4 @@
-//! Poisonous requests are stopped, and nobody else is.
+//! Crashing requests are stopped, and no others.
 
 use core::time::Duration;
 
@@ -11,8 +11,8 @@
 use bergamotshift_limit::quarantine::Suspicion;
 use quickcheck::quickcheck;
 
-const POISON: Fingerprint = Fingerprint::new(1);
-const INNOCENT: Fingerprint = Fingerprint::new(2);
+const CRASHING: Fingerprint = Fingerprint::new(1);
+const HARMLESS: Fingerprint = Fingerprint::new(2);
 
 fn instance(number: u8) -> Instance {
     Instance::new(name::Vm::new(format!("vm-{number}")), Incarnation::new(1))
@@ -39,109 +39,107 @@
 }
 
 #[test]
-fn poison_stops_after_two_endpoints() {
-    // The caller's request crashes vm-1, which also ran an innocent one; both are suspected and run alone. The
-    // caller sends it again and vm-2 dies with nothing else on it. From then on the caller is refused for ten
-    // minutes after that death, and told so; the innocent request was never refused.
+fn crashing_request_is_refused_after_two_endpoints() {
+    // A request crashes vm-1, which also runs a harmless one; both are suspected and run alone. The caller sends the request
+    // again and it crashes vm-2. It is then refused for ten minutes; the harmless request is never refused.
     let mut quarantine = Quarantine::new(Settings::default());
-    quarantine.record_death(at(1_000), death(1, &[POISON, INNOCENT]));
-    assert_eq!(verdict(&quarantine, at(1_000), POISON), Verdict::Alone);
-    assert_eq!(verdict(&quarantine, at(1_000), INNOCENT), Verdict::Alone);
+    quarantine.record_death(at(1_000), death(1, &[CRASHING, HARMLESS]));
+    assert_eq!(verdict(&quarantine, at(1_000), CRASHING), Verdict::Alone);
+    assert_eq!(verdict(&quarantine, at(1_000), HARMLESS), Verdict::Alone);
 
-    quarantine.record_death(at(1_500), death(2, &[POISON]));
+    quarantine.record_death(at(1_500), death(2, &[CRASHING]));
     let retry_after = Duration::from_mins(10);
     assert_eq!(
-        verdict(&quarantine, at(1_500), POISON),
+        verdict(&quarantine, at(1_500), CRASHING),
         Verdict::Refused { retry_after }
     );
-    assert_eq!(verdict(&quarantine, at(1_500), INNOCENT), Verdict::Alone);
-    assert_eq!(verdict(&quarantine, at(601_500), POISON), Verdict::Alone);
-    assert_eq!(verdict(&quarantine, at(1_201_500), POISON), Verdict::Clear);
+    assert_eq!(verdict(&quarantine, at(1_500), HARMLESS), Verdict::Alone);
+    assert_eq!(verdict(&quarantine, at(601_500), CRASHING), Verdict::Alone);
+    assert_eq!(verdict(&quarantine, at(1_201_500), CRASHING), Verdict::Clear);
 }
 
 #[test]
-fn poison_is_refused_although_innocent_requests_report_first() {
-    // Both of its endpoints ran other requests, and each of those tells of the death before the poisonous one does.
-    // For that moment the two deaths look like a wave and nobody is refused. As soon as it reports itself the second
-    // death is explained, so it is refused before it kills a third; the others are not, then or later.
+fn crashing_request_is_refused_although_harmless_requests_report_first() {
+    // Guards against treating two deaths as correlated because harmless requests report them first. Once the crashing
+    // request reports the second death too, that death is explained: the request is refused before it crashes a third
+    // endpoint, and the others are not refused.
     const OTHER: Fingerprint = Fingerprint::new(3);
     let mut quarantine = Quarantine::new(Settings::default());
-    quarantine.record_death(at(1_000), death(1, &[INNOCENT]));
-    quarantine.record_death(at(1_001), death(1, &[POISON]));
+    quarantine.record_death(at(1_000), death(1, &[HARMLESS]));
+    quarantine.record_death(at(1_001), death(1, &[CRASHING]));
     quarantine.record_death(at(1_100), death(2, &[OTHER]));
-    assert!(!refused(&quarantine, at(1_100), POISON));
-    quarantine.record_death(at(1_101), death(2, &[POISON]));
+    assert!(!refused(&quarantine, at(1_100), CRASHING));
+    quarantine.record_death(at(1_101), death(2, &[CRASHING]));
     for now in [1_101, 9_000] {
         quarantine.expire(at(now));
-        assert!(refused(&quarantine, at(now), POISON));
-        assert!(!refused(&quarantine, at(now), INNOCENT));
+        assert!(refused(&quarantine, at(now), CRASHING));
+        assert!(!refused(&quarantine, at(now), HARMLESS));
         assert!(!refused(&quarantine, at(now), OTHER));
     }
 }
 
 #[test]
-fn refusal_lasts_although_first_death_grows_old() {
-    // The second death comes just before the first would be forgotten; the refusal still lasts its stated time.
+fn refusal_lasts_although_the_first_death_expires() {
+    // The second death comes just before the first one expires; the refusal still lasts for its full time.
     let mut quarantine = Quarantine::new(Settings::default());
-    quarantine.record_death(at(0), death(1, &[POISON]));
-    quarantine.record_death(at(1_199_000), death(2, &[POISON]));
+    quarantine.record_death(at(0), death(1, &[CRASHING]));
+    quarantine.record_death(at(1_199_000), death(2, &[CRASHING]));
     quarantine.expire(at(1_798_000));
-    assert!(refused(&quarantine, at(1_798_000), POISON));
+    assert!(refused(&quarantine, at(1_798_000), CRASHING));
 }
 
 #[test]
-fn one_death_counts_once_whoever_reports_it() {
+fn one_death_counts_once_for_several_reports() {
     let mut quarantine = Quarantine::new(Settings::default());
     for millis in [0, 10, 5_000] {
-        quarantine.record_death(at(millis), death(1, &[POISON]));
+        quarantine.record_death(at(millis), death(1, &[CRASHING]));
     }
-    assert_eq!(verdict(&quarantine, at(5_000), POISON), Verdict::Alone);
+    assert_eq!(verdict(&quarantine, at(5_000), CRASHING), Verdict::Alone);
 }
 
 #[test]
 fn unannounced_zone_loss_accuses_nobody() {
-    // A zone with three endpoints is lost without notice. The innocent request ran on the first, was moved to the
-    // second inside the zone and lost that too; the third death, of an endpoint that ran nothing suspected, shows
-    // the common cause. Sizes of today: three model endpoints in each zone.
+    // A zone with three endpoints is lost without notice. A harmless request ran on the first endpoint and was moved to the
+    // second one, in the same zone. The third death, of an endpoint without suspected requests, shows the common cause.
     let mut quarantine = Quarantine::new(Settings::default());
-    quarantine.record_death(at(0), death(1, &[INNOCENT]));
-    quarantine.record_death(at(300), death(2, &[INNOCENT]));
+    quarantine.record_death(at(0), death(1, &[HARMLESS]));
+    quarantine.record_death(at(300), death(2, &[HARMLESS]));
     quarantine.record_death(at(600), death(3, &[Fingerprint::new(9)]));
     assert!(quarantine.table().is_empty());
 }
 
 #[test]
 fn announced_losses_do_not_count_in_either_order() {
-    // The notice is heard before the death of vm-1 and after the deaths of vm-2, as the platform's list lags.
+    // The notice arrives before the death of vm-1 and after the death of vm-2, because the platform's list lags.
     let mut quarantine = Quarantine::new(Settings::default());
     quarantine.announce(at(0), instance(1));
-    quarantine.record_death(at(10), death(1, &[INNOCENT]));
-    quarantine.record_death(at(20), death(2, &[INNOCENT]));
-    assert_eq!(verdict(&quarantine, at(20), INNOCENT), Verdict::Alone);
+    quarantine.record_death(at(10), death(1, &[HARMLESS]));
+    quarantine.record_death(at(20), death(2, &[HARMLESS]));
+    assert_eq!(verdict(&quarantine, at(20), HARMLESS), Verdict::Alone);
     quarantine.announce(at(30), instance(2));
-    assert_eq!(verdict(&quarantine, at(30), INNOCENT), Verdict::Clear);
+    assert_eq!(verdict(&quarantine, at(30), HARMLESS), Verdict::Clear);
 
     let announced = Death {
         announced: true,
-        ..death(3, &[INNOCENT])
+        ..death(3, &[HARMLESS])
     };
     quarantine.record_death(at(40), announced);
     assert!(quarantine.table().is_empty());
 }
 
 #[test]
-fn poison_that_starts_within_a_wave_is_still_stopped() {
-    // Two poisonous requests crash two endpoints in the same second, which looks like a wave and is forgiven. They
-    // are sent again and again, always at the same moment; the pardons run out and both are refused.
+fn crashing_requests_that_look_correlated_are_still_stopped() {
+    // Two requests repeatedly crash two endpoints at the same time, which looks correlated and is forgiven. The number of
+    // forgiven deaths is bounded, so both are refused in the end.
     let other = Fingerprint::new(3);
     let mut quarantine = Quarantine::new(Settings::default());
     let mut crashes = 0;
     for round in 0..10 {
         let now = at(u64::from(round) * 10_000);
-        if refused(&quarantine, now, POISON) && refused(&quarantine, now, other) {
+        if refused(&quarantine, now, CRASHING) && refused(&quarantine, now, other) {
             break;
         }
-        quarantine.record_death(now, death(2 * round, &[POISON]));
+        quarantine.record_death(now, death(2 * round, &[CRASHING]));
         quarantine.record_death(now, death(2 * round + 1, &[other]));
         crashes += 2;
     }
@@ -150,29 +148,29 @@
 
 #[test]
 fn entries_agree_after_exchanging_suspicions() {
-    // Each of two entries saw one death of the request and neither would refuse it. Their clocks differ by an hour,
-    // so deaths travel with their age. After one exchange both refuse.
+    // Each of two entries observed one death, so neither refuses the request yet. Their clocks differ by an hour, so deaths
+    // are sent with their age. After one exchange, both refuse it.
     let hour = Duration::from_hours(1);
     let mut left = Quarantine::new(Settings::default());
     let mut right = Quarantine::new(Settings::default());
-    left.record_death(at(1_000), death(1, &[POISON]));
-    right.record_death(at(9_000) + hour, death(2, &[POISON]));
-    let told = left.suspicions(at(10_000));
+    left.record_death(at(1_000), death(1, &[CRASHING]));
+    right.record_death(at(9_000) + hour, death(2, &[CRASHING]));
+    let exported = left.suspicions(at(10_000));
     left.merge(at(10_000), &right.suspicions(at(10_000) + hour));
-    right.merge(at(10_000) + hour, &told);
-    assert!(refused(&left, at(10_000), POISON));
-    assert!(refused(&right, at(10_000) + hour, POISON));
+    right.merge(at(10_000) + hour, &exported);
+    assert!(refused(&left, at(10_000), CRASHING));
+    assert!(refused(&right, at(10_000) + hour, CRASHING));
 }
 
 #[test]
-fn old_rumour_does_not_bring_a_forgotten_death_back() {
+fn old_suspicion_does_not_restore_an_expired_death() {
     let mut quarantine = Quarantine::new(Settings::default());
     let age = Duration::from_hours(1);
-    let rumour = Suspicion {
-        fingerprint: POISON,
+    let suspicion = Suspicion {
+        fingerprint: CRASHING,
         deaths: vec![(instance(1), age, Attribution::Counted)],
     };
-    quarantine.merge(Instant::from_secs(10_000), &[rumour]);
+    quarantine.merge(Instant::from_secs(10_000), &[suspicion]);
     assert!(quarantine.suspicions(Instant::from_secs(10_000)).is_empty());
 }
 
@@ -192,8 +190,8 @@
     assert_eq!(verdict(&quarantine, Instant::from_secs(495), newest), Verdict::Alone);
 }
 
-/// Builds a quarantine from raw steps: which endpoint, which request, whether announced, seconds since the last step.
-fn folded(steps: &[(u8, u8, bool, u8)]) -> Quarantine {
+/// Builds a quarantine from raw steps: endpoint, request, whether announced, and seconds since the last step.
+fn from_steps(steps: &[(u8, u8, bool, u8)]) -> Quarantine {
     let mut quarantine = Quarantine::new(Settings::default());
     let mut now = Instant::ZERO;
     for (number, request, announced, pause) in steps {
@@ -216,7 +214,7 @@
 quickcheck! {
     fn merge_commutes_and_repeats(left: Vec<(u8, u8, bool, u8)>, right: Vec<(u8, u8, bool, u8)>) -> bool {
         let now = Instant::from_secs(3_000);
-        let (left, right) = (folded(&left), folded(&right));
+        let (left, right) = (from_steps(&left), from_steps(&right));
         let (mut one, mut two) = (Quarantine::new(Settings::default()), Quarantine::new(Settings::default()));
         one.merge(now, &left.suspicions(now));
         one.merge(now, &right.suspicions(now));
@@ -228,6 +226,6 @@
 
     fn announced_deaths_never_refuse(steps: Vec<(u8, u8, bool, u8)>) -> bool {
         let announced: Vec<_> = steps.into_iter().map(|(vm, request, _, pause)| (vm, request, true, pause)).collect();
-        folded(&announced).table().is_empty()
+        from_steps(&announced).table().is_empty()
     }
 }
--- a/bergamotshift-limit/tests/quota.rs
+++ b/bergamotshift-limit/tests/quota.rs
@@ -1,4 +1,4 @@
-//! Limits of an organisation held by many entries that never ask each other, in virtual time.
+//! Limits of an organisation enforced by many entries without coordination per request, in virtual time.
 
 mod common;
 
@@ -54,34 +54,36 @@
         Self { ledgers, accounts }
     }
 
-    /// Lets entries tell their zone and zones tell each other, unless `cut` keeps the two zones apart.
+    /// Exchanges announcements within each zone, and between two zones unless `cut` returns `true` for them.
     fn gossip(&mut self, now: Instant, cut: impl Fn(usize, usize) -> bool) {
         for ledger in &mut self.ledgers {
             ledger.tick(now);
         }
         let age = Duration::from_millis(GOSSIP_MS);
-        let told: Vec<_> = self
+        let announced: Vec<_> = self
             .ledgers
             .iter_mut()
             .map(|ledger| ledger.view.announce(now).clone())
             .collect();
         for (index, ledger) in self.ledgers.iter_mut().enumerate() {
             let here = index / PER_ZONE;
-            for other in (0..told.len()).filter(|other| *other != index) {
+            for other in (0..announced.len()).filter(|other| *other != index) {
                 let there = other / PER_ZONE;
                 if there == here {
                     let origin = Origin::Entry(name::Entry::new(format!("entry-{other}")));
-                    ledger.view.observe(now, origin, age, told[other].entry.clone());
+                    ledger.view.observe(now, origin, age, announced[other].entry.clone());
                 } else if !cut(here, there) {
                     ledger
                         .view
-                        .observe(now, Origin::Zone(zone(there)), age, told[other].zone.clone());
+                        .observe(now, Origin::Zone(zone(there)), age, announced[other].zone.clone());
                 }
             }
         }
     }
 
-    /// Runs for this span; each entry where `busy` is asked four times a millisecond. Returns requests admitted.
+    /// Runs for a span of milliseconds and returns the number of admitted requests.
+    ///
+    /// Each entry for which `busy` returns `true` receives four requests per millisecond.
     fn run(
         &mut self,
         span: core::ops::Range<u64>,
@@ -114,8 +116,8 @@
 
 #[test]
 fn limit_holds_across_entries_and_is_used_up() {
-    // Requests come through all entries, or through one alone: either way the organisation gets its whole limit and
-    // no more than its bursts above it.
+    // Requests arrive at all entries or at a single one. Either way the organisation gets its whole limit and nothing
+    // above it except its bursts.
     for (name, only) in [("quota_over_all_entries", None), ("quota_over_one_entry", Some(0))] {
         let mut fleet = Fleet::new();
         let busy = |_, index| only.is_none_or(|only| only == index);
@@ -129,9 +131,9 @@
 
 #[test]
 fn cut_off_zones_overshoot_within_the_bound() {
-    // The organisation is idle when all zones lose each other, then floods every one of them. Each zone believes
-    // that it alone is asked. With k groups the excess stays within (k - 1) × (fresh + horizon) / 2 seconds' worth of the limit
-    // and one burst per entry, however long the cut lasts; after the horizon the rate is the limit's.
+    // An idle organisation floods all zones just after they are partitioned, while each zone assumes that the others have no
+    // demand. With k groups, the excess stays within (k - 1) × (fresh + horizon) / 2 seconds' worth of the limit plus one
+    // burst per entry, for any length of the partition; after the horizon, the limit's rate holds.
     let demand::Settings { fresh, horizon, .. } = demand::Settings::default();
     let seconds = (fresh + horizon).as_secs_f64() / 2.0;
     for (name, groups) in [("quota_cut_in_two_excess", 2), ("quota_cut_in_four_excess", 4)] {
@@ -150,9 +152,9 @@
 }
 
 #[test]
-fn demand_that_moves_with_the_gossip_gains_nothing() {
-    // The organisation's requests jump to another entry each second, about as fast as gossip tells of it. It gains
-    // nothing above its limit; what it cannot use of it, as its portion always lags behind, is the price.
+fn demand_that_moves_between_entries_gains_nothing() {
+    // The requests move to another entry every second, about as fast as gossip spreads the demand. The organisation must not
+    // exceed its limit; it cannot use all of it, because the portions lag behind the demand.
     let mut fleet = Fleet::new();
     let busy = |millis: u64, index| (millis / 1_000) as usize % (ZONES * PER_ZONE) == index;
     let share = fleet.run(0..120_000, connected, busy) / (RATE * 120.0);
@@ -162,11 +164,11 @@
 
 #[test]
 fn organisation_under_its_limit_is_refused_nothing() {
-    // Requests come at random over all entries, at four fifths of the limit. Each entry sees a few each second and
-    // knows of the others' by gossip only.
+    // Requests arrive at random over all entries, at four fifths of the limit. Each entry receives a few per second and
+    // learns of the others' demand only by gossip.
     let mut fleet = Fleet::new();
     let mut rng = Pcg64Mcg::new(3);
-    let (mut asked, mut refused) = (0, 0);
+    let (mut requested, mut refused) = (0, 0);
     for millis in 0..120_000 {
         let now = Instant::from_millis(millis);
         if millis % GOSSIP_MS == 0 {
@@ -174,15 +176,15 @@
         }
         if rng.random_bool(RATE * 0.8 / 1_000.0) {
             let entry = rng.random_range(0..fleet.accounts.len());
-            asked += 1;
+            requested += 1;
             refused += u64::from(fleet.accounts[entry].admit(now, Cost::default()).is_err());
         }
     }
-    common::check("quota_refused_below_limit", refused as f64 / f64::from(asked));
+    common::check("quota_refused_below_limit", refused as f64 / f64::from(requested));
 }
 
 #[test]
-fn each_limit_binds_and_is_named() {
+fn each_limit_is_enforced_and_reported() {
     let mut ledger = Ledger::new(demand::View::new(demand::Settings::default(), Vec::new(), 0));
     let requests = Limits {
         requests_per_second: Some(1.0),
@@ -238,9 +240,9 @@
 }
 
 #[test]
-fn workers_that_take_at_once_never_take_more_than_there_is() {
-    // Four threads drain one bucket and one retry budget at the same moment of kernel time. Were a read and a write
-    // apart, two of them would take the same unit.
+fn concurrent_workers_never_take_more_than_available() {
+    // Guards against a separate read and write, with which two threads could take the same unit. Four threads drain one
+    // bucket and one retry budget at the same kernel time.
     let bucket = Bucket::new(1.0, 1_000.0);
     let budget = Budget::new(retry::Settings {
         ratio: 0.5,
@@ -265,10 +267,10 @@
 
 quickcheck! {
     fn portions_of_equal_views_add_up_to_one(rates: Vec<u16>) -> bool {
-        // Each entry of a zone hears the others' rates as they are now.
+        // Each entry of a zone knows the present rates of the others.
         let now = Instant::from_secs(100);
         let count = rates.len();
-        let told = |index: usize| demand::Rates::from([(HOTEL, f64::from(rates[index]))]);
+        let announced = |index: usize| demand::Rates::from([(HOTEL, f64::from(rates[index]))]);
         let portion = |index: usize| {
             let mut view = demand::View::new(demand::Settings::default(), Vec::new(), count - 1);
             view.tick(Instant::ZERO, []);
@@ -276,7 +278,7 @@
             view.announce(now);
             for other in (0..count).filter(|other| *other != index) {
                 let origin = Origin::Entry(name::Entry::new(format!("entry-{other}")));
-                view.observe(now, origin, Duration::ZERO, told(other));
+                view.observe(now, origin, Duration::ZERO, announced(other));
             }
             view.sums(now).portion(&HOTEL)
         };
@@ -309,8 +311,8 @@
 }
 
 #[test]
-fn quiet_organisation_is_let_in_wherever_it_comes() {
-    // Nothing was asked for a while; then ten requests arrive within a second at one entry, a tenth of the limit.
+fn idle_organisation_is_admitted_at_any_entry() {
+    // After an idle period, ten requests, a tenth of the limit, arrive at one entry within a second.
     let mut fleet = Fleet::new();
     fleet.run(0..20_000, connected, |_, _| false);
     let now = Instant::from_secs(20);
--- a/bergamotshift-limit/tests/retry.rs
+++ b/bergamotshift-limit/tests/retry.rs
@@ -1,4 +1,4 @@
-//! Retry budgets, retry decisions, backoff and hedges.
+//! Retry budgets, retry decisions, backoff and hedging.
 
 use core::time::Duration;
 
@@ -19,8 +19,8 @@
     deadline: Instant::from_secs(30),
 };
 
-/// Runs `requests` against endpoints that fail with this chance; returns attempts and failed requests.
-fn attempts_while_failing(requests: u64, chance: f64) -> (u64, u64) {
+/// Runs `requests` against endpoints that fail with a probability; returns the attempts and the failed requests.
+fn attempts_while_failing(requests: u64, probability: f64) -> (u64, u64) {
     let budget = Budget::new(retry::Settings::default());
     let policy = Policy::default();
     let mut rng = Pcg64Mcg::new(11);
@@ -31,7 +31,7 @@
         loop {
             request.attempts += 1;
             attempts += 1;
-            if !rng.random_bool(chance) {
+            if !rng.random_bool(probability) {
                 break;
             }
             let decision = policy.decide(Instant::ZERO, request, Failure::Broken, &budget, &mut rng);
@@ -46,9 +46,9 @@
 
 #[test]
 fn third_of_endpoints_failing_cannot_multiply_load() {
-    // Every third attempt breaks, so without a budget callers would see 1.44 attempts per request. The budget gives
-    // each request a fifth of an attempt, and the loan at the start is paid back first: the load stays under 1.2
-    // times the requests, and what the budget refuses gets its failure at once.
+    // Every third attempt fails, which without a budget would cause 1.44 attempts per request. The budget adds a fifth of an
+    // attempt per request, after the initial reserve is paid back, so the load stays below 1.2 times the requests. Requests
+    // without budget fail at once.
     let (attempts, failed) = attempts_while_failing(10_000, 1.0 / 3.0);
     assert!(attempts < 12_000, "{attempts} attempts");
     assert!(attempts > 11_900, "the budget is used: {attempts} attempts");
@@ -62,14 +62,14 @@
 }
 
 #[test]
-fn quiet_service_may_retry_from_its_reserve() {
+fn first_failure_is_retried_from_the_reserve() {
     let budget = Budget::new(retry::Settings::default());
     budget.deposit();
     assert!(budget.try_withdraw());
 }
 
-// An entry that starts takes itself for one of a dozen and has its part of what all may send again. Then it learns that
-// they are dozens. What it had saved beyond its smaller part must not be spent: all together would exceed the bound.
+// An entry that starts assumes a fleet of a dozen entries and gets its part of the retry budget. When it learns that there
+// are dozens, it must not spend what it saved beyond its smaller part, or all entries together would exceed the bound.
 #[test]
 fn a_smaller_bound_takes_what_was_saved() {
     let budget = Budget::new(retry::Settings {
@@ -119,7 +119,7 @@
 }
 
 #[test]
-fn decisions_follow_the_table() {
+fn decisions_depend_on_request_and_failure() {
     let once = Request {
         repeatable: false,
         ..REQUEST
@@ -156,8 +156,8 @@
 
 #[test]
 fn announced_moves_spend_no_budget() {
-    // A zone is reclaimed with notice while the budget is empty. Each request there moves on; an accepted request
-    // that survives only while the budget lasts would be cut.
+    // Guards against losing accepted requests when a zone is reclaimed with notice while the budget is empty: such requests
+    // still move to other endpoints.
     let budget = Budget::new(retry::Settings {
         reserve: 0,
         ..retry::Settings::default()
--- a/bergamotshift-limit/tests/share.rs
+++ b/bergamotshift-limit/tests/share.rs
@@ -10,8 +10,8 @@
 use bergamotshift_limit::prelude::*;
 use bergamotshift_limit::quota::Cost;
 use bergamotshift_limit::quota::Limits;
-use bergamotshift_limit::share::Claim;
-use bergamotshift_limit::share::fill;
+use bergamotshift_limit::share::Claimant;
+use bergamotshift_limit::share::divide;
 use quickcheck::quickcheck;
 use rand::RngExt;
 use rand_pcg::Pcg64Mcg;
@@ -36,18 +36,18 @@
     gate: Arc<Gate>,
     pool: Pool,
     accounts: Vec<Arc<Account>>,
-    cells: Vec<Arc<share::Cell>>,
+    allowances: Vec<Arc<share::Allowance>>,
 }
 
 impl Entry {
-    /// Makes an entry of a fleet with these other zones.
-    fn new(others: &[name::Zone]) -> Self {
-        let view = || demand::View::new(demand::Settings::default(), others.to_vec(), ENTRIES - 1);
+    /// Creates an entry of a fleet with these other zones.
+    fn new(other_zones: &[name::Zone]) -> Self {
+        let view = || demand::View::new(demand::Settings::default(), other_zones.to_vec(), ENTRIES - 1);
         let mut ledger = Ledger::new(view());
         let mut pool = Pool::new(share::Settings::default(), view());
         let account = |name: &name::Organisation| ledger.open(Instant::ZERO, name.clone(), Limits::default());
         let accounts = NAMES.iter().map(account).collect();
-        let cells = NAMES.iter().map(|name| pool.join(name.clone(), 1.0)).collect();
+        let allowances = NAMES.iter().map(|name| pool.join(name.clone(), 1.0)).collect();
         let forecast = admission::Forecast::new(admission::Settings::default(), Duration::from_secs(2));
         let gate = forecast.gate();
         Self {
@@ -55,35 +55,37 @@
             gate,
             pool,
             accounts,
-            cells,
+            allowances,
         }
     }
 }
 
 #[derive(Clone, Copy, Debug, Default)]
 struct Tally {
-    asked: u64,
+    requested: u64,
     refused: u64,
     late: u64,
     longest: Duration,
     work: u64,
 }
 
-/// Requests per second of an organisation at an entry, by millisecond.
+/// Requests per second of an organisation at an entry, at a given millisecond.
 type Arrivals = fn(millis: u64, organisation: usize, entry: usize) -> f64;
 
-/// Runs a minute of urgent requests against one queue and counts per organisation.
-fn run(shared: bool, others: &[name::Zone], arrivals: Arrivals) -> [Tally; 2] {
+/// Runs a minute of urgent requests against one queue and returns the counts of each organisation.
+///
+/// Without `shared`, admission depends on the predicted wait alone.
+fn run(shared: bool, other_zones: &[name::Zone], arrivals: Arrivals) -> [Tally; 2] {
     let mut rng = Pcg64Mcg::new(42);
-    let mut entries: Vec<_> = (0..ENTRIES).map(|_| Entry::new(others)).collect();
+    let mut entries: Vec<_> = (0..ENTRIES).map(|_| Entry::new(other_zones)).collect();
     let mut tallies = [Tally::default(); 2];
     let mut backlog = 0.0_f64;
-    let (mut reported, mut noted) = ((0, 0.0), (0, 0.0));
+    let (mut reported, mut latest) = ((0, 0.0), (0, 0.0));
     for millis in 0..60_000 {
         let now = Instant::from_millis(millis);
         if millis % REPORT_MS == 0 {
-            // Entries see the queue as it was one report ago.
-            (reported, noted) = (noted, (millis, backlog));
+            // Entries know the queue of the previous report.
+            (reported, latest) = (latest, (millis, backlog));
         }
         if millis % TICK_MS == 0 {
             let wait = Duration::from_secs_f64(reported.1 / CAPACITY);
@@ -117,7 +119,7 @@
                 if !rng.random_bool(arrivals(millis, organisation, index) / 1_000.0) {
                     continue;
                 }
-                tally.asked += 1;
+                tally.requested += 1;
                 if admit(now, entry, organisation, shared, &mut rng) {
                     let wait = Duration::from_secs_f64(backlog / CAPACITY);
                     tally.longest = tally.longest.max(wait);
@@ -143,19 +145,19 @@
         work: WORK,
     };
     if !shared {
-        return entry.gate.weigh(now, request, Ok(())) == Decision::Admit;
+        return entry.gate.decide(now, request, Ok(())) == Decision::Admit;
     }
-    let (account, cell) = (&entry.accounts[organisation], &entry.cells[organisation]);
-    admission::decide(now, request, Cost::default(), account, cell, &entry.gate, rng) == Decision::Admit
+    let (account, allowance) = (&entry.accounts[organisation], &entry.allowances[organisation]);
+    admission::decide(now, request, Cost::default(), account, allowance, &entry.gate, rng) == Decision::Admit
 }
 
 fn gossip(now: Instant, entries: &mut [Entry]) {
-    let told: Vec<_> = entries
+    let announced: Vec<_> = entries
         .iter_mut()
         .map(|entry| entry.pool.view.announce(now).entry.clone())
         .collect();
     for (index, entry) in entries.iter_mut().enumerate() {
-        for (other, rates) in told.iter().enumerate().filter(|(other, _)| *other != index) {
+        for (other, rates) in announced.iter().enumerate().filter(|(other, _)| *other != index) {
             let origin = demand::Origin::Entry(name::Entry::new(format!("entry-{other}")));
             entry
                 .pool
@@ -170,13 +172,13 @@
 }
 
 #[test]
-fn large_organisation_cannot_push_a_small_one_past_its_target() {
-    // The large organisation asks for ten times the capacity, the small one for a tenth of it. By waits alone the
-    // small one is refused as often as the large one. With shares it is never refused and never late, and the large
-    // one still gets all that is left.
+fn large_organisation_does_not_delay_a_small_one_past_its_target() {
+    // The large organisation requests ten times the capacity, the small one a tenth of it. By predicted waits alone, the
+    // small one is refused as often as the large one. With shares, it is never refused and never late, and the large one
+    // gets the rest of the capacity.
     let [_, alone] = run(false, &[], flood);
     println!("without shares: {alone:?}");
-    assert!(alone.refused * 2 > alone.asked, "without shares: {alone:?}");
+    assert!(alone.refused * 2 > alone.requested, "without shares: {alone:?}");
     let [large, small] = run(true, &[], flood);
     assert_eq!((small.refused, small.late), (0, 0), "{small:?}");
     common::check("share_small_longest_wait_s", small.longest.as_secs_f64());
@@ -185,9 +187,9 @@
 }
 
 #[test]
-fn zone_that_is_cut_off_shares_its_own_endpoints_alike() {
-    // The zone hears nothing of three others, whose entries are busy with endpoints of their own. What is shared here
-    // is this zone's capacity, so nothing of it is kept for them: the small organisation is as well off as before.
+fn partitioned_zone_shares_its_own_endpoints() {
+    // The zone receives nothing from three others, which serve from their own endpoints. Only this zone's capacity is
+    // shared, so no part of it is reserved for them, and the small organisation is neither refused nor late.
     let others = ["b", "c", "d"].map(name::Zone::from);
     let [large, small] = run(true, &others, flood);
     assert_eq!((small.refused, small.late), (0, 0), "{small:?}");
@@ -196,9 +198,9 @@
 }
 
 #[test]
-fn small_organisation_that_starts_under_a_flood_is_let_in_at_once() {
-    // The large organisation fills the service through the first entry alone; after half a minute the small one
-    // starts at the last entry, at its full share's rate. Nobody knew of its demand before.
+fn small_organisation_that_starts_under_overload_is_admitted_at_once() {
+    // The large organisation overloads the service through the first entry. After half a minute, the small one starts at the
+    // last entry with the rate of its full share; its demand was unknown before.
     let arrivals = |millis, organisation, entry| match (organisation, entry) {
         (LARGE, 0) => 900.0,
         (SMALL, 3) if millis >= 30_000 => 45.0,
@@ -206,7 +208,7 @@
     };
     let [large, small] = run(true, &[], arrivals);
     assert_eq!(small.late, 0);
-    common::check("share_newcomer_refused", small.refused as f64 / small.asked as f64);
+    common::check("share_newcomer_refused", small.refused as f64 / small.requested as f64);
     let used = (large.work + small.work) as f64 / (CAPACITY * 60.0);
     common::check("share_skewed_capacity_idle", 1.0 - used);
 }
@@ -222,7 +224,7 @@
 }
 
 #[test]
-fn refusals_say_why_and_when_to_come_back() {
+fn refusals_state_the_reason_and_the_retry_time() {
     let gate = Gate::new(admission::Settings::default());
     let second = Duration::from_secs(1);
     let urgent = admission::Request {
@@ -263,7 +265,7 @@
     for (request, share, wait, decision) in table {
         gate.set(Instant::ZERO, CAPACITY, [Duration::from_millis(wait); 3], 1.0);
         assert_eq!(
-            gate.weigh(Instant::ZERO, request, share),
+            gate.decide(Instant::ZERO, request, share),
             decision,
             "{request:?} {share:?} {wait} ms"
         );
@@ -281,15 +283,15 @@
         deferrable: true,
         work: 1_000_000,
     };
-    assert_eq!(gate.weigh(Instant::ZERO, rebuild, Ok(())), Decision::Admit);
+    assert_eq!(gate.decide(Instant::ZERO, rebuild, Ok(())), Decision::Admit);
     assert_eq!(gate.wait(Instant::ZERO, Urgency::Urgent), Duration::ZERO);
     assert_eq!(gate.wait(Instant::ZERO, Urgency::Deferrable), Duration::from_secs(100));
 }
 
 #[test]
-fn work_that_fits_in_free_slots_waits_for_nobody() {
-    // An engine has slots for as much work as it does in four seconds, twice the target. Callers who fill the slots at
-    // once all start at once; only those who come after them wait, and are refused when that is too long.
+fn work_that_fits_in_free_slots_does_not_wait() {
+    // An engine has slots for four seconds of work, twice the target. Requests that fill the slots all start at once; only
+    // later ones wait, and are refused if their wait is too long.
     let gate = Gate::new(admission::Settings::default());
     gate.set(Instant::ZERO, CAPACITY, [Duration::ZERO; 3], 1.0);
     gate.set_concurrency(Duration::from_secs(4));
@@ -301,31 +303,31 @@
         deferrable: false,
         work,
     };
-    let admitted = (0..100).filter(|_| gate.weigh(Instant::ZERO, request, Ok(())) == Decision::Admit);
-    // Forty tenths of a second fill the slots, and eighteen more wait for nine tenths of the target.
+    let admitted = (0..100).filter(|_| gate.decide(Instant::ZERO, request, Ok(())) == Decision::Admit);
+    // Forty requests of a tenth of a second fill the slots, and eighteen more fit into nine tenths of the target.
     assert_eq!(admitted.count(), 59);
     assert_eq!(gate.wait(Instant::ZERO, Urgency::Urgent), Duration::from_millis(1_900));
-    // Callers who got their answers make room for as many others.
+    // Each completed request frees capacity for another one.
     (0..2).for_each(|_| gate.complete(Urgency::Urgent, work));
-    let admitted = (0..100).filter(|_| gate.weigh(Instant::ZERO, request, Ok(())) == Decision::Admit);
+    let admitted = (0..100).filter(|_| gate.decide(Instant::ZERO, request, Ok(())) == Decision::Admit);
     assert_eq!(admitted.count(), 2);
     assert_eq!(gate.wait(Instant::ZERO, Urgency::Urgent), Duration::from_millis(1_900));
 }
 
 quickcheck! {
-    fn fill_wastes_nothing_and_keeps_guarantees(raw: Vec<(u8, u16)>, capacity: u16) -> bool {
-        let claims: Vec<_> = raw
+    fn division_wastes_nothing_and_keeps_guarantees(raw: Vec<(u8, u16)>, capacity: u16) -> bool {
+        let claimants: Vec<_> = raw
             .into_iter()
-            .map(|(weight, demand)| Claim { weight: f64::from(weight) + 1.0, demand: f64::from(demand) })
+            .map(|(weight, demand)| Claimant { weight: f64::from(weight) + 1.0, demand: f64::from(demand) })
             .collect();
         let capacity = f64::from(capacity);
-        let shares = fill(capacity, &claims);
-        let weights: f64 = claims.iter().map(|claim| claim.weight).sum();
-        let asked: f64 = claims.iter().map(|claim| claim.demand).sum();
-        let close = (shares.iter().sum::<f64>() - asked.min(capacity)).abs() < 1e-6;
-        close && claims.iter().zip(&shares).all(|(claim, share)| {
-            let guaranteed = capacity * claim.weight / weights;
-            *share <= claim.demand && *share + 1e-6 >= claim.demand.min(guaranteed)
+        let shares = divide(capacity, &claimants);
+        let weights: f64 = claimants.iter().map(|claimant| claimant.weight).sum();
+        let demand: f64 = claimants.iter().map(|claimant| claimant.demand).sum();
+        let close = (shares.iter().sum::<f64>() - demand.min(capacity)).abs() < 1e-6;
+        close && claimants.iter().zip(&shares).all(|(claimant, share)| {
+            let guaranteed = capacity * claimant.weight / weights;
+            *share <= claimant.demand && *share + 1e-6 >= claimant.demand.min(guaranteed)
         })
     }
 }
--- a/bergamotshift-limit/tests/throttle.rs
+++ b/bergamotshift-limit/tests/throttle.rs
@@ -1,4 +1,4 @@
-//! Rates that servers name for themselves, in virtual time.
+//! Rate limits that servers announce, in virtual time.
 
 use core::time::Duration;
 
@@ -9,11 +9,11 @@
 use quickcheck::TestResult;
 use quickcheck::quickcheck;
 
-/// The window in which requests are counted.
+/// Window in which requests are counted.
 const WINDOW: Duration = Duration::from_secs(4);
 
-/// The part of the rate by which it may be exceeded while two clients grant, and the requests beyond that.
-const MOST: (f64, f64) = (1.5, 5.0);
+/// Bound while two clients grant: a multiple of the rate, and additional requests.
+const BOUND: (f64, f64) = (1.5, 5.0);
 
 fn at(millis: u64) -> Instant {
     Instant::from_millis(10_000 + millis)
@@ -25,8 +25,8 @@
     throttle
 }
 
-/// Returns the most grants within a window.
-fn most_in_window(grants: &[Instant]) -> usize {
+/// Returns the maximum number of grants within a window.
+fn max_in_window(grants: &[Instant]) -> usize {
     let within = |from: &Instant| {
         grants
             .iter()
@@ -37,7 +37,7 @@
 }
 
 quickcheck! {
-    /// Guards against a budget that asking often makes larger.
+    /// Guards against a budget that grows when clients ask often.
     fn no_window_holds_more_than_the_rate(rate: u8, gaps: Vec<u8>) -> TestResult {
         if rate == 0 {
             return TestResult::discard();
@@ -52,13 +52,13 @@
             }
         }
         let most = f64::from(rate) * WINDOW.as_secs_f64() * 1.1 + 2.0;
-        TestResult::from_bool(most_in_window(&grants) as f64 <= most)
+        TestResult::from_bool(max_in_window(&grants) as f64 <= most)
     }
 }
 
-/// Guards against two clients that both take themselves for the one that grants, one of them as the second.
+/// Guards against exceeding the rate while the first granter and its deputy grant at the same time.
 #[test]
-fn a_first_and_a_second_that_grant_at_once_stay_within_the_bound() {
+fn a_granter_and_its_deputy_together_stay_within_the_bound() {
     for rate in [0.0, 0.3, 1.0, 4.0, 30.0, 200.0] {
         let (first, second) = (limited(rate), limited(rate));
         let mut grants = Vec::new();
@@ -67,14 +67,14 @@
             let granted = [first.grant(now, 1), second.grant(now, DEPUTY_COST)];
             grants.extend(granted.iter().filter(|granted| granted.is_ok()).map(|_| now));
         }
-        let (share, more) = MOST;
+        let (share, more) = BOUND;
         let allowed = rate * share * WINDOW.as_secs_f64() + more;
-        let most = most_in_window(&grants) as f64;
+        let most = max_in_window(&grants) as f64;
         assert!(most <= allowed, "{most} of {allowed} at {rate} a second");
     }
 }
 
-/// Guards against clients that change who grants, each with a budget of its own.
+/// Guards against exceeding the rate when the granter changes and each one has a budget of its own.
 #[test]
 fn a_successor_that_grants_for_two_seconds_beside_the_first_stays_within_the_bound() {
     for rate in [0.3, 1.0, 4.0, 30.0] {
@@ -91,8 +91,8 @@
             }
             grants.extend(granted.iter().filter(|granted| granted.is_ok()).map(|_| now));
         }
-        let (share, more) = MOST;
-        let most = most_in_window(&grants) as f64;
+        let (share, more) = BOUND;
+        let most = max_in_window(&grants) as f64;
         assert!(
             most <= rate * share * WINDOW.as_secs_f64() + more,
             "{most} at {rate} a second"
@@ -100,9 +100,9 @@
     }
 }
 
-/// Guards against an answer that was made before the limit, and arrives after it is known.
+/// Guards against an answer from before the limit that arrives after the limit is known.
 #[test]
-fn an_answer_that_was_overtaken_lifts_no_rate() {
+fn an_answer_that_arrives_out_of_order_lifts_no_limit() {
     let throttle = limited(2.0);
     assert!(!throttle.update(RateLimit::lifted(Instant::from_millis(9_990)), true));
     assert_eq!(throttle.rate(), Some(2.0));
@@ -110,9 +110,9 @@
     assert_eq!(throttle.rate(), None);
 }
 
-/// Guards against a limit that ends while its last refusal still keeps requests away.
+/// Guards against a pause that continues after the limit was lifted.
 #[test]
-fn a_limit_that_ends_opens_the_server_at_once() {
+fn a_lifted_limit_ends_the_pause_at_once() {
     let throttle = limited(0.01);
     throttle.pause(at(100_000));
     assert!(throttle.paused_until(at(1)).is_some());
@@ -121,9 +121,9 @@
     assert_eq!(throttle.grant(at(2), 1), Ok(()));
 }
 
-/// Guards against a server that takes nothing and so could never tell that it takes something again.
+/// Guards against a server with a rate of zero that gets no requests and so can never lift its limit.
 #[test]
-fn a_server_that_names_a_rate_of_nothing_is_asked_now_and_then() {
+fn a_server_with_a_rate_of_zero_still_gets_some_requests() {
     let throttle = limited(0.0);
     let granted = (0..60_000)
         .filter(|millis| throttle.grant(at(*millis), 1).is_ok())
@@ -131,9 +131,9 @@
     assert!((5..=7).contains(&granted), "{granted} in a minute");
 }
 
-/// Guards against words that go round among clients and hide that the limit has ended.
+/// Guards against limits that circulate among clients and hide that the limit was lifted.
 #[test]
-fn only_what_the_server_said_itself_is_passed_on() {
+fn only_limits_received_from_the_server_are_passed_on() {
     let throttle = Throttle::default();
     assert!(throttle.update(RateLimit::named(1.0, at(0)), false));
     assert_eq!(throttle.direct_limit(), None);
