--- a/bergamotshift-capacity/src/bench/capacity.rs
+++ b/bergamotshift-capacity/src/bench/capacity.rs
@@ -193,7 +193,7 @@
 
 impl Meter {
     fn new(offers: &[Offer], zones: usize) -> Self {
-        let reclaimable = || offers.iter().filter(|offer| offer.slot.reclaimable());
+        let reclaimable = || offers.iter().filter(|offer| offer.pool.reclaimable());
         let prices = || reclaimable().map(|offer| market::units(offer.price));
         let zones = zones as f64;
         Self {
--- a/bergamotshift-capacity/src/bench/market.rs
+++ b/bergamotshift-capacity/src/bench/market.rs
@@ -3,7 +3,7 @@
 use bergamotshift_core::prelude::*;
 
 use crate::market::Offer;
-use crate::market::Slot;
+use crate::market::Pool;
 
 /// Zones and their reclaimable prices per hour, in thousandths of the currency unit.
 const ZONES: [(&str, u64); 5] = [("a", 900), ("b", 1_000), ("c", 1_050), ("d", 1_200), ("e", 1_000)];
@@ -26,9 +26,9 @@
 
 impl Loss {
     /// Returns whether a start at this time is refused because of the loss.
-    pub fn refuses(&self, slot: &Slot, second: u64) -> bool {
-        let zone = slot.zone.as_str();
-        let here = zone == self.zone || (slot.reclaimable() && self.refusing.contains(&zone));
+    pub fn refuses(&self, pool: &Pool, second: u64) -> bool {
+        let zone = pool.zone.as_str();
+        let here = zone == self.zone || (pool.reclaimable() && self.refusing.contains(&zone));
         here && (self.at..self.at + self.span).contains(&second)
     }
 }
@@ -36,7 +36,7 @@
 /// Returns the offers of the first so many zones; one VM does one unit of work per second within the target.
 pub fn offers(zones: usize) -> Vec<Offer> {
     let offer = |(zone, price): (&str, u64), market, factor| Offer {
-        slot: Slot::new(name::Zone::new(zone), name::Class::new_static("gpu"), market),
+        pool: Pool::new(name::Zone::new(zone), name::Class::new_static("gpu"), market),
         price: Price::from_micros(price * MICROS_PER_MILLI * factor),
         rate: 1.0,
     };
--- a/bergamotshift-capacity/src/bench/platform.rs
+++ b/bergamotshift-capacity/src/bench/platform.rs
@@ -8,7 +8,7 @@
 use super::market::Loss;
 use crate::market::Offer;
 use crate::market::Phase;
-use crate::market::Slot;
+use crate::market::Pool;
 use crate::market::Vm;
 use crate::policy::Action;
 use crate::policy::Event;
@@ -38,8 +38,8 @@
 
     /// Takes a zone back, and returns what the policy is told.
     pub(super) fn lose(&mut self, zone: &str) -> Vec<Event> {
-        let gone = self.vms.extract_if(.., |vm| vm.slot.zone.as_str() == zone);
-        gone.map(|vm| Event::Reclaimed(vm.slot)).collect()
+        let gone = self.vms.extract_if(.., |vm| vm.pool.zone.as_str() == zone);
+        gone.map(|vm| Event::Reclaimed(vm.pool)).collect()
     }
 
     /// Lets VMs come up, and drained ones end their work.
@@ -58,10 +58,10 @@
     pub(super) fn carry_out(&mut self, now: Instant, action: Action, losses: &[Loss]) -> Option<Event> {
         let second = now.as_micros() / 1_000_000;
         match action {
-            Action::Start(slot) if losses.iter().any(|loss| loss.refuses(&slot, second)) => Some(Event::Refused(slot)),
-            Action::Start(slot) => {
-                self.start(now, slot.clone());
-                Some(Event::Started(slot))
+            Action::Start(pool) if losses.iter().any(|loss| loss.refuses(&pool, second)) => Some(Event::Refused(pool)),
+            Action::Start(pool) => {
+                self.start(now, pool.clone());
+                Some(Event::Started(pool))
             }
             Action::Drain(name) => {
                 if let Some(vm) = self.vms.iter_mut().find(|vm| vm.name == name) {
@@ -77,13 +77,13 @@
         }
     }
 
-    fn start(&mut self, now: Instant, slot: Slot) {
+    fn start(&mut self, now: Instant, pool: Pool) {
         self.starts += 1;
         let name = name::Vm::new(format!("vm-{:05}", self.starts));
         self.ready.push((now + BOOT, name.clone()));
         self.vms.push(Vm {
             name,
-            slot,
+            pool,
             rate: 1.0,
             phase: Phase::Starting,
         });
@@ -97,7 +97,7 @@
 
     /// Returns what all VMs cost per hour.
     pub(super) fn price(&self) -> f64 {
-        let offer = |vm: &Vm| self.offers.iter().find(|offer| offer.slot == vm.slot);
+        let offer = |vm: &Vm| self.offers.iter().find(|offer| offer.pool == vm.pool);
         let price = |vm: &Vm| offer(vm).map_or(0.0, |offer| market::units(offer.price));
         self.vms.iter().map(price).sum()
     }
--- a/bergamotshift-capacity/src/demand.rs
+++ b/bergamotshift-capacity/src/demand.rs
@@ -43,20 +43,20 @@
     /// The time over which demand is averaged.
     pub window: Duration,
     /// How long demand has to stay above the average before capacity follows it at once.
-    pub confirm: Duration,
+    pub confirm_time: Duration,
     /// How far ahead capacity has to be ready: the time from a purchase until the VM serves.
-    pub ahead: Duration,
+    pub lead_time: Duration,
     /// How long demand has to stay lower before capacity follows it down.
-    pub hold: Duration,
+    pub hold_time: Duration,
 }
 
 impl Default for Settings {
     fn default() -> Self {
         Self {
             window: Duration::from_mins(10),
-            confirm: Duration::from_mins(2),
-            ahead: Duration::from_mins(3),
-            hold: Duration::from_mins(15),
+            confirm_time: Duration::from_mins(2),
+            lead_time: Duration::from_mins(3),
+            hold_time: Duration::from_mins(15),
         }
     }
 }
@@ -101,12 +101,12 @@
         while self.lows.back().is_some_and(|(_, low)| *low >= reading) {
             self.lows.pop_back();
         }
-        let lasting = extreme(&mut self.lows, now, reading, self.settings.confirm);
+        let lasting = extreme(&mut self.lows, now, reading, self.settings.confirm_time);
         let led = (self.fast + self.rise()).max(lasting);
         while self.peaks.back().is_some_and(|(_, peak)| *peak <= led) {
             self.peaks.pop_back();
         }
-        extreme(&mut self.peaks, now, led, self.settings.hold)
+        extreme(&mut self.peaks, now, led, self.settings.hold_time)
     }
 
     fn average(&mut self, now: Instant, reading: f64) {
@@ -124,7 +124,7 @@
         // On a steady slope the two averages lie their lags' difference apart.
         let lag = self.settings.window.as_secs_f64() * (TREND - 1.0);
         let slope = (self.fast - self.slow) / lag;
-        let ahead = self.settings.ahead + self.settings.window;
+        let ahead = self.settings.lead_time + self.settings.window;
         (slope * ahead.as_secs_f64()).max(0.0)
     }
 }
--- a/bergamotshift-capacity/src/duty/fleet.rs
+++ b/bergamotshift-capacity/src/duty/fleet.rs
@@ -10,7 +10,7 @@
 
 use super::Order;
 use crate::market::Phase;
-use crate::market::Slot;
+use crate::market::Pool;
 use crate::market::Vm;
 
 /// Where a VM is on its way out; the order is that of the way, and no mark is unset.
@@ -24,7 +24,7 @@
 
 #[derive(Clone, Debug)]
 struct Row {
-    slot: Slot,
+    pool: Pool,
     incarnation: Incarnation,
     since: Instant,
     serving: Option<Instant>,
@@ -37,9 +37,9 @@
 }
 
 impl Row {
-    const fn new(since: Instant, slot: Slot) -> Self {
+    const fn new(since: Instant, pool: Pool) -> Self {
         Self {
-            slot,
+            pool,
             incarnation: Incarnation::new(0),
             since,
             serving: None,
@@ -71,19 +71,19 @@
 
 impl Fleet {
     /// Notes a VM that was sold; the list shows it later.
-    pub(super) fn bought(&mut self, now: Instant, vm: name::Vm, slot: Slot) {
-        self.rows.entry(vm).or_insert_with(|| Row::new(now, slot));
+    pub(super) fn bought(&mut self, now: Instant, vm: name::Vm, pool: Pool) {
+        self.rows.entry(vm).or_insert_with(|| Row::new(now, pool));
     }
 
-    /// Takes the platform's list over, and returns the slots of VMs that it took back.
+    /// Takes the platform's list over, and returns the pools of VMs that it took back.
     ///
     /// Failure: the list lags. Symptoms: a VM just sold is missing, a VM given back or leaving is shown as live.
     /// One that was never listed is not taken for gone, and marks of an incarnation are never unset.
-    pub(super) fn listed(&mut self, now: Instant, listings: &[Listing]) -> Vec<Slot> {
+    pub(super) fn listed(&mut self, now: Instant, listings: &[Listing]) -> Vec<Pool> {
         let mut reclaimed = Vec::new();
         for listing in listings {
-            let slot = Slot::new(listing.zone.clone(), listing.class.clone(), listing.market);
-            let new = || Row::new(now, slot.clone());
+            let pool = Pool::new(listing.zone.clone(), listing.class.clone(), listing.market);
+            let new = || Row::new(now, pool.clone());
             let row = self.rows.entry(listing.name.clone()).or_insert_with(new);
             if row.listed && listing.incarnation > row.incarnation {
                 *row = new();
@@ -93,13 +93,13 @@
             let leaves = matches!(listing.state, State::Leaving { .. });
             if leaves && row.course < Course::Leaving {
                 row.course = Course::Leaving;
-                reclaimed.push(slot);
+                reclaimed.push(pool);
             }
         }
         let shown = |vm: &name::Vm| listings.iter().any(|listing| listing.name == *vm);
         let gone = self.rows.extract_if(.., |vm, row| row.listed && !shown(vm));
         let taken = gone.filter(|(_, row)| row.course < Course::Leaving);
-        reclaimed.extend(taken.map(|(_, row)| row.slot));
+        reclaimed.extend(taken.map(|(_, row)| row.pool));
         reclaimed
     }
 
@@ -113,13 +113,13 @@
         }
     }
 
-    /// Returns the slots of VMs that have just become overdue; the policy no longer counts on them.
-    pub(super) fn overdue(&mut self, now: Instant, boot: Duration) -> Vec<Slot> {
+    /// Returns the pools of VMs that have just become overdue; the policy no longer counts on them.
+    pub(super) fn overdue(&mut self, now: Instant, boot: Duration) -> Vec<Pool> {
         let late = |row: &&mut Row| row.phase() == Some(Phase::Starting) && now.since(row.since) >= boot;
         let rows = self.rows.values_mut().filter(late);
         rows.map(|row| {
             row.overdue = true;
-            row.slot.clone()
+            row.pool.clone()
         })
         .collect()
     }
@@ -131,12 +131,12 @@
     /// silence taken for a failed start.
     pub(super) fn failed(&self, now: Instant, fresh: Duration) -> Vec<name::Vm> {
         let heard = |row: &&Row| row.heard.is_some_and(|at| now.since(at) <= fresh);
-        let zones: BTreeSet<_> = self.rows.values().filter(heard).map(|row| &row.slot.zone).collect();
+        let zones: BTreeSet<_> = self.rows.values().filter(heard).map(|row| &row.pool.zone).collect();
         let failed = |row: &Row| row.overdue && row.phase().is_none() && row.course == Course::Up;
         let rows = self
             .rows
             .iter()
-            .filter(|(_, row)| failed(row) && zones.contains(&row.slot.zone));
+            .filter(|(_, row)| failed(row) && zones.contains(&row.pool.zone));
         rows.map(|(vm, _)| vm.clone()).collect()
     }
 
@@ -175,12 +175,12 @@
         orders
     }
 
-    pub(super) fn vms(&self, rate: impl Fn(&Slot) -> f64) -> impl Iterator<Item = Vm> {
+    pub(super) fn vms(&self, rate: impl Fn(&Pool) -> f64) -> impl Iterator<Item = Vm> {
         self.rows.iter().filter_map(move |(name, row)| {
             Some(Vm {
                 name: name.clone(),
-                slot: row.slot.clone(),
-                rate: rate(&row.slot),
+                pool: row.pool.clone(),
+                rate: rate(&row.pool),
                 phase: row.phase()?,
             })
         })
--- a/bergamotshift-capacity/src/duty/mod.rs
+++ b/bergamotshift-capacity/src/duty/mod.rs
@@ -11,8 +11,8 @@
 //!
 //! let policy = policy::build(policy::DEFAULT, policy::Settings::default()).expect("it registers itself");
 //! let mut kernel = Kernel::new(Settings::default(), policy, 7);
-//! let slot = |zone| Slot::new(name::Zone::new(zone), name::Class::from("gpu"), Market::Reclaimable);
-//! let offers = ["a", "b"].map(|zone| Offer { slot: slot(zone), price: Price::from_micros(1), rate: 1.0 });
+//! let pool = |zone| Pool::new(name::Zone::new(zone), name::Class::from("gpu"), Market::Reclaimable);
+//! let offers = ["a", "b"].map(|zone| Offer { pool: pool(zone), price: Price::from_micros(1), rate: 1.0 });
 //! let demand = Demand { urgent: 1.0, deferrable: 0.0 };
 //! assert!(kernel.tick(Instant::ZERO, &offers, demand).is_empty(), "a new holder looks before it buys");
 //! let orders = kernel.tick(Instant::from_secs(60), &offers, demand);
@@ -31,7 +31,7 @@
 use crate::demand::Demand;
 use crate::market::Offer;
 use crate::market::Phase;
-use crate::market::Slot;
+use crate::market::Pool;
 use crate::market::Vm;
 use crate::policy::Action;
 use crate::policy::Event;
@@ -55,7 +55,7 @@
         /// Names the purchase.
         token: Token,
         /// What is bought.
-        slot: Slot,
+        pool: Pool,
     },
     /// It lets a VM finish its work.
     Drain(name::Vm),
@@ -67,26 +67,26 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Settings {
     /// From a purchase until the VM has to serve.
-    pub boot: Duration,
+    pub boot_timeout: Duration,
     /// Until an order without an effect is given again.
-    pub repeat: Duration,
+    pub retry_interval: Duration,
     /// How far the platform's list may lag, and so how long a new holder buys nothing.
-    pub lag: Duration,
+    pub max_list_lag: Duration,
 }
 
 impl Default for Settings {
     fn default() -> Self {
         Self {
-            boot: Duration::from_mins(6),
-            repeat: Duration::from_secs(30),
-            lag: Duration::from_secs(30),
+            boot_timeout: Duration::from_mins(6),
+            retry_interval: Duration::from_secs(30),
+            max_list_lag: Duration::from_secs(30),
         }
     }
 }
 
 #[derive(Clone, Debug)]
 struct Purchase {
-    slot: Slot,
+    pool: Pool,
     first: Instant,
     last: Instant,
 }
@@ -118,30 +118,30 @@
     }
 
     /// Notes that a purchase was made.
-    pub fn sold(&mut self, now: Instant, token: Token, vm: name::Vm) {
+    pub fn record_purchase(&mut self, now: Instant, token: Token, vm: name::Vm) {
         // An answer may come twice, or after the purchase was given up: then the list shows the VM.
         if let Some(purchase) = self.purchases.remove(&token) {
-            self.policy.event(now, &Event::Started(purchase.slot.clone()));
-            self.fleet.bought(now, vm, purchase.slot);
+            self.policy.event(now, &Event::Started(purchase.pool.clone()));
+            self.fleet.bought(now, vm, purchase.pool);
         }
     }
 
     /// Notes that a purchase was refused.
-    pub fn refused(&mut self, now: Instant, token: Token) {
+    pub fn record_refusal(&mut self, now: Instant, token: Token) {
         if let Some(purchase) = self.purchases.remove(&token) {
-            self.policy.event(now, &Event::Refused(purchase.slot));
+            self.policy.event(now, &Event::Refused(purchase.pool));
         }
     }
 
     /// Notes the platform's list of the service's VMs.
-    pub fn listed(&mut self, now: Instant, listings: &[Listing]) {
-        for slot in self.fleet.listed(now, listings) {
-            self.policy.event(now, &Event::Reclaimed(slot));
+    pub fn record_listings(&mut self, now: Instant, listings: &[Listing]) {
+        for pool in self.fleet.listed(now, listings) {
+            self.policy.event(now, &Event::Reclaimed(pool));
         }
     }
 
     /// Notes that a VM's endpoint answers, and whether nothing runs there.
-    pub fn serving(&mut self, now: Instant, vm: &name::Vm, idle: bool) {
+    pub fn record_serving(&mut self, now: Instant, vm: &name::Vm, idle: bool) {
         self.fleet.serving(now, vm, idle);
     }
 
@@ -160,39 +160,39 @@
             match action {
                 // Failure: the last holder bought just before it lost the lease. Symptom: its purchases are not
                 // listed yet, and the new holder buys them again. After the list's lag it sees them.
-                Action::Start(_) if now.since(begun) < self.settings.lag => {}
-                Action::Start(slot) => orders.push(self.start(now, slot)),
+                Action::Start(_) if now.since(begun) < self.settings.max_list_lag => {}
+                Action::Start(pool) => orders.push(self.start(now, pool)),
                 Action::Drain(vm) => orders.extend(self.fleet.drain(now, vm)),
                 Action::Stop(vm) => orders.extend(self.fleet.stop(now, vm)),
             }
         }
-        orders.extend(self.fleet.repeat(now, self.settings.repeat));
+        orders.extend(self.fleet.repeat(now, self.settings.retry_interval));
         orders
     }
 
-    fn start(&mut self, now: Instant, slot: Slot) -> Order {
+    fn start(&mut self, now: Instant, pool: Pool) -> Order {
         self.ordered += 1;
         let token = Token {
             fencing: self.fencing,
             number: self.ordered,
         };
         let purchase = Purchase {
-            slot: slot.clone(),
+            pool: pool.clone(),
             first: now,
             last: now,
         };
         self.purchases.insert(token, purchase);
-        Order::Start { token, slot }
+        Order::Start { token, pool }
     }
 
     /// Orders purchases without an answer again, under the same token.
     fn repeat_purchases(&mut self, now: Instant) -> Vec<Order> {
         let mut orders = Vec::new();
         for (token, purchase) in &mut self.purchases {
-            if now.since(purchase.last) >= self.settings.repeat {
+            if now.since(purchase.last) >= self.settings.retry_interval {
                 purchase.last = now;
-                let (token, slot) = (*token, purchase.slot.clone());
-                orders.push(Order::Start { token, slot });
+                let (token, pool) = (*token, purchase.pool.clone());
+                orders.push(Order::Start { token, pool });
             }
         }
         orders
@@ -200,29 +200,29 @@
 
     /// Gives up what took too long, and tells the policy to try elsewhere.
     fn give_up(&mut self, now: Instant) -> Vec<Order> {
-        let boot = self.settings.boot;
+        let boot = self.settings.boot_timeout;
         let late = self
             .purchases
             .extract_if(.., |_, purchase| now.since(purchase.first) >= boot);
-        let mut slots: Vec<_> = late.map(|(_, purchase)| purchase.slot).collect();
-        slots.extend(self.fleet.overdue(now, boot));
-        for slot in slots {
-            self.policy.event(now, &Event::Refused(slot));
+        let mut pools: Vec<_> = late.map(|(_, purchase)| purchase.pool).collect();
+        pools.extend(self.fleet.overdue(now, boot));
+        for pool in pools {
+            self.policy.event(now, &Event::Refused(pool));
         }
-        let failed = self.fleet.failed(now, self.settings.repeat);
+        let failed = self.fleet.failed(now, self.settings.retry_interval);
         failed.into_iter().filter_map(|vm| self.fleet.stop(now, vm)).collect()
     }
 
     /// Returns the picture that the policy sees; a purchase without an answer counts as a VM that starts.
     fn vms(&self, offers: &[Offer]) -> Vec<Vm> {
-        let rate = |slot: &Slot| {
-            let offer = offers.iter().find(|offer| offer.slot == *slot);
+        let rate = |pool: &Pool| {
+            let offer = offers.iter().find(|offer| offer.pool == *pool);
             offer.map_or(0.0, |offer| offer.rate)
         };
         let purchases = self.purchases.iter().map(|(token, purchase)| Vm {
             name: name::Vm::new(format!("purchase {}.{}", token.fencing, token.number)),
-            slot: purchase.slot.clone(),
-            rate: rate(&purchase.slot),
+            pool: purchase.pool.clone(),
+            rate: rate(&purchase.pool),
             phase: Phase::Starting,
         });
         purchases.chain(self.fleet.vms(rate)).collect()
--- a/bergamotshift-capacity/src/lib.rs
+++ b/bergamotshift-capacity/src/lib.rs
@@ -8,8 +8,8 @@
 //! use bergamotshift_capacity::prelude::*;
 //! use bergamotshift_core::prelude::*;
 //!
-//! let slot = |zone| Slot::new(name::Zone::new(zone), name::Class::from("gpu"), Market::Reclaimable);
-//! let offers = ["a", "b", "c"].map(|zone| Offer { slot: slot(zone), price: Price::from_micros(1_000_000), rate: 1.0 });
+//! let pool = |zone| Pool::new(name::Zone::new(zone), name::Class::from("gpu"), Market::Reclaimable);
+//! let offers = ["a", "b", "c"].map(|zone| Offer { pool: pool(zone), price: Price::from_micros(1_000_000), rate: 1.0 });
 //! let demand = Demand { urgent: 1.5, deferrable: 0.0 };
 //! let mut policy = policy::build(policy::DEFAULT, policy::Settings::default()).expect("it registers itself");
 //! let actions = policy.plan(Instant::ZERO, &Situation { offers: &offers, vms: &[], demand });
--- a/bergamotshift-capacity/src/market.rs
+++ b/bergamotshift-capacity/src/market.rs
@@ -7,7 +7,7 @@
 /// A kind of VM that the platform sells: a class in a zone on a market.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Serialize, Deserialize)]
-pub struct Slot {
+pub struct Pool {
     /// The availability zone.
     pub zone: name::Zone,
     /// The machine class.
@@ -16,8 +16,8 @@
     pub market: Market,
 }
 
-impl Slot {
-    /// Makes a slot.
+impl Pool {
+    /// Makes a pool.
     pub const fn new(zone: name::Zone, class: name::Class, market: Market) -> Self {
         Self { zone, class, market }
     }
@@ -28,11 +28,11 @@
     }
 }
 
-/// What a slot costs and brings.
+/// What a pool costs and brings.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Offer {
     /// What is sold.
-    pub slot: Slot,
+    pub pool: Pool,
     /// The price of one VM per hour.
     pub price: Price,
     /// Units of work per second that one VM does while it meets the latency target.
@@ -68,7 +68,7 @@
     /// Its name.
     pub name: name::Vm,
     /// What it was bought as.
-    pub slot: Slot,
+    pub pool: Pool,
     /// Units of work per second that it does.
     pub rate: f64,
     /// Where it stands.
--- a/bergamotshift-capacity/src/policy/mod.rs
+++ b/bergamotshift-capacity/src/policy/mod.rs
@@ -18,7 +18,7 @@
 use crate::demand;
 use crate::demand::Demand;
 use crate::market::Offer;
-use crate::market::Slot;
+use crate::market::Pool;
 use crate::market::Vm;
 
 /// The name of the policy that is used unless settings choose another.
@@ -39,7 +39,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
     /// A VM is bought.
-    Start(Slot),
+    Start(Pool),
     /// A VM gets no new work.
     Drain(name::Vm),
     /// A drained VM is given back.
@@ -50,11 +50,11 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
     /// The platform sold a VM.
-    Started(Slot),
+    Started(Pool),
     /// The platform refused to sell one, or it did not come up in time.
-    Refused(Slot),
+    Refused(Pool),
     /// The platform took VMs of this kind back.
-    Reclaimed(Slot),
+    Reclaimed(Pool),
 }
 
 /// Decides on a service's capacity.
--- a/bergamotshift-capacity/src/policy/peak.rs
+++ b/bergamotshift-capacity/src/policy/peak.rs
@@ -36,9 +36,9 @@
         if tally.carries(need) {
             return Vec::new();
         }
-        let open = |offer: &&Offer| !offer.slot.reclaimable() && self.backoff.open(now, &offer.slot);
-        let slots = purchase::cheapest(&tally, situation.offers.iter().filter(open), need);
-        slots.into_iter().map(Action::Start).collect()
+        let open = |offer: &&Offer| !offer.pool.reclaimable() && self.backoff.open(now, &offer.pool);
+        let pools = purchase::cheapest(&tally, situation.offers.iter().filter(open), need);
+        pools.into_iter().map(Action::Start).collect()
     }
 
     fn event(&mut self, now: Instant, event: &Event) {
--- a/bergamotshift-capacity/src/policy/purchase.rs
+++ b/bergamotshift-capacity/src/policy/purchase.rs
@@ -8,14 +8,14 @@
 use super::tally::Tally;
 use crate::demand::Demand;
 use crate::market::Offer;
-use crate::market::Slot;
+use crate::market::Pool;
 
 /// Returns the cheapest purchase beside what is there, or as near to it as the offers come.
 ///
 /// The cap on a zone's capacity is tried at each size. Under a cap, the cheapest zones are filled up to it, until what
 /// remains without one full zone carries the urgent work: a low cap spreads over dear zones, a high one buys more in
 /// cheap ones. The deferrable work's rest goes to the cheapest zone, as it need not survive the loss of one.
-pub(super) fn cheapest<'a>(have: &Tally, offers: impl Iterator<Item = &'a Offer>, need: Demand) -> Vec<Slot> {
+pub(super) fn cheapest<'a>(have: &Tally, offers: impl Iterator<Item = &'a Offer>, need: Demand) -> Vec<Pool> {
     let offers = best_per_zone(offers);
     let Some(unit) = offers.iter().map(|offer| offer.rate).reduce(f64::min) else {
         return Vec::new();
@@ -29,14 +29,14 @@
     let cost = |plan: &Vec<&Offer>| plan.iter().map(|offer| offer.price).sum::<Price>();
     // Of plans that cost the same the first has the lowest cap, so the widest spread.
     let plan = plans.min_by_key(cost).unwrap_or_else(|| widest(have, &offers, need));
-    plan.into_iter().map(|offer| offer.slot.clone()).collect()
+    plan.into_iter().map(|offer| offer.pool.clone()).collect()
 }
 
 /// Returns each zone's cheapest offer, the cheapest zone first.
 fn best_per_zone<'a>(offers: impl Iterator<Item = &'a Offer>) -> Vec<&'a Offer> {
     let mut best: BTreeMap<&name::Zone, &Offer> = BTreeMap::new();
     for offer in offers {
-        let known = best.entry(&offer.slot.zone).or_insert(offer);
+        let known = best.entry(&offer.pool.zone).or_insert(offer);
         if offer.price_per_rate() < known.price_per_rate() {
             *known = offer;
         }
@@ -50,7 +50,7 @@
     let mut tally = have.clone();
     let mut bought = Vec::new();
     for offer in offers {
-        let zone = &offer.slot.zone;
+        let zone = &offer.pool.zone;
         while tally.total() - cap + EPSILON < need.urgent && tally.zone(zone) + offer.rate <= cap + EPSILON {
             tally.add(zone, offer.rate);
             bought.push(*offer);
@@ -75,7 +75,7 @@
 
 fn fill<'a>(tally: &mut Tally, offer: &'a Offer, need: Demand, bought: &mut Vec<&'a Offer>) {
     while tally.total() + EPSILON < need.total() {
-        tally.add(&offer.slot.zone, offer.rate);
+        tally.add(&offer.pool.zone, offer.rate);
         bought.push(offer);
     }
 }
--- a/bergamotshift-capacity/src/policy/reactive.rs
+++ b/bergamotshift-capacity/src/policy/reactive.rs
@@ -35,18 +35,18 @@
         let open: Vec<&Offer> = situation
             .offers
             .iter()
-            .filter(|offer| self.backoff.open(now, &offer.slot))
+            .filter(|offer| self.backoff.open(now, &offer.pool))
             .collect();
         while tally.total() + EPSILON < wanted {
             let order = |offer: &&&Offer| {
-                let zone = (tally.zone(&offer.slot.zone) * 1e6) as u64;
-                (!offer.slot.reclaimable(), zone, offer.price)
+                let zone = (tally.zone(&offer.pool.zone) * 1e6) as u64;
+                (!offer.pool.reclaimable(), zone, offer.price)
             };
             let Some(offer) = open.iter().min_by_key(order) else {
                 break;
             };
-            tally.add(&offer.slot.zone, offer.rate);
-            actions.push(Action::Start(offer.slot.clone()));
+            tally.add(&offer.pool.zone, offer.rate);
+            actions.push(Action::Start(offer.pool.clone()));
         }
         actions
     }
@@ -58,13 +58,13 @@
             .iter()
             .filter(|vm| matches!(vm.phase, Phase::Live(_)))
             .collect();
-        vms.sort_by_key(|vm| vm.slot.reclaimable());
+        vms.sort_by_key(|vm| vm.pool.reclaimable());
         let mut actions = Vec::new();
         for vm in vms {
             if tally.total() - vm.rate + EPSILON < wanted {
                 break;
             }
-            tally.remove(&vm.slot.zone, vm.rate);
+            tally.remove(&vm.pool.zone, vm.rate);
             actions.push(Action::Drain(vm.name.clone()));
         }
         actions
--- a/bergamotshift-capacity/src/policy/spread.rs
+++ b/bergamotshift-capacity/src/policy/spread.rs
@@ -60,18 +60,18 @@
         if tally.carries(need) {
             return Vec::new();
         }
-        let open = |offer: &&Offer| self.backoff.open(now, &offer.slot);
+        let open = |offer: &&Offer| self.backoff.open(now, &offer.pool);
         let reclaimable = situation
             .offers
             .iter()
             .filter(open)
-            .filter(|offer| offer.slot.reclaimable());
-        let mut slots = purchase::cheapest(&tally, reclaimable, need);
-        for offer in slots
+            .filter(|offer| offer.pool.reclaimable());
+        let mut pools = purchase::cheapest(&tally, reclaimable, need);
+        for offer in pools
             .iter()
-            .filter_map(|slot| situation.offers.iter().find(|offer| offer.slot == *slot))
+            .filter_map(|pool| situation.offers.iter().find(|offer| offer.pool == *pool))
         {
-            tally.add(&offer.slot.zone, offer.rate);
+            tally.add(&offer.pool.zone, offer.rate);
         }
         let urgent = Demand {
             deferrable: 0.0,
@@ -80,26 +80,26 @@
         if !tally.carries(urgent) {
             // Bought anew from all markets: reclaimable VMs in one zone alone would not help beside them.
             let have = Tally::planned(situation.vms);
-            slots = purchase::cheapest(&have, situation.offers.iter().filter(open), urgent);
+            pools = purchase::cheapest(&have, situation.offers.iter().filter(open), urgent);
         }
-        slots.into_iter().map(Action::Start).collect()
+        pools.into_iter().map(Action::Start).collect()
     }
 
     /// Buys one reclaimable VM in place of one on demand, at most one each hold time.
     fn replacement(&mut self, now: Instant, situation: &Situation<'_>) -> Option<Action> {
-        let hold = self.settings.damping.hold;
+        let hold = self.settings.damping.hold_time;
         let dear =
-            |vm: &Vm| !vm.slot.reclaimable() && matches!(vm.phase, Phase::Live(since) if now.since(since) >= hold);
+            |vm: &Vm| !vm.pool.reclaimable() && matches!(vm.phase, Phase::Live(since) if now.since(since) >= hold);
         let recent = self.replaced.is_some_and(|at| now.since(at) < hold);
         if recent || !situation.vms.iter().any(dear) {
             return None;
         }
         let tally = Tally::planned(situation.vms);
-        let open = |offer: &&Offer| offer.slot.reclaimable() && self.backoff.open(now, &offer.slot);
-        let smallest = |offer: &&Offer| (tally.zone(&offer.slot.zone) * 1e6) as u64;
+        let open = |offer: &&Offer| offer.pool.reclaimable() && self.backoff.open(now, &offer.pool);
+        let smallest = |offer: &&Offer| (tally.zone(&offer.pool.zone) * 1e6) as u64;
         let offer = situation.offers.iter().filter(open).min_by_key(smallest)?;
         self.replaced = Some(now);
-        Some(Action::Start(offer.slot.clone()))
+        Some(Action::Start(offer.pool.clone()))
     }
 
     /// Returns the VMs that can go: the dearest first, then those of the largest zone.
@@ -115,13 +115,13 @@
         if !tally.carries(beyond) {
             return Vec::new();
         }
-        let hold = self.settings.damping.hold;
+        let hold = self.settings.damping.hold_time;
         let old = |vm: &&Vm| matches!(vm.phase, Phase::Live(since) if now.since(since) >= hold);
         let mut vms: Vec<_> = situation.vms.iter().filter(old).collect();
         let price = |vm: &Vm| price_per_rate(situation.offers, vm);
         vms.sort_by(|left, right| {
             let by_price = price(right).total_cmp(&price(left));
-            let by_zone = tally.zone(&right.slot.zone).total_cmp(&tally.zone(&left.slot.zone));
+            let by_zone = tally.zone(&right.pool.zone).total_cmp(&tally.zone(&left.pool.zone));
             by_price.then(by_zone).then_with(|| left.name.cmp(&right.name))
         });
         let most = (situation.vms.len() / DRAIN_PART).max(1);
@@ -130,11 +130,11 @@
             if actions.len() == most {
                 break;
             }
-            tally.remove(&vm.slot.zone, vm.rate);
+            tally.remove(&vm.pool.zone, vm.rate);
             if tally.carries(need) {
                 actions.push(Action::Drain(vm.name.clone()));
             } else {
-                tally.add(&vm.slot.zone, vm.rate);
+                tally.add(&vm.pool.zone, vm.rate);
             }
         }
         actions
@@ -167,6 +167,6 @@
 
 /// Returns what a VM costs per unit of work; one that is no longer sold counts as the dearest.
 fn price_per_rate(offers: &[Offer], vm: &Vm) -> f64 {
-    let offer = offers.iter().find(|offer| offer.slot == vm.slot);
+    let offer = offers.iter().find(|offer| offer.pool == vm.pool);
     offer.map_or(f64::INFINITY, Offer::price_per_rate)
 }
--- a/bergamotshift-capacity/src/policy/tally.rs
+++ b/bergamotshift-capacity/src/policy/tally.rs
@@ -32,7 +32,7 @@
     fn of(vms: &[Vm], counts: impl Fn(Phase) -> bool) -> Self {
         let mut tally = Self::default();
         for vm in vms.iter().filter(|vm| counts(vm.phase)) {
-            tally.add(&vm.slot.zone, vm.rate);
+            tally.add(&vm.pool.zone, vm.rate);
         }
         tally
     }
--- a/bergamotshift-capacity/src/prelude.rs
+++ b/bergamotshift-capacity/src/prelude.rs
@@ -5,7 +5,7 @@
 pub use crate::duty;
 pub use crate::market::Offer;
 pub use crate::market::Phase;
-pub use crate::market::Slot;
+pub use crate::market::Pool;
 pub use crate::market::Vm;
 pub use crate::placement;
 pub use crate::policy;
--- a/bergamotshift-capacity/tests/duty.rs
+++ b/bergamotshift-capacity/tests/duty.rs
@@ -22,7 +22,7 @@
 
 fn offers() -> Vec<Offer> {
     let offer = |zone| Offer {
-        slot: Slot::new(
+        pool: Pool::new(
             name::Zone::new(zone),
             name::Class::new_static("gpu"),
             Market::Reclaimable,
@@ -64,7 +64,7 @@
 
 fn purchases(orders: &[Order]) -> Vec<(Token, String)> {
     let purchase = |order: &Order| match order {
-        Order::Start { token, slot } => Some((*token, slot.zone.to_string())),
+        Order::Start { token, pool } => Some((*token, pool.zone.to_string())),
         _ => None,
     };
     orders.iter().filter_map(purchase).collect()
@@ -75,11 +75,11 @@
     let mut kernel = kernel();
     assert_eq!(tick(&mut kernel, 0, 2.0), []);
     for (token, zone) in purchases(&tick(&mut kernel, 60, 2.0)) {
-        kernel.sold(at(61), token, name::Vm::new(format!("vm-{zone}")));
+        kernel.record_purchase(at(61), token, name::Vm::new(format!("vm-{zone}")));
     }
-    kernel.listed(at(100), &ZONES.map(|zone| listing(zone, 1, State::Live)));
+    kernel.record_listings(at(100), &ZONES.map(|zone| listing(zone, 1, State::Live)));
     for zone in ZONES {
-        kernel.serving(at(200), &name::Vm::new(format!("vm-{zone}")), false);
+        kernel.record_serving(at(200), &name::Vm::new(format!("vm-{zone}")), false);
     }
     assert_eq!(tick(&mut kernel, 201, 2.0), []);
     kernel
@@ -93,7 +93,7 @@
     for second in [0, 10, 20] {
         assert_eq!(tick(&mut kernel, second, 2.0), []);
     }
-    kernel.listed(at(25), &ZONES.map(|zone| listing(zone, 1, State::Live)));
+    kernel.record_listings(at(25), &ZONES.map(|zone| listing(zone, 1, State::Live)));
     assert_eq!(tick(&mut kernel, 40, 2.0), []);
 }
 
@@ -108,7 +108,7 @@
     assert_eq!(tick(&mut kernel, 75, 2.0), []);
     assert_eq!(purchases(&tick(&mut kernel, 90, 2.0)), first);
     for (token, zone) in first.iter().chain(&first) {
-        kernel.sold(at(91), *token, name::Vm::new(format!("vm-{zone}")));
+        kernel.record_purchase(at(91), *token, name::Vm::new(format!("vm-{zone}")));
     }
     assert_eq!(tick(&mut kernel, 130, 2.0), []);
 }
@@ -121,10 +121,10 @@
     let mut kernel = kernel();
     tick(&mut kernel, 0, 2.0);
     for (token, zone) in purchases(&tick(&mut kernel, 60, 2.0)) {
-        kernel.sold(at(61), token, name::Vm::new(format!("vm-{zone}")));
+        kernel.record_purchase(at(61), token, name::Vm::new(format!("vm-{zone}")));
     }
     for zone in ["a", "b"] {
-        kernel.serving(at(200), &name::Vm::new(format!("vm-{zone}")), false);
+        kernel.record_serving(at(200), &name::Vm::new(format!("vm-{zone}")), false);
     }
     let orders = tick(&mut kernel, 421, 2.0);
     let stop = Order::Stop(name::Vm::new("vm-c"));
@@ -134,8 +134,8 @@
 
     let mut other = listing("c", 1, State::Live);
     other.name = name::Vm::new("vm-other");
-    kernel.listed(at(430), &[other]);
-    kernel.serving(at(430), &name::Vm::new("vm-other"), false);
+    kernel.record_listings(at(430), &[other]);
+    kernel.record_serving(at(430), &name::Vm::new("vm-other"), false);
     assert!(tick(&mut kernel, 431, 2.0).contains(&stop));
 }
 
@@ -145,7 +145,7 @@
     // However long that lasts it stops none of them; when it hears of them again they count.
     let mut kernel = kernel();
     tick(&mut kernel, 0, 2.0);
-    kernel.listed(at(10), &ZONES.map(|zone| listing(zone, 1, State::Live)));
+    kernel.record_listings(at(10), &ZONES.map(|zone| listing(zone, 1, State::Live)));
     for second in (20..2_000).step_by(20) {
         let orders = tick(&mut kernel, second, 2.0);
         assert!(
@@ -153,11 +153,11 @@
             "{orders:?}"
         );
         for (token, _) in purchases(&orders) {
-            kernel.refused(at(second), token);
+            kernel.record_refusal(at(second), token);
         }
     }
     for zone in ZONES {
-        kernel.serving(at(2_000), &name::Vm::new(format!("vm-{zone}")), false);
+        kernel.record_serving(at(2_000), &name::Vm::new(format!("vm-{zone}")), false);
     }
     assert_eq!(tick(&mut kernel, 2_001, 2.0), []);
 }
@@ -174,23 +174,23 @@
             listing("c", 1, state),
         ]
     };
-    kernel.listed(at(300), &left(LEAVING));
+    kernel.record_listings(at(300), &left(LEAVING));
     let bought = purchases(&tick(&mut kernel, 301, 2.0));
     assert!(
         bought.iter().all(|(_, zone)| zone != "c") && !bought.is_empty(),
         "{bought:?}"
     );
     for (token, _) in bought {
-        kernel.refused(at(302), token);
+        kernel.record_refusal(at(302), token);
     }
-    kernel.listed(at(303), &left(State::Live));
+    kernel.record_listings(at(303), &left(State::Live));
     assert!(
         !purchases(&tick(&mut kernel, 400, 2.0)).is_empty(),
         "the leaving VM counts no more"
     );
     let mut kernel = settled();
-    kernel.listed(at(300), &left(LEAVING));
-    kernel.listed(
+    kernel.record_listings(at(300), &left(LEAVING));
+    kernel.record_listings(
         at(310),
         &[
             listing("a", 1, State::Live),
@@ -210,7 +210,7 @@
     let drained = loop {
         second += 60;
         for zone in ZONES {
-            kernel.serving(at(second), &name::Vm::new(format!("vm-{zone}")), true);
+            kernel.record_serving(at(second), &name::Vm::new(format!("vm-{zone}")), true);
         }
         if let [Order::Drain(vm)] = &*tick(&mut kernel, second, 0.0) {
             break vm.clone();
@@ -224,12 +224,12 @@
         again.contains(&Order::Drain(drained.clone())) && !again.contains(&stop),
         "{again:?}"
     );
-    kernel.serving(at(second + 32), &drained, true);
+    kernel.record_serving(at(second + 32), &drained, true);
     assert!(tick(&mut kernel, second + 33, 0.0).contains(&stop));
     assert!(!tick(&mut kernel, second + 34, 0.0).contains(&stop));
     assert!(tick(&mut kernel, second + 70, 0.0).contains(&stop));
     let listings = ZONES.map(|zone| listing(zone, 1, State::Live));
     let left: Vec<_> = listings.into_iter().filter(|listing| listing.name != drained).collect();
-    kernel.listed(at(second + 80), &left);
+    kernel.record_listings(at(second + 80), &left);
     assert!(!tick(&mut kernel, second + 120, 0.0).contains(&stop));
 }
--- a/bergamotshift-capacity/tests/policy.rs
+++ b/bergamotshift-capacity/tests/policy.rs
@@ -9,13 +9,13 @@
 
 const ZONES: [&str; 4] = ["a", "b", "c", "d"];
 
-fn slot(zone: &str, market: Market) -> Slot {
-    Slot::new(name::Zone::new(zone), name::Class::new_static("gpu"), market)
+fn pool(zone: &str, market: Market) -> Pool {
+    Pool::new(name::Zone::new(zone), name::Class::new_static("gpu"), market)
 }
 
 fn offers(prices: [u64; 4]) -> Vec<Offer> {
     let offer = |(zone, price): (&str, u64), market, factor| Offer {
-        slot: slot(zone, market),
+        pool: pool(zone, market),
         price: Price::from_micros(price * factor),
         rate: 1.0,
     };
@@ -26,17 +26,17 @@
         .collect()
 }
 
-fn vm(number: usize, slot: Slot, phase: Phase) -> Vm {
+fn vm(number: usize, pool: Pool, phase: Phase) -> Vm {
     Vm {
         name: name::Vm::new(format!("vm-{number}")),
-        slot,
+        pool,
         rate: 1.0,
         phase,
     }
 }
 
 fn live(zones: &[&str], market: Market) -> Vec<Vm> {
-    let vm = |(index, zone): (usize, &&str)| vm(index, slot(zone, market), Phase::Live(Instant::ZERO));
+    let vm = |(index, zone): (usize, &&str)| vm(index, pool(zone, market), Phase::Live(Instant::ZERO));
     zones.iter().enumerate().map(vm).collect()
 }
 
@@ -60,8 +60,8 @@
 fn starts(actions: &[Action]) -> BTreeMap<(String, bool), usize> {
     let mut counts = BTreeMap::new();
     for action in actions {
-        if let Action::Start(slot) = action {
-            let key = (slot.zone.to_string(), slot.reclaimable());
+        if let Action::Start(pool) = action {
+            let key = (pool.zone.to_string(), pool.reclaimable());
             *counts.entry(key).or_insert(0) += 1;
         }
     }
@@ -130,7 +130,7 @@
     let mut policy = spread();
     let offers = offers([10, 11, 12, 13]);
     let refuse = |policy: &mut dyn Policy, second| {
-        let event = Event::Refused(slot("a", Market::Reclaimable));
+        let event = Event::Refused(pool("a", Market::Reclaimable));
         policy.event(Instant::from_secs(second), &event);
     };
     let asks_a = |policy: &mut dyn Policy, second| {
@@ -152,7 +152,7 @@
     let mut policy = spread();
     let offers = offers([10; 4]);
     for zone in ["a", "b", "c"] {
-        policy.event(Instant::ZERO, &Event::Refused(slot(zone, Market::Reclaimable)));
+        policy.event(Instant::ZERO, &Event::Refused(pool(zone, Market::Reclaimable)));
     }
     let counts = starts(&plan(&mut *policy, 0, &offers, &[], 3.0));
     let dear: usize = counts
@@ -163,17 +163,17 @@
     assert_eq!((dear, counts.values().sum::<usize>()), (3, 4), "{counts:?}");
 
     let mut vms = live(&["d"], Market::Reclaimable);
-    vms.push(vm(1, slot("a", Market::OnDemand), Phase::Live(Instant::ZERO)));
-    vms.push(vm(2, slot("b", Market::OnDemand), Phase::Live(Instant::ZERO)));
-    vms.push(vm(3, slot("c", Market::OnDemand), Phase::Live(Instant::ZERO)));
+    vms.push(vm(1, pool("a", Market::OnDemand), Phase::Live(Instant::ZERO)));
+    vms.push(vm(2, pool("b", Market::OnDemand), Phase::Live(Instant::ZERO)));
+    vms.push(vm(3, pool("c", Market::OnDemand), Phase::Live(Instant::ZERO)));
     let actions = plan(&mut *policy, 3_600, &offers, &vms, 3.0);
     assert!(
-        matches!(&*actions, [Action::Start(slot)] if slot.reclaimable()),
+        matches!(&*actions, [Action::Start(pool)] if pool.reclaimable()),
         "{actions:?}"
     );
     vms.push(vm(
         4,
-        slot("a", Market::Reclaimable),
+        pool("a", Market::Reclaimable),
         Phase::Live(Instant::from_secs(3_700)),
     ));
     let actions = plan(&mut *policy, 3_700, &offers, &vms, 3.0);
--- a/bergamotshift-entry/src/control/death.rs
+++ b/bergamotshift-entry/src/control/death.rs
@@ -88,7 +88,7 @@
         self.regain(endpoint);
         let key = self.fleet.find(endpoint).and_then(|known| known.key);
         if let Some(key) = key {
-            let _ = self.fleet.registry.report(key, report, self.shared.now());
+            let _ = self.fleet.registry.record_report(key, report, self.shared.now());
             self.due(Due::Tick);
         }
     }
@@ -105,7 +105,7 @@
         let key = self.fleet.find(endpoint).and_then(|known| known.key);
         let snapshot = self.shared.publisher.current();
         let row = key.and_then(|key| snapshot.view.find(key));
-        row.map_or(0, |row| row.counter().mark().finished)
+        row.map_or(0, |row| row.counter().totals().finished)
     }
 
     pub(super) fn announced(&mut self, endpoint: &Endpoint) {
--- a/bergamotshift-entry/src/control/fleet.rs
+++ b/bergamotshift-entry/src/control/fleet.rs
@@ -99,7 +99,7 @@
         let news = !core::mem::replace(&mut known.leaving, true);
         let key = known.key;
         if let Some(key) = key.filter(|_| news) {
-            let _ = self.registry.leave(key);
+            let _ = self.registry.mark_leaving(key);
         }
         news
     }
@@ -191,7 +191,7 @@
     };
     let key = registry.insert(entered).ok()?;
     if known.leaving {
-        let _ = registry.leave(key);
+        let _ = registry.mark_leaving(key);
     }
     Some(key)
 }
--- a/bergamotshift-entry/src/control/peers.rs
+++ b/bergamotshift-entry/src/control/peers.rs
@@ -39,7 +39,7 @@
                 let at = self.shared.now() - age;
                 let key = self.by_id(&endpoint).and_then(|known| known.key);
                 if let Some(key) = key {
-                    let _ = self.fleet.registry.report(key, report, at);
+                    let _ = self.fleet.registry.record_report(key, report, at);
                     self.due(Due::Tick);
                 }
             }
--- a/bergamotshift-entry/src/duties/capacity.rs
+++ b/bergamotshift-entry/src/duties/capacity.rs
@@ -5,7 +5,7 @@
 use bergamotshift_capacity::duty::Kernel;
 use bergamotshift_capacity::duty::Order;
 use bergamotshift_capacity::duty::Token;
-use bergamotshift_capacity::market::Slot;
+use bergamotshift_capacity::market::Pool;
 use bergamotshift_capacity::policy;
 use bergamotshift_config::config::Service;
 use bergamotshift_core::prelude::*;
@@ -108,7 +108,7 @@
         let role = Role::Endpoint(self.service.name.clone());
         let own: Vec<_> = listings.iter().filter(|vm| vm.role == role).cloned().collect();
         if let Some(kernel) = &mut self.kernel {
-            kernel.listed(now, &own);
+            kernel.record_listings(now, &own);
         }
     }
 
@@ -117,7 +117,7 @@
         let now = self.clock.now();
         let Some(kernel) = &mut self.kernel else { return };
         for (vm, reached) in &picture.reached {
-            kernel.serving(now, vm, reached.idle);
+            kernel.record_serving(now, vm, reached.idle);
         }
         for order in kernel.tick(now, &picture.offers, picture.demand) {
             if self.carry_out(order, picture).await == Pace::Stop {
@@ -155,7 +155,7 @@
             return Pace::Stop;
         };
         match order {
-            Order::Start { token, slot } => self.start(token, slot).await,
+            Order::Start { token, pool } => self.start(token, pool).await,
             Order::Stop(vm) => {
                 if let Err(error) = self.hands.cloud.stop(vm.clone()).await {
                     warn!(self.hands.logger, "a VM is not stopped"; "vm" => vm.as_str(), "error" => %error);
@@ -166,27 +166,27 @@
         Pace::On
     }
 
-    async fn start(&mut self, token: Token, slot: Slot) {
+    async fn start(&mut self, token: Token, pool: Pool) {
         // The name follows from the purchase, so asking again buys nothing twice.
         let Token { fencing, number } = token;
         let name = name::Vm::new(format!("{}-{fencing}-{number}", self.service.name));
         let spec = Spec {
             name: name.clone(),
-            zone: slot.zone,
-            class: slot.class,
-            market: slot.market,
+            zone: pool.zone,
+            class: pool.class,
+            market: pool.market,
             role: Role::Endpoint(self.service.name.clone()),
         };
         let sold = self.hands.cloud.start(spec).await;
         let now = self.clock.now();
         let Some(kernel) = &mut self.kernel else { return };
         match sold {
-            Ok(()) => kernel.sold(now, token, name),
+            Ok(()) => kernel.record_purchase(now, token, name),
             // It may have been sold; the kernel asks again under the same name.
             Err(Error::Unknown(_)) => {}
             Err(error) => {
                 info!(self.hands.logger, "a VM is refused"; "vm" => name.as_str(), "error" => %error);
-                kernel.refused(now, token);
+                kernel.record_refusal(now, token);
             }
         }
     }
--- a/bergamotshift-entry/src/duties/picture.rs
+++ b/bergamotshift-entry/src/duties/picture.rs
@@ -4,7 +4,7 @@
 
 use bergamotshift_capacity::demand::Demand;
 use bergamotshift_capacity::market::Offer;
-use bergamotshift_capacity::market::Slot;
+use bergamotshift_capacity::market::Pool;
 use bergamotshift_config::config::Config;
 use bergamotshift_config::config::Service;
 use bergamotshift_core::prelude::*;
@@ -75,8 +75,8 @@
         for class in config.classes.keys().filter(fits) {
             for market in [Market::Reclaimable, Market::OnDemand] {
                 let price = config.price(zone, class, market);
-                let slot = Slot::new(zone.clone(), class.clone(), market);
-                offers.extend(price.map(|price| Offer { slot, price, rate }));
+                let pool = Pool::new(zone.clone(), class.clone(), market);
+                offers.extend(price.map(|price| Offer { pool, price, rate }));
             }
         }
     }
--- a/bergamotshift-entry/src/exchange/choose.rs
+++ b/bergamotshift-entry/src/exchange/choose.rs
@@ -6,9 +6,9 @@
 
 use bergamotshift_core::prelude::*;
 use bergamotshift_limit::quarantine;
-use bergamotshift_route::Ask;
 use bergamotshift_route::Choice;
 use bergamotshift_route::Refusal;
+use bergamotshift_route::Request;
 use bergamotshift_route::flight;
 
 use super::Error;
@@ -74,22 +74,22 @@
                     _seat: seat,
                 }))
             }
-            Err(Refusal::Nowhere) if crowded => {
+            Err(Refusal::NoEndpoint) if crowded => {
                 self.crowded += 1;
                 tokio::time::sleep(ENDPOINT_LOOK).await;
                 Ok(None)
             }
-            Err(Refusal::Later { until }) => {
+            Err(Refusal::Deferred { until }) => {
                 let until = until.min(self.call.times.deadline);
                 tokio::time::sleep(until.since(now).max(ENDPOINT_LOOK)).await;
                 Ok(None)
             }
-            Err(Refusal::Nowhere) if !self.tried.is_empty() => {
+            Err(Refusal::NoEndpoint) if !self.tried.is_empty() => {
                 // All were tried. One that failed may have come back, so it is better than none.
                 self.tried.clear();
                 Ok(None)
             }
-            Err(Refusal::Nowhere) => {
+            Err(Refusal::NoEndpoint) => {
                 let waited = ENDPOINT_LOOK.saturating_mul(self.lost);
                 if self.made == 0 || waited >= ENDPOINT_WAIT {
                     return Err(Error::NoEndpoint);
@@ -116,7 +116,7 @@
         exclude: &[key::Endpoint],
     ) -> Result<(Choice, flight::Guard), Refusal> {
         let call = &self.call;
-        let ask = Ask {
+        let ask = Request {
             now,
             service: service.number,
             zones: snapshot.zones_for(service, &call.organisation),
@@ -130,13 +130,13 @@
             prefix: &call.work.prefix,
             block_tokens: BLOCK_TOKENS,
             exclude,
-            ..Ask::default()
+            ..Request::default()
         };
         let policy = &self.worker.shared.policy;
         let choice = self
             .worker
             .with_generator(|generator| policy.choose(&snapshot.view, &ask, generator))?;
-        let guard = snapshot.view.send(&choice, &ask);
+        let guard = snapshot.view.record_sent(&choice, &ask);
         Ok((choice, guard))
     }
 }
--- a/bergamotshift-entry/src/sharing/flow.rs
+++ b/bergamotshift-entry/src/sharing/flow.rs
@@ -4,7 +4,7 @@
 use bergamotshift_core::load::Report;
 use bergamotshift_core::prelude::*;
 use bergamotshift_route::estimate::Speed;
-use bergamotshift_route::flight::Mark;
+use bergamotshift_route::flight::Totals;
 use bergamotshift_route::view::Row;
 
 /// The time over which a plain service's calls are averaged, in seconds.
@@ -34,9 +34,9 @@
 struct Reported {
     sequence: u64,
     /// The counts when the report before it was first seen, so before this one was made.
-    before: Mark,
+    before: Totals,
     /// The counts when it was first seen.
-    seen: Mark,
+    seen: Totals,
 }
 
 impl Flow {
@@ -68,7 +68,7 @@
 
     /// Estimates calls per second by Little's law: the time that each call took, and how many run at once.
     fn plain(&mut self, now: Instant, row: &Row, report: &Report) -> Option<f64> {
-        let mark = row.counter().mark();
+        let mark = row.counter().totals();
         if let Some(looked) = self.looked {
             let span = now.since(looked).as_secs_f64();
             let kept = (-span / MEMORY).exp();
@@ -95,7 +95,7 @@
     /// in between may be in it, so that is taken off, down to what this entry itself has there. The others' part may
     /// be taken for smaller by as much, until the next report.
     pub(super) fn present(&mut self, row: &Row, report: &Report, entries: u32) -> f64 {
-        let now = row.counter().mark();
+        let now = row.counter().totals();
         let reported = match self.reported {
             Some(known) if known.sequence == report.sequence => known,
             known => Reported {
--- a/bergamotshift-entry/src/sharing/load/tests.rs
+++ b/bergamotshift-entry/src/sharing/load/tests.rs
@@ -3,7 +3,7 @@
 use bergamotshift_config::config::Kind;
 use bergamotshift_core::load::Report;
 use bergamotshift_core::prelude::*;
-use bergamotshift_route::Ask;
+use bergamotshift_route::Request;
 use bergamotshift_route::View;
 use bergamotshift_route::flight::Guard;
 use bergamotshift_route::policy;
@@ -57,7 +57,7 @@
             decode_rate: 1_000,
             ..Report::default()
         };
-        self.registry.report(self.key, report, REPORTED).unwrap();
+        self.registry.record_report(self.key, report, REPORTED).unwrap();
     }
 
     fn view(&mut self) -> View {
@@ -66,18 +66,18 @@
 
     fn send(&mut self, count: usize) -> Vec<Guard> {
         let view = self.view();
-        let ask = Ask {
+        let ask = Request {
             service: self.service,
             zones: Set::ALL,
             classes: Set::ALL,
-            ..Ask::default()
+            ..Request::default()
         };
         let policy = policy::build("least")
             .or_else(|| policy::build(policy::DEFAULT))
             .unwrap();
         let mut generator = Pcg64Mcg::new(1);
         let mut choose = || policy.choose(&view, &ask, &mut generator).unwrap();
-        (0..count).map(|_| view.send(&choose(), &ask)).collect()
+        (0..count).map(|_| view.record_sent(&choose(), &ask)).collect()
     }
 
     fn ahead(&mut self) -> f64 {
--- a/bergamotshift-entry/tests/duties/daemon.rs
+++ b/bergamotshift-entry/tests/duties/daemon.rs
@@ -73,7 +73,7 @@
     let config = config.unwrap_or_else(|error| panic!("{error}"));
     let instant = demand::Settings {
         window: Duration::from_millis(100),
-        confirm: Duration::ZERO,
+        confirm_time: Duration::ZERO,
         ..demand::Settings::default()
     };
     let entry = Daemon::start(Settings {
@@ -87,7 +87,7 @@
         },
         duties: duties::Settings {
             duty: bergamotshift_capacity::duty::Settings {
-                lag: Duration::ZERO,
+                max_list_lag: Duration::ZERO,
                 ..bergamotshift_capacity::duty::Settings::default()
             },
             policy: policy::Settings {
--- a/bergamotshift-entry/tests/duties/fencing.rs
+++ b/bergamotshift-entry/tests/duties/fencing.rs
@@ -63,7 +63,7 @@
     for checks in [true, false] {
         let mut site = Site::start(checks).await;
         // A new holder buys at once, so that only the wait keeps it from the cloud.
-        site.settings.duty.lag = Duration::ZERO;
+        site.settings.duty.max_list_lag = Duration::ZERO;
         let (mut first, mut second) = (site.entry(), site.entry());
         site.run(&mut first, 120, 2.0 * RATE, false).await;
         drop(first);
--- a/bergamotshift-entry/tests/duties/site.rs
+++ b/bergamotshift-entry/tests/duties/site.rs
@@ -7,7 +7,7 @@
 
 use bergamotshift_capacity::demand::Demand;
 use bergamotshift_capacity::market::Offer;
-use bergamotshift_capacity::market::Slot;
+use bergamotshift_capacity::market::Pool;
 use bergamotshift_claim::lease::Keeper;
 use bergamotshift_config::config::Service;
 use bergamotshift_config::folder;
@@ -247,7 +247,7 @@
 
 fn offers() -> Vec<Offer> {
     let offer = |(zone, market)| Offer {
-        slot: Slot::new(name::Zone::new(zone), name::Class::from("small"), market),
+        pool: Pool::new(name::Zone::new(zone), name::Class::from("small"), market),
         price: Price::from_micros(if market == Market::OnDemand { 300_000 } else { 100_000 }),
         rate: RATE,
     };
--- a/bergamotshift-replay/src/world/dispatch.rs
+++ b/bergamotshift-replay/src/world/dispatch.rs
@@ -4,8 +4,8 @@
 
 use bergamotshift_core::prelude::*;
 use bergamotshift_limit::quarantine::Verdict;
-use bergamotshift_route::Ask;
 use bergamotshift_route::Refusal;
+use bergamotshift_route::request;
 
 use super::Task;
 use super::World;
@@ -68,11 +68,11 @@
         let alone = verdict == Verdict::Alone && !cleared;
         match self.choose(job, alone, now) {
             Ok(()) => {}
-            Err(Refusal::Later { .. }) => {
+            Err(Refusal::Deferred { .. }) => {
                 let task = &self.tasks[job as usize];
                 self.entries[task.entry].pending.insert((task.request.deadline, job));
             }
-            Err(Refusal::Nowhere) => {
+            Err(Refusal::NoEndpoint) => {
                 self.tasks[job as usize].exclude.clear();
                 self.agenda.add(now + RETRY, Event::Send { job });
             }
@@ -99,7 +99,7 @@
         self.prefix.clear();
         self.prefix.extend(request.chain.blocks(context, block_tokens));
         let service = entry.service(request.service);
-        let ask = Ask {
+        let ask = request::Request {
             now,
             service,
             urgency: request.urgency,
@@ -111,7 +111,7 @@
             prefix: &self.prefix,
             block_tokens,
             exclude: &exclude,
-            ..Ask::default()
+            ..request::Request::default()
         };
         let choice = self.policy.choose(&entry.view, &ask, &mut entry.rng)?;
         let vm = entry.vms.get(&choice.key).copied();
@@ -121,7 +121,7 @@
             self.agenda.add(now + fleet::REFUSED, Event::Send { job });
             return Ok(());
         };
-        task.flight = Some(entry.view.send(&choice, &ask));
+        task.flight = Some(entry.view.record_sent(&choice, &ask));
         task.vm = Some(vm);
         task.epoch += 1;
         if alone {
--- a/bergamotshift-replay/src/world/fleet.rs
+++ b/bergamotshift-replay/src/world/fleet.rs
@@ -199,7 +199,7 @@
         }
         for (entry, &key) in self.entries.iter_mut().zip(&self.vms[vm].keys) {
             // An endpoint that was forgotten meanwhile needs no news.
-            let _known = entry.registry.report(key, report, now).is_ok();
+            let _known = entry.registry.record_report(key, report, now).is_ok();
             let hints = entry.registry.hints();
             match change {
                 Some(change) => {
@@ -207,7 +207,7 @@
                     change.evicted.iter().for_each(|&block| hints.remove(block, key));
                 }
                 None => {
-                    let _known = entry.registry.gap(key, now).is_ok();
+                    let _known = entry.registry.record_event_gap(key, now).is_ok();
                 }
             }
         }
@@ -216,7 +216,7 @@
     /// Marks a VM as leaving at all entries, at once in their views.
     pub(super) fn mark_leaving(&mut self, vm: usize, now: Instant) {
         for (entry, &key) in self.entries.iter_mut().zip(&self.vms[vm].keys) {
-            if entry.registry.leave(key).is_ok() {
+            if entry.registry.mark_leaving(key).is_ok() {
                 entry.publish(now);
             }
         }
--- a/bergamotshift-replay/src/world/reclaim.rs
+++ b/bergamotshift-replay/src/world/reclaim.rs
@@ -65,7 +65,7 @@
             streams.extend(self.streams(endpoint, vm));
         }
         let notice = Notice {
-            left: self.site.notice.saturating_sub(HEARD),
+            remaining: self.site.notice.saturating_sub(HEARD),
             ..Notice::default()
         };
         for step in reclaim::plan(&notice, &streams) {
--- a/bergamotshift-route/benches/choice.rs
+++ b/bergamotshift-route/benches/choice.rs
@@ -38,7 +38,7 @@
             decode_rate: 2_000,
             ..Report::default()
         };
-        registry.report(key, report, Instant::ZERO).expect("it is known");
+        registry.record_report(key, report, Instant::ZERO).expect("it is known");
         registry
             .hints()
             .record(&prompt(u64::from(number) % 500), key, Instant::ZERO);
@@ -65,14 +65,14 @@
             group.bench_function(BenchmarkId::new(name, endpoints), |b| {
                 b.iter(|| {
                     turn = (turn + 1) % prompts.len();
-                    let ask = Ask {
+                    let request = Request {
                         now: Instant::from_millis(400),
                         urgency: Urgency::Urgent,
                         prompt_tokens: 3_300,
                         prefix: &prompts[turn],
-                        ..Ask::default()
+                        ..Request::default()
                     };
-                    black_box(policy.choose(&view, &ask, &mut rng))
+                    black_box(policy.choose(&view, &request, &mut rng))
                 });
             });
         }
--- a/bergamotshift-route/src/choice.rs
+++ b/bergamotshift-route/src/choice.rs
@@ -23,10 +23,10 @@
 pub enum Refusal {
     /// No endpoint is live that the rules allow.
     #[error("no endpoint is live that may run the request")]
-    Nowhere,
+    NoEndpoint,
     /// Deferrable work finds no cheap room yet; it should ask again at this moment at the latest.
     #[error("no cheap room until {until}")]
-    Later {
+    Deferred {
         /// When to ask again.
         until: Instant,
     },
--- a/bergamotshift-route/src/estimate/mod.rs
+++ b/bergamotshift-route/src/estimate/mod.rs
@@ -9,7 +9,7 @@
 use bergamotshift_core::load::Report;
 use bergamotshift_core::prelude::*;
 
-use crate::ask::Ask;
+use crate::request::Request;
 use crate::view::Row;
 use crate::view::View;
 
@@ -107,7 +107,7 @@
     /// Returns the load of an endpoint from its last report and this entry's own counts.
     pub fn of(view: &View, row: &Row, now: Instant) -> Self {
         let speed = &row.endpoint.speed;
-        let counts = row.counter.mark();
+        let counts = row.counter.totals();
         let own = counts.in_flight() as f32 * view.entries as f32;
         let Some(report) = row.report else {
             return Self {
@@ -162,18 +162,18 @@
 
 impl Forecast {
     /// Returns the forecast for a request of whose prompt `cached` tokens need no computing.
-    pub fn of(view: &View, row: &Row, ask: &Ask<'_>, cached: f32) -> Self {
+    pub fn of(view: &View, row: &Row, request: &Request<'_>, cached: f32) -> Self {
         let endpoint = &row.endpoint;
         let speed = &endpoint.speed;
-        let load = Load::of(view, row, ask.now);
-        let prompt = (ask.prompt_tokens as f32 - cached).max(1.0);
+        let load = Load::of(view, row, request.now);
+        let prompt = (request.prompt_tokens as f32 - cached).max(1.0);
         let batch = (load.sequences + 1.0).min(load.slots);
         let step = speed.step_micros(batch);
         let chunk = speed.chunk_tokens.max(1) as f32;
-        let answer = ask.answer_tokens.max(1) as f32;
+        let answer = request.answer_tokens.max(1) as f32;
 
         // A queued prompt slows every step by a chunk, so waiting time is counted in steps that carry one.
-        let ahead = row.counter.share_ahead(ask.urgency);
+        let ahead = row.counter.share_ahead(request.urgency);
         let queued = load.backlog * ahead + prompt;
         let steps = (queued / chunk).max(1.0);
         let waiting = (load.sequences * ahead + 1.0 - load.slots).max(0.0);
@@ -187,7 +187,7 @@
         let mean_rate = view.mean_price(endpoint.service).max(1.0) / MICROS_PER_HOUR / speed.slowness();
         let span = first_micros + answer * between_micros;
         let reclaims = endpoint.reclaims_per_mille_hour as f32 / 1_000.0 * span / MICROS_PER_HOUR;
-        let again = speed.prompt_micros(ask.prompt_tokens as f32 + answer / 2.0);
+        let again = speed.prompt_micros(request.prompt_tokens as f32 + answer / 2.0);
         Self {
             first_micros,
             between_micros,
@@ -195,7 +195,7 @@
             prompt_tokens: prompt,
             cost: rate * (engine + reclaims * again),
             mean_cost: mean_rate * (engine + reclaims * again),
-            full_cost: mean_rate * (speed.prompt_micros(ask.prompt_tokens as f32) + answer * speed.token_micros()),
+            full_cost: mean_rate * (speed.prompt_micros(request.prompt_tokens as f32) + answer * speed.token_micros()),
             load,
         }
     }
@@ -217,14 +217,14 @@
     }
 
     /// Returns how much of the tighter target is used: 1 is just met.
-    pub fn pressure(&self, ask: &Ask<'_>) -> f32 {
-        let between = self.between_micros / (ask.between_tokens.as_micros() as f32).max(1.0);
-        self.first_pressure(ask).max(between)
+    pub fn pressure(&self, request: &Request<'_>) -> f32 {
+        let between = self.between_micros / (request.between_tokens.as_micros() as f32).max(1.0);
+        self.first_pressure(request).max(between)
     }
 
     /// Returns how much of the target for the first token is used.
-    pub fn first_pressure(&self, ask: &Ask<'_>) -> f32 {
-        self.first_micros / (ask.first_token.as_micros() as f32).max(1.0)
+    pub fn first_pressure(&self, request: &Request<'_>) -> f32 {
+        self.first_micros / (request.first_token.as_micros() as f32).max(1.0)
     }
 
     /// Returns the forecast in the units that callers use.
--- a/bergamotshift-route/src/flight.rs
+++ b/bergamotshift-route/src/flight.rs
@@ -22,7 +22,7 @@
 
 /// The totals at one moment.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Mark {
+pub struct Totals {
     /// Requests sent so far.
     pub sent: u32,
     /// Requests ended so far.
@@ -33,8 +33,8 @@
 
 impl Counter {
     /// Returns the totals now.
-    pub fn mark(&self) -> Mark {
-        Mark {
+    pub fn totals(&self) -> Totals {
+        Totals {
             sent: self.sent.load(Ordering::Relaxed),
             finished: self.finished.load(Ordering::Relaxed),
             prompt_tokens: self.prompt_tokens.load(Ordering::Relaxed),
@@ -57,11 +57,11 @@
 
     /// Returns how many requests this entry has in flight.
     pub fn in_flight(&self) -> u32 {
-        self.mark().in_flight()
+        self.totals().in_flight()
     }
 }
 
-impl Mark {
+impl Totals {
     /// Returns how many requests were sent and not ended.
     pub const fn in_flight(self) -> u32 {
         self.sent.wrapping_sub(self.finished)
--- a/bergamotshift-route/src/policy/mod.rs
+++ b/bergamotshift-route/src/policy/mod.rs
@@ -7,10 +7,10 @@
 use rand::Rng as _;
 use rand_pcg::Pcg64Mcg;
 
-use crate::ask::Ask;
 use crate::choice::Choice;
 use crate::choice::Refusal;
 use crate::estimate::Forecast;
+use crate::request::Request;
 use crate::view::View;
 
 mod affinity;
@@ -38,7 +38,7 @@
     /// # Errors
     ///
     /// Returns a [`Refusal`] when no endpoint may run the request, or deferrable work should wait.
-    fn choose(&self, view: &View, ask: &Ask<'_>, rng: &mut Pcg64Mcg) -> Result<Choice, Refusal>;
+    fn choose(&self, view: &View, request: &Request<'_>, rng: &mut Pcg64Mcg) -> Result<Choice, Refusal>;
 }
 
 /// A policy's descriptor.
@@ -74,18 +74,21 @@
 }
 
 /// Returns the first allowed place of the pool from position `start` on, going round once.
-fn first_allowed(view: &View, ask: &Ask<'_>, start: usize) -> Option<u16> {
-    let pool = view.pool(ask.service);
+fn first_allowed(view: &View, request: &Request<'_>, start: usize) -> Option<u16> {
+    let pool = view.pool(request.service);
     let (head, tail) = pool.split_at(start.min(pool.len()));
-    tail.iter().chain(head).copied().find(|&place| view.allows(place, ask))
+    tail.iter()
+        .chain(head)
+        .copied()
+        .find(|&place| view.allows(place, request))
 }
 
 /// Returns the choice of a place for which nothing is known to be cached.
-fn choice(view: &View, ask: &Ask<'_>, place: u16) -> Choice {
+fn choice(view: &View, request: &Request<'_>, place: u16) -> Choice {
     choice_with(
         view,
         place,
-        &Forecast::of(view, &view.rows[usize::from(place)], ask, 0.0),
+        &Forecast::of(view, &view.rows[usize::from(place)], request, 0.0),
     )
 }
 
--- a/bergamotshift-route/src/policy/pair.rs
+++ b/bergamotshift-route/src/policy/pair.rs
@@ -5,10 +5,10 @@
 
 use super::Kind;
 use super::Policy;
-use crate::ask::Ask;
 use crate::choice::Choice;
 use crate::choice::Refusal;
 use crate::estimate::Load;
+use crate::request::Request;
 use crate::view::View;
 
 /// Draws two allowed endpoints and sends to the one with fewer sequences.
@@ -16,17 +16,17 @@
 pub struct Pair;
 
 impl Policy for Pair {
-    fn choose(&self, view: &View, ask: &Ask<'_>, rng: &mut Pcg64Mcg) -> Result<Choice, Refusal> {
-        let size = view.pool(ask.service).len();
-        let mut draw = || super::first_allowed(view, ask, super::below(rng, size)).ok_or(Refusal::Nowhere);
+    fn choose(&self, view: &View, request: &Request<'_>, rng: &mut Pcg64Mcg) -> Result<Choice, Refusal> {
+        let size = view.pool(request.service).len();
+        let mut draw = || super::first_allowed(view, request, super::below(rng, size)).ok_or(Refusal::NoEndpoint);
         let (left, right) = (draw()?, draw()?);
-        let sequences = |place: u16| Load::of(view, &view.rows[usize::from(place)], ask.now).sequences;
+        let sequences = |place: u16| Load::of(view, &view.rows[usize::from(place)], request.now).sequences;
         let place = if sequences(right) < sequences(left) {
             right
         } else {
             left
         };
-        Ok(super::choice(view, ask, place))
+        Ok(super::choice(view, request, place))
     }
 }
 
--- a/bergamotshift-route/src/policy/rotation.rs
+++ b/bergamotshift-route/src/policy/rotation.rs
@@ -8,9 +8,9 @@
 
 use super::Kind;
 use super::Policy;
-use crate::ask::Ask;
 use crate::choice::Choice;
 use crate::choice::Refusal;
+use crate::request::Request;
 use crate::view::View;
 
 /// Sends to each allowed endpoint in turn.
@@ -20,12 +20,12 @@
 }
 
 impl Policy for Rotation {
-    fn choose(&self, view: &View, ask: &Ask<'_>, _rng: &mut Pcg64Mcg) -> Result<Choice, Refusal> {
-        let pool = view.pool(ask.service);
+    fn choose(&self, view: &View, request: &Request<'_>, _rng: &mut Pcg64Mcg) -> Result<Choice, Refusal> {
+        let pool = view.pool(request.service);
         let turn = self.next.fetch_add(1, Ordering::Relaxed);
         let start = turn % pool.len().max(1);
-        let place = super::first_allowed(view, ask, start).ok_or(Refusal::Nowhere)?;
-        Ok(super::choice(view, ask, place))
+        let place = super::first_allowed(view, request, start).ok_or(Refusal::NoEndpoint)?;
+        Ok(super::choice(view, request, place))
     }
 }
 
--- a/bergamotshift-route/src/policy/target.rs
+++ b/bergamotshift-route/src/policy/target.rs
@@ -12,11 +12,11 @@
 
 use super::Kind;
 use super::Policy;
-use crate::ask::Ask;
 use crate::choice::Choice;
 use crate::choice::Refusal;
 use crate::estimate::Forecast;
 use crate::estimate::HALF_TRUST;
+use crate::request::Request;
 use crate::view::Row;
 use crate::view::View;
 
@@ -83,41 +83,41 @@
 
     /// Returns how many endpoints to draw: many entries that read the same old view and all take its best endpoint
     /// would flood it together, so an older view means fewer candidates and more chance.
-    fn draws(&self, view: &View, pool: &[u16], ask: &Ask<'_>) -> usize {
+    fn draws(&self, view: &View, pool: &[u16], request: &Request<'_>) -> usize {
         let newest = pool
             .iter()
             .take(FRESHNESS_SAMPLE)
             .map(|&place| view.rows[usize::from(place)].reported)
             .max();
-        let age = ask.now.since(newest.unwrap_or(Instant::ZERO));
+        let age = request.now.since(newest.unwrap_or(Instant::ZERO));
         let trust = HALF_TRUST.as_secs_f32() / (HALF_TRUST + age).as_secs_f32();
         let wanted = (self.settings.candidates as f32 * trust) as usize;
         wanted.max(self.settings.candidates_least)
     }
 
-    fn settle(&self, view: &View, ask: &Ask<'_>, best: &Best) -> Result<Choice, Refusal> {
-        let candidate = best.0.ok_or(Refusal::Nowhere)?;
-        if ask.urgency == Urgency::Deferrable {
-            self.yields(ask, &candidate.forecast)?;
+    fn settle(&self, view: &View, request: &Request<'_>, best: &Best) -> Result<Choice, Refusal> {
+        let candidate = best.0.ok_or(Refusal::NoEndpoint)?;
+        if request.urgency == Urgency::Deferrable {
+            self.yields(request, &candidate.forecast)?;
         }
         Ok(super::choice_with(view, candidate.place, &candidate.forecast))
     }
 
     /// Holds deferrable work back while it would crowd out urgent work and its deadline allows it.
-    fn yields(&self, ask: &Ask<'_>, forecast: &Forecast) -> Result<(), Refusal> {
+    fn yields(&self, request: &Request<'_>, forecast: &Forecast) -> Result<(), Refusal> {
         let room = forecast.load.sequences < self.settings.deferrable_room * forecast.load.slots;
         let soon = forecast.queue_micros < self.settings.deferrable_queue.as_micros() as f32;
-        if room && soon && forecast.pressure(ask) < self.settings.deferrable_margin {
+        if room && soon && forecast.pressure(request) < self.settings.deferrable_margin {
             return Ok(());
         }
-        let span = forecast.first_micros + forecast.between_micros * ask.answer_tokens as f32;
+        let span = forecast.first_micros + forecast.between_micros * request.answer_tokens as f32;
         let reserve = Duration::from_micros((span * self.settings.deferrable_spans) as u64);
-        let latest = ask.deadline - reserve;
-        if ask.now >= latest {
+        let latest = request.deadline - reserve;
+        if request.now >= latest {
             return Ok(());
         }
-        let until = (ask.now + self.settings.deferrable_wait).min(latest);
-        Err(Refusal::Later { until })
+        let until = (request.now + self.settings.deferrable_wait).min(latest);
+        Err(Refusal::Deferred { until })
     }
 }
 
@@ -125,44 +125,44 @@
 const FRESHNESS_SAMPLE: usize = 8;
 
 impl Policy for Target {
-    fn choose(&self, view: &View, ask: &Ask<'_>, rng: &mut Pcg64Mcg) -> Result<Choice, Refusal> {
-        let pool = view.pool(ask.service);
+    fn choose(&self, view: &View, request: &Request<'_>, rng: &mut Pcg64Mcg) -> Result<Choice, Refusal> {
+        let pool = view.pool(request.service);
         let mut best = Best::default();
-        let matches = view.hints.lookup(ask.prefix, ask.now);
+        let matches = view.hints.lookup(request.prefix, request.now);
         for found in matches.iter() {
             if let Some(place) = view.place_of(found.slot)
-                && view.allows(place, ask)
+                && view.allows(place, request)
             {
                 let row = &view.rows[usize::from(place)];
-                let cached = (found.blocks * ask.block_tokens) as f32 * worth(row, found.age, ask.now);
-                best.take(view, ask, &self.settings, place, cached);
+                let cached = (found.blocks * request.block_tokens) as f32 * worth(row, found.age, request.now);
+                best.take(view, request, &self.settings, place, cached);
             }
         }
-        if let Some(home) = view.home(ask) {
+        if let Some(home) = view.home(request) {
             let unknown = matches.is_empty();
             let cached = if unknown {
-                ask.prompt_tokens as f32 * self.settings.home
+                request.prompt_tokens as f32 * self.settings.home
             } else {
                 0.0
             };
-            best.take(view, ask, &self.settings, home, cached);
+            best.take(view, request, &self.settings, home, cached);
         }
-        let draws = self.draws(view, pool, ask);
+        let draws = self.draws(view, pool, request);
         if draws >= pool.len() {
             for &place in pool {
-                if view.allows(place, ask) {
-                    best.take(view, ask, &self.settings, place, 0.0);
+                if view.allows(place, request) {
+                    best.take(view, request, &self.settings, place, 0.0);
                 }
             }
         } else {
             for _ in 0..draws {
                 let start = super::below(rng, pool.len());
-                if let Some(place) = super::first_allowed(view, ask, start) {
-                    best.take(view, ask, &self.settings, place, 0.0);
+                if let Some(place) = super::first_allowed(view, request, start) {
+                    best.take(view, request, &self.settings, place, 0.0);
                 }
             }
         }
-        self.settle(view, ask, &best)
+        self.settle(view, request, &best)
     }
 }
 
@@ -188,10 +188,10 @@
 struct Best(Option<Candidate>);
 
 impl Best {
-    fn take(&mut self, view: &View, ask: &Ask<'_>, settings: &Settings, place: u16, cached: f32) {
+    fn take(&mut self, view: &View, request: &Request<'_>, settings: &Settings, place: u16, cached: f32) {
         let row = &view.rows[usize::from(place)];
-        let forecast = Forecast::of(view, row, ask, cached);
-        let score = settings.score(ask, &forecast);
+        let forecast = Forecast::of(view, row, request, cached);
+        let score = settings.score(request, &forecast);
         if self.0.is_none_or(|best| score < best.score) {
             *self = Self(Some(Candidate { place, score, forecast }));
         }
@@ -200,13 +200,13 @@
 
 impl Settings {
     /// Returns what running the request there costs, in money and in lateness.
-    fn score(&self, ask: &Ask<'_>, forecast: &Forecast) -> f32 {
-        let pressure = match ask.urgency {
+    fn score(&self, request: &Request<'_>, forecast: &Forecast) -> f32 {
+        let pressure = match request.urgency {
             // Nobody reads deferrable answers as they are generated.
-            Urgency::Deferrable => forecast.first_pressure(ask),
-            Urgency::Urgent | Urgency::Normal => forecast.pressure(ask),
+            Urgency::Deferrable => forecast.first_pressure(request),
+            Urgency::Urgent | Urgency::Normal => forecast.pressure(request),
         };
-        let weight = self.lateness[ask.urgency as usize];
+        let weight = self.lateness[request.urgency as usize];
         let late = (pressure - self.margin).max(0.0) / (1.0 - self.margin);
         let fill = forecast.load.sequences / forecast.load.slots;
         let cost = self.price * forecast.cost + (1.0 - self.price) * forecast.mean_cost;
--- a/bergamotshift-route/src/prelude.rs
+++ b/bergamotshift-route/src/prelude.rs
@@ -1,6 +1,5 @@
 //! The types that most callers of this crate need.
 
-pub use crate::ask::Ask;
 pub use crate::choice::Choice;
 pub use crate::choice::Refusal;
 pub use crate::estimate::Estimate;
@@ -8,6 +7,7 @@
 pub use crate::policy;
 pub use crate::policy::Policy;
 pub use crate::registry::Registry;
+pub use crate::request::Request;
 pub use crate::set::Set;
 pub use crate::view::Endpoint;
 pub use crate::view::View;
--- a/bergamotshift-route/src/reclaim/mod.rs
+++ b/bergamotshift-route/src/reclaim/mod.rs
@@ -8,7 +8,7 @@
 //! use core::time::Duration;
 //! use bergamotshift_route::reclaim::{self, Action, Notice, Stream};
 //!
-//! let notice = Notice { left: Duration::from_secs(20), ..Notice::default() };
+//! let notice = Notice { remaining: Duration::from_secs(20), ..Notice::default() };
 //! let short = Stream { tokens_left: 50, ..Stream::default() };
 //! let long = Stream { id: 1, tokens_left: 5_000, ..Stream::default() };
 //! let plan = reclaim::plan(&notice, &[short, long]);
@@ -27,7 +27,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Notice {
     /// What is left until the VMs are gone.
-    pub left: Duration,
+    pub remaining: Duration,
     /// Kept back at the end for messages still under way.
     pub margin: Duration,
     /// Bytes per second that one leaving endpoint exports.
@@ -37,9 +37,9 @@
     /// Bytes of KV cache per token.
     pub token_bytes: u64,
     /// Fixed time of an import, whatever its size.
-    pub import: Duration,
+    pub import_time: Duration,
     /// The longest pause that a move may put into an urgent stream.
-    pub pause: Duration,
+    pub max_pause: Duration,
     /// How fast the engines are that take the streams over.
     pub speed: Speed,
 }
@@ -47,13 +47,13 @@
 impl Default for Notice {
     fn default() -> Self {
         Self {
-            left: Duration::from_secs(20),
+            remaining: Duration::from_secs(20),
             margin: Duration::from_secs(2),
             endpoint_link: 1_250_000_000,
             shared_link: 5_000_000_000,
             token_bytes: 160_000,
-            import: Duration::from_millis(50),
-            pause: Duration::from_secs(2),
+            import_time: Duration::from_millis(50),
+            max_pause: Duration::from_secs(2),
             speed: Speed::REFERENCE,
         }
     }
@@ -144,12 +144,12 @@
     /// When the step starts, from now.
     pub after: Duration,
     /// How long a move's transfer takes; zero for the others.
-    pub takes: Duration,
+    pub duration: Duration,
 }
 
 /// Plans all streams of one notice, in the order in which the steps start.
 pub fn plan(notice: &Notice, streams: &[Stream]) -> Vec<Step> {
-    let window = notice.left.saturating_sub(notice.margin);
+    let window = notice.remaining.saturating_sub(notice.margin);
     let mut steps = Vec::with_capacity(streams.len());
     let mut cut: Vec<&Stream> = Vec::new();
     for stream in streams {
@@ -180,7 +180,7 @@
             id: stream.id,
             action,
             after: Duration::ZERO,
-            takes: Duration::ZERO,
+            duration: Duration::ZERO,
         }
     }
 }
@@ -243,14 +243,14 @@
         let own = transfer(bytes, self.notice.endpoint_link);
         let shared = transfer(bytes, self.notice.shared_link);
         let recompute = self.notice.speed.prompt_micros(stream.recompute() as f32);
-        let saves = self.notice.import < Duration::from_micros(recompute as u64);
-        let short = stream.urgency != Urgency::Urgent || own + self.notice.import <= self.notice.pause;
+        let saves = self.notice.import_time < Duration::from_micros(recompute as u64);
+        let short = stream.urgency != Urgency::Urgent || own + self.notice.import_time <= self.notice.max_pause;
         if !(stream.movable && saves && short) {
             return None;
         }
         let start = self.endpoints[stream.endpoint].max(self.shared);
         let takes = own.max(shared);
-        if start + takes + self.notice.import > self.window {
+        if start + takes + self.notice.import_time > self.window {
             return None;
         }
         self.endpoints[stream.endpoint] = start + takes;
@@ -259,8 +259,8 @@
             id: stream.id,
             action: Action::Move,
             // Reservations count back from the end: until its turn a stream goes on in place, where engine time is free.
-            after: self.window.saturating_sub(start + takes + self.notice.import),
-            takes: takes + self.notice.import,
+            after: self.window.saturating_sub(start + takes + self.notice.import_time),
+            duration: takes + self.notice.import_time,
         })
     }
 }
--- a/bergamotshift-route/src/registry.rs
+++ b/bergamotshift-route/src/registry.rs
@@ -21,7 +21,7 @@
 use crate::view::Zone;
 
 /// How many endpoints a registry holds at most.
-pub const ENDPOINTS: usize = (1 << prefix::SLOT_BITS) - 1;
+pub const MAX_ENDPOINTS: usize = (1 << prefix::SLOT_BITS) - 1;
 
 /// Everything known of all endpoints, kept by one control task.
 pub struct Registry {
@@ -38,7 +38,7 @@
     row: Row,
     /// The counts when the last report arrived. A report is about one interval old when it arrives, so the counts of
     /// the report before it are the ones that it covers.
-    arrival: flight::Mark,
+    arrival: flight::Totals,
 }
 
 impl Default for Registry {
@@ -103,10 +103,10 @@
     ///
     /// Returns [`Error::Full`] when [`ENDPOINTS`] are registered.
     pub fn insert(&mut self, endpoint: Endpoint) -> Result<key::Endpoint, Error> {
-        if self.endpoints.len() >= ENDPOINTS {
+        if self.endpoints.len() >= MAX_ENDPOINTS {
             return Err(Error::Full {
                 what: "endpoints",
-                limit: ENDPOINTS,
+                limit: MAX_ENDPOINTS,
             });
         }
         Ok(self.endpoints.insert_with_key(|key| State {
@@ -117,10 +117,10 @@
                 report: None,
                 reported: Instant::ZERO,
                 hints_from: Instant::ZERO,
-                mark: flight::Mark::default(),
+                mark: flight::Totals::default(),
                 counter: Arc::default(),
             },
-            arrival: flight::Mark::default(),
+            arrival: flight::Totals::default(),
         }))
     }
 
@@ -144,7 +144,7 @@
     /// # Errors
     ///
     /// Returns [`Error::Unknown`] when the endpoint was removed.
-    pub fn leave(&mut self, key: key::Endpoint) -> Result<(), Error> {
+    pub fn mark_leaving(&mut self, key: key::Endpoint) -> Result<(), Error> {
         // Lagging lists and reports go on calling a leaving VM live. Nothing ever clears the mark, so none of them can
         // bring new work to it.
         self.state(key)?.row.leaving = true;
@@ -156,7 +156,7 @@
     /// # Errors
     ///
     /// Returns [`Error::Unknown`] when the endpoint was removed.
-    pub fn report(&mut self, key: key::Endpoint, report: Report, now: Instant) -> Result<(), Error> {
+    pub fn record_report(&mut self, key: key::Endpoint, report: Report, now: Instant) -> Result<(), Error> {
         let state = self.state(key)?;
         if state.row.report.is_some_and(|last| last.sequence >= report.sequence) {
             return Ok(());
@@ -165,7 +165,7 @@
         state.row.report = Some(report);
         state.row.reported = now;
         state.row.mark = state.arrival;
-        state.arrival = state.row.counter.mark();
+        state.arrival = state.row.counter.totals();
         Ok(())
     }
 
@@ -174,7 +174,7 @@
     /// # Errors
     ///
     /// Returns [`Error::Unknown`] when the endpoint was removed.
-    pub fn gap(&mut self, key: key::Endpoint, now: Instant) -> Result<(), Error> {
+    pub fn record_event_gap(&mut self, key: key::Endpoint, now: Instant) -> Result<(), Error> {
         self.state(key)?.row.hints_from = now;
         Ok(())
     }
--- a/bergamotshift-route/src/ask.rs
+++ b/bergamotshift-route/src/request.rs
@@ -11,7 +11,7 @@
 /// Hashes of the prompt's blocks are cumulative: the hash of block *i* covers blocks 0 to *i*, so that equal hashes
 /// mean equal prefixes.
 #[derive(Clone, Copy, Debug)]
-pub struct Ask<'a> {
+pub struct Request<'a> {
     /// The moment of the decision.
     pub now: Instant,
     /// The service that the request belongs to.
@@ -42,7 +42,7 @@
     pub exclude: &'a [key::Endpoint],
 }
 
-impl Default for Ask<'_> {
+impl Default for Request<'_> {
     fn default() -> Self {
         Self {
             now: Instant::ZERO,
--- a/bergamotshift-route/src/view/mod.rs
+++ b/bergamotshift-route/src/view/mod.rs
@@ -6,11 +6,11 @@
 use bergamotshift_core::load::Report;
 use bergamotshift_core::prelude::*;
 
-use crate::ask::Ask;
 use crate::choice::Choice;
 use crate::estimate::Speed;
 use crate::flight;
 use crate::prefix;
+use crate::request::Request;
 use crate::set::Set;
 
 /// A service's number in its registry.
@@ -76,7 +76,7 @@
     pub(crate) report: Option<Report>,
     pub(crate) reported: Instant,
     pub(crate) hints_from: Instant,
-    pub(crate) mark: flight::Mark,
+    pub(crate) mark: flight::Totals,
     pub(crate) counter: Arc<flight::Counter>,
 }
 
@@ -182,28 +182,28 @@
     ///
     /// It follows from the block's hash and the endpoints' arena slots, so threads agree on it without talking and one
     /// endpoint's leaving moves only the prefixes that it was home to.
-    pub(crate) fn home(&self, ask: &Ask<'_>) -> Option<u16> {
+    pub(crate) fn home(&self, request: &Request<'_>) -> Option<u16> {
         const TRIES: u64 = 4;
-        let &block = ask.prefix.first()?;
+        let &block = request.prefix.first()?;
         let slots = self.places.len() as u64;
         (0..TRIES).find_map(|turn| {
             let mixed = (block ^ turn.wrapping_mul(0x9E37_79B9_7F4A_7C15)).wrapping_mul(0xD6E8_FEB8_6659_FD93);
             let slot = ((u128::from(mixed) * u128::from(slots)) >> 64) as usize;
             let place = self.places[slot];
             let row = self.rows.get(usize::from(place))?;
-            (row.endpoint.service == ask.service && self.allows(place, ask)).then_some(place)
+            (row.endpoint.service == request.service && self.allows(place, request)).then_some(place)
         })
     }
 
     /// Returns whether the rules and the request's history allow it to run at this place.
-    pub fn allows(&self, place: u16, ask: &Ask<'_>) -> bool {
+    pub fn allows(&self, place: u16, request: &Request<'_>) -> bool {
         let row = &self.rows[usize::from(place)];
         let endpoint = &row.endpoint;
         !row.leaving
-            && ask.zones.contains(endpoint.zone.0)
-            && ask.classes.contains(endpoint.class.0)
-            && ask.models.is_subset(endpoint.models)
-            && !ask.exclude.contains(&row.key)
+            && request.zones.contains(endpoint.zone.0)
+            && request.classes.contains(endpoint.class.0)
+            && request.models.is_subset(endpoint.models)
+            && !request.exclude.contains(&row.key)
     }
 
     /// Counts a chosen request as sent, and remembers where its prefix is now cached.
@@ -213,10 +213,10 @@
     /// # Panics
     ///
     /// Panics when `choice` was made on another view with more endpoints.
-    pub fn send(&self, choice: &Choice, ask: &Ask<'_>) -> flight::Guard {
+    pub fn record_sent(&self, choice: &Choice, request: &Request<'_>) -> flight::Guard {
         let row = &self.rows[choice.index];
-        self.hints.record(ask.prefix, row.key, ask.now);
-        flight::Guard::start(&row.counter, ask.urgency, choice.estimate.prompt_tokens)
+        self.hints.record(request.prefix, row.key, request.now);
+        flight::Guard::start(&row.counter, request.urgency, choice.estimate.prompt_tokens)
     }
 }
 
--- a/bergamotshift-route/tests/allocation.rs
+++ b/bergamotshift-route/tests/allocation.rs
@@ -32,17 +32,17 @@
             slots: 128,
             ..Report::default()
         };
-        registry.report(key, report, Instant::ZERO).unwrap();
+        registry.record_report(key, report, Instant::ZERO).unwrap();
     }
     let view = registry.publish(Instant::ZERO);
     let prefix: Vec<u64> = (1..20_u64)
         .map(|block| block.wrapping_mul(0x9E37_79B9_7F4A_7C15))
         .collect();
-    let ask = Ask {
+    let request = Request {
         service,
         prefix: &prefix,
         prompt_tokens: 5_000,
-        ..Ask::default()
+        ..Request::default()
     };
     let mut rng = Pcg64Mcg::new(1);
     // Policies are made before the count starts: making one allocates, choosing must not.
@@ -55,8 +55,8 @@
     let mut chosen = 0;
     for policy in &policies {
         for _ in 0..100 {
-            let choice = policy.choose(&view, &ask, &mut rng).unwrap();
-            drop(view.send(&choice, &ask));
+            let choice = policy.choose(&view, &request, &mut rng).unwrap();
+            drop(view.record_sent(&choice, &request));
             chosen += 1;
         }
     }
--- a/bergamotshift-route/tests/policy.rs
+++ b/bergamotshift-route/tests/policy.rs
@@ -25,7 +25,7 @@
                     ..Endpoint::default()
                 })
                 .unwrap();
-            registry.report(key, report(1, 0), Instant::ZERO).unwrap();
+            registry.record_report(key, report(1, 0), Instant::ZERO).unwrap();
             key
         })
         .collect();
@@ -41,24 +41,24 @@
     }
 }
 
-fn ask() -> Ask<'static> {
-    Ask {
+fn request() -> Request<'static> {
+    Request {
         prompt_tokens: 800,
         answer_tokens: 200,
-        ..Ask::default()
+        ..Request::default()
     }
 }
 
 #[test]
 fn every_policy_keeps_to_the_rules() {
     let (mut registry, keys) = site(&[5, 4, 3, 2, 1, 6, 7, 8]);
-    registry.leave(keys[4]).unwrap();
+    registry.mark_leaving(keys[4]).unwrap();
     let view = registry.publish(Instant::ZERO);
     let exclude = [keys[3]];
-    let ask = Ask {
+    let request = Request {
         zones: Set::EMPTY.with(0).with(3),
         exclude: &exclude,
-        ..ask()
+        ..request()
     };
     let allowed = [keys[0], keys[7]];
     assert_eq!(policy::names().len(), 5);
@@ -66,7 +66,7 @@
         let policy = policy::build(name).unwrap();
         let mut rng = Pcg64Mcg::new(11);
         for _ in 0..200 {
-            let choice = policy.choose(&view, &ask, &mut rng).unwrap();
+            let choice = policy.choose(&view, &request, &mut rng).unwrap();
             assert!(allowed.contains(&choice.key), "{name} broke a rule");
         }
     }
@@ -79,8 +79,8 @@
     let models = Set::EMPTY.with(9);
     for name in policy::names() {
         let policy = policy::build(name).unwrap();
-        let refused = policy.choose(&view, &Ask { models, ..ask() }, &mut Pcg64Mcg::new(1));
-        assert_eq!(refused, Err(Refusal::Nowhere), "{name}");
+        let refused = policy.choose(&view, &Request { models, ..request() }, &mut Pcg64Mcg::new(1));
+        assert_eq!(refused, Err(Refusal::NoEndpoint), "{name}");
     }
 }
 
@@ -89,15 +89,17 @@
     // A VM gets its notice. A report and an update that were under way before it still call the VM live. Callers would
     // see requests cut when the VM goes; the mark must therefore outlast both.
     let (mut registry, keys) = site(&[1, 2]);
-    registry.leave(keys[0]).unwrap();
-    registry.report(keys[0], report(2, 0), Instant::from_secs(1)).unwrap();
+    registry.mark_leaving(keys[0]).unwrap();
+    registry
+        .record_report(keys[0], report(2, 0), Instant::from_secs(1))
+        .unwrap();
     let known = *registry.publish(Instant::ZERO).find(keys[0]).unwrap().endpoint();
     registry.update(keys[0], known).unwrap();
     let view = registry.publish(Instant::from_secs(1));
     assert!(view.find(keys[0]).unwrap().is_leaving());
     let policy = policy::build(policy::DEFAULT).unwrap();
     assert_eq!(
-        policy.choose(&view, &ask(), &mut Pcg64Mcg::new(1)).unwrap().key,
+        policy.choose(&view, &request(), &mut Pcg64Mcg::new(1)).unwrap().key,
         keys[1]
     );
 }
@@ -108,10 +110,10 @@
     let policy = policy::build(policy::DEFAULT).unwrap();
     let mut rng = Pcg64Mcg::new(3);
     let view = registry.publish(Instant::ZERO);
-    assert_eq!(policy.choose(&view, &ask(), &mut rng).unwrap().key, keys[1]);
+    assert_eq!(policy.choose(&view, &request(), &mut rng).unwrap().key, keys[1]);
 
     registry
-        .report(
+        .record_report(
             keys[1],
             Report {
                 waiting: 400,
@@ -121,7 +123,7 @@
         )
         .unwrap();
     let view = registry.publish(Instant::ZERO);
-    assert_eq!(policy.choose(&view, &ask(), &mut rng).unwrap().key, keys[2]);
+    assert_eq!(policy.choose(&view, &request(), &mut rng).unwrap().key, keys[2]);
 }
 
 #[test]
@@ -131,7 +133,7 @@
     let policy = policy::build(policy::DEFAULT).unwrap();
     let mut rng = Pcg64Mcg::new(3);
     let in_flight: Vec<_> = (0..60)
-        .map(|_| view.send(&policy.choose(&view, &ask(), &mut rng).unwrap(), &ask()))
+        .map(|_| view.record_sent(&policy.choose(&view, &request(), &mut rng).unwrap(), &request()))
         .collect();
     let second = view.find(keys[1]).unwrap().counter().in_flight();
     assert!(
@@ -148,15 +150,15 @@
     let view = registry.publish(Instant::ZERO);
     let prefix = [0x1111_2222_3333_4444, 0x5555_6666_7777_8888];
     registry.hints().record(&prefix, keys[4], Instant::ZERO);
-    let ask = Ask {
+    let request = Request {
         prefix: &prefix,
         now: Instant::from_secs(1),
-        ..ask()
+        ..request()
     };
     for name in ["prefix-affinity", policy::DEFAULT] {
         let choice = policy::build(name)
             .unwrap()
-            .choose(&view, &ask, &mut Pcg64Mcg::new(5))
+            .choose(&view, &request, &mut Pcg64Mcg::new(5))
             .unwrap();
         assert_eq!(choice.key, keys[4], "{name}");
         assert!(choice.estimate.prompt_tokens < 300, "{name}");
@@ -166,19 +168,19 @@
 #[test]
 fn deferrable_work_waits_for_room_until_its_deadline_presses() {
     let (mut registry, keys) = site(&[1_000_000]);
-    registry.report(keys[0], report(2, 120), Instant::ZERO).unwrap();
+    registry.record_report(keys[0], report(2, 120), Instant::ZERO).unwrap();
     let view = registry.publish(Instant::ZERO);
     let policy = policy::build(policy::DEFAULT).unwrap();
-    let ask = Ask {
+    let request = Request {
         urgency: Urgency::Deferrable,
         deadline: Instant::from_secs(3_600),
-        ..ask()
+        ..request()
     };
-    let refused = policy.choose(&view, &ask, &mut Pcg64Mcg::new(1));
-    assert!(matches!(refused, Err(Refusal::Later { until }) if until < ask.deadline));
-    let pressed = Ask {
+    let refused = policy.choose(&view, &request, &mut Pcg64Mcg::new(1));
+    assert!(matches!(refused, Err(Refusal::Deferred { until }) if until < request.deadline));
+    let pressed = Request {
         deadline: Instant::ZERO + Duration::from_secs(10),
-        ..ask
+        ..request
     };
     assert_eq!(
         policy.choose(&view, &pressed, &mut Pcg64Mcg::new(1)).unwrap().key,
@@ -199,7 +201,7 @@
         let in_flight: Vec<_> = std::thread::scope(|scope| {
             let send = |seed: usize| {
                 let mut rng = Pcg64Mcg::new(seed as u128 | 1);
-                let one = |_| view.send(&policy.choose(&view, &ask(), &mut rng).unwrap(), &ask());
+                let one = |_| view.record_sent(&policy.choose(&view, &request(), &mut rng).unwrap(), &request());
                 (0..SENDS).map(one).collect::<Vec<_>>()
             };
             let workers: Vec<_> = (0..THREADS).map(|thread| scope.spawn(move || send(thread))).collect();
--- a/bergamotshift-route/tests/prefix.rs
+++ b/bergamotshift-route/tests/prefix.rs
@@ -55,16 +55,16 @@
     let now = Instant::from_secs(10);
     registry.hints().record(&prompt, left, Instant::from_secs(1));
     registry.hints().record(&prompt, right, Instant::from_secs(1));
-    registry.gap(left, Instant::from_secs(5)).unwrap();
+    registry.record_event_gap(left, Instant::from_secs(5)).unwrap();
     let view = registry.publish(now);
-    let ask = Ask {
+    let request = Request {
         now,
         prefix: &prompt,
         prompt_tokens: 512,
-        ..Ask::default()
+        ..Request::default()
     };
     let policy = policy::build(policy::DEFAULT).unwrap();
-    let choice = policy.choose(&view, &ask, &mut rand_pcg::Pcg64Mcg::new(1)).unwrap();
+    let choice = policy.choose(&view, &request, &mut rand_pcg::Pcg64Mcg::new(1)).unwrap();
     assert_eq!(choice.key, right);
 }
 
--- a/bergamotshift-route/tests/reclaim.rs
+++ b/bergamotshift-route/tests/reclaim.rs
@@ -98,7 +98,7 @@
     // A zone is reclaimed and its link carries only a few of its streams. Callers who wait must not be the ones whose
     // answers stall while background work takes the link, so urgent streams reserve it first.
     let notice = Notice {
-        left: Duration::from_secs(3),
+        remaining: Duration::from_secs(3),
         ..notice()
     };
     let streams: Vec<Stream> = (0..40)
@@ -137,12 +137,12 @@
 fn a_move_ends_with_the_window() {
     // A stream that is moved early leaves engine time unused where it is free, and takes some where it is scarce.
     let plan = reclaim::plan(&notice(), &[Stream { movable: true, ..LONG }]);
-    assert_eq!(plan[0].after + plan[0].takes, Duration::from_secs(18));
+    assert_eq!(plan[0].after + plan[0].duration, Duration::from_secs(18));
 }
 
 quickcheck! {
     fn every_stream_has_one_step_and_no_link_is_overdrawn(seeds: Vec<(u8, u16, u16, bool)>, left_ms: u16) -> bool {
-        let notice = Notice { left: Duration::from_millis(left_ms.into()), ..notice() };
+        let notice = Notice { remaining: Duration::from_millis(left_ms.into()), ..notice() };
         let streams: Vec<Stream> = seeds
             .iter()
             .enumerate()
@@ -159,7 +159,7 @@
         let mut ids: Vec<u64> = plan.iter().map(|step| step.id).collect();
         ids.sort_unstable();
         let whole = ids == (0..streams.len() as u64).collect::<Vec<_>>();
-        let window = notice.left.saturating_sub(notice.margin);
+        let window = notice.remaining.saturating_sub(notice.margin);
         let bytes: u64 = plan
             .iter()
             .filter(|step| step.action == Action::Move)
@@ -169,6 +169,6 @@
             })
             .sum();
         let carried = notice.shared_link as f64 * window.as_secs_f64();
-        whole && bytes as f64 <= carried && plan.iter().all(|step| step.after + step.takes <= window.max(step.takes))
+        whole && bytes as f64 <= carried && plan.iter().all(|step| step.after + step.duration <= window.max(step.duration))
     }
 }
