--- a/bergamotshift-forward/src/choice/recall.rs
+++ b/bergamotshift-forward/src/choice/cache_index.rs
@@ -28,7 +28,7 @@
 /// One part read by one endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
-pub struct Reading {
+pub struct CachedPart {
     /// The endpoint, by its hash.
     pub endpoint: u64,
     /// The part.
@@ -98,16 +98,16 @@
 /// were. Symptom: engines read again what others still hold, and streams begin later than expected. An engine is taken to
 /// hold no more than its cache has room for, and to drop what it used longest ago.
 #[derive(Debug)]
-pub struct Recall {
+pub struct CacheIndex {
     caches: HashMap<u64, Cache>,
     /// The endpoints that hold each part.
     holders: HashMap<u64, Vec<u64>>,
-    told: VecDeque<(Instant, Reading)>,
+    told: VecDeque<(Instant, CachedPart)>,
     /// The tokens that one endpoint's cache holds.
     room: u64,
 }
 
-impl Default for Recall {
+impl Default for CacheIndex {
     fn default() -> Self {
         Self {
             caches: HashMap::new(),
@@ -118,19 +118,19 @@
     }
 }
 
-impl Recall {
+impl CacheIndex {
     /// Sets the tokens that one engine's memory holds.
-    pub fn bound(&mut self, memory: u64) {
+    pub fn set_memory(&mut self, memory: u64) {
         self.room = (memory as f64 * CACHED) as u64;
     }
 
     /// Notes that an endpoint reads these parts by this entry's choice; the last one is the request's own and told to nobody,
     /// and so is what the endpoint held already.
-    pub fn note(&mut self, now: Instant, endpoint: u64, parts: &[Part]) {
+    pub fn record_choice(&mut self, now: Instant, endpoint: u64, parts: &[Part]) {
         for (place, part) in parts.iter().enumerate() {
-            let reading = Reading { endpoint, part: *part };
+            let reading = CachedPart { endpoint, part: *part };
             let is_news = !self.holds(part.id, endpoint);
-            self.hear(now, reading);
+            self.record(now, reading);
             if is_news && place + 1 < parts.len() {
                 self.told.push_back((now, reading));
             }
@@ -141,7 +141,7 @@
     }
 
     /// Notes that an endpoint reads a part.
-    pub fn hear(&mut self, now: Instant, reading: Reading) {
+    pub fn record(&mut self, now: Instant, reading: CachedPart) {
         let cache = self.caches.entry(reading.endpoint).or_default();
         if cache.hold(reading.part, now) {
             let holders = self.holders.entry(reading.part.id).or_default();
@@ -153,22 +153,22 @@
     }
 
     /// Returns how many tokens at the beginning of a prompt each endpoint holds that holds any.
-    pub fn held_by(&self, parts: &[Part]) -> HashMap<u64, u64> {
+    pub fn held_by_endpoint(&self, parts: &[Part]) -> HashMap<u64, u64> {
         let first = parts.first().and_then(|part| self.holders.get(&part.id));
         let holders = first.into_iter().flatten();
         holders
-            .map(|endpoint| (*endpoint, self.held(parts, *endpoint)))
+            .map(|endpoint| (*endpoint, self.held_tokens(parts, *endpoint)))
             .collect()
     }
 
     /// Returns what this entry had read lately, for the other entries.
-    pub fn told(&mut self, now: Instant) -> Vec<Reading> {
+    pub fn announced(&mut self, now: Instant) -> Vec<CachedPart> {
         self.told.retain(|(at, _)| now.since(*at) < TOLD);
         self.told.iter().map(|(_, reading)| *reading).collect()
     }
 
     /// Returns how many tokens at the beginning of a prompt an endpoint holds.
-    pub fn held(&self, parts: &[Part], endpoint: u64) -> u64 {
+    pub fn held_tokens(&self, parts: &[Part], endpoint: u64) -> u64 {
         let Some(cache) = self.caches.get(&endpoint) else {
             return 0;
         };
--- a/bergamotshift-forward/src/choice/mod.rs
+++ b/bergamotshift-forward/src/choice/mod.rs
@@ -3,7 +3,7 @@
 //! A plain service's endpoints differ by the requests that are under way there. A model engine reads a prompt before
 //! its first event, so what is still unread there counts, and so does the part of this prompt that its cache holds.
 
-mod recall;
+mod cache_index;
 
 use core::net::SocketAddr;
 use std::collections::HashMap;
@@ -12,8 +12,8 @@
 use bergamotshift_core::prelude::*;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-pub use self::recall::Reading;
-pub use self::recall::Recall;
+pub use self::cache_index::CacheIndex;
+pub use self::cache_index::CachedPart;
 use crate::dialect::Ask;
 use crate::document::Engine;
 use crate::endpoint::Endpoint;
@@ -93,18 +93,19 @@
     /// What the service's model engines are like; `None` for a plain service.
     pub engine: Option<Engine>,
     /// The entry's own availability zone.
-    pub own: &'a name::Zone,
+    pub own_zone: &'a name::Zone,
     /// The zone in which the request is to stay, when that has endpoints enough; set by [`choose`].
-    pub zone: Option<&'a name::Zone>,
+    pub preferred_zone: Option<&'a name::Zone>,
     /// Endpoints that had the request already.
     pub tried: &'a [u64],
     /// Endpoints that are not to be chosen, from which cached parts of the prompt may come.
-    pub sources: &'a [Arc<Endpoint>],
+    pub cache_sources: &'a [Arc<Endpoint>],
 }
 
 impl Request<'_> {
     fn is_near(&self, endpoint: &Endpoint) -> bool {
-        self.zone.is_none_or(|zone| endpoint.registration.zone == *zone)
+        self.preferred_zone
+            .is_none_or(|zone| endpoint.registration.zone == *zone)
     }
 }
 
@@ -116,13 +117,13 @@
     now: Instant,
     endpoints: &[Arc<Endpoint>],
     request: &Request<'_>,
-    recall: &Recall,
+    recall: &CacheIndex,
 ) -> Option<Choice> {
     let here = endpoints
         .iter()
-        .filter(|endpoint| !endpoint.is_leaving() && endpoint.registration.zone == *request.own);
+        .filter(|endpoint| !endpoint.is_leaving() && endpoint.registration.zone == *request.own_zone);
     let request = &Request {
-        zone: (here.count() >= settings.enough).then_some(request.own),
+        preferred_zone: (here.count() >= settings.enough).then_some(request.own_zone),
         ..*request
     };
     let open = || {
@@ -156,17 +157,17 @@
 /// Failure: the endpoints of a new version have gone, or all of them are too busy. Symptom: its share of the callers is
 /// refused while the version in force has room. What finds no place at one version goes to the other, if that serves
 /// everybody.
-pub fn among(
+pub fn choose_with_canary(
     settings: &Settings,
     now: Instant,
     service: &Service,
     canary: Option<&Canary>,
     request: &Request<'_>,
-    recall: &Recall,
+    recall: &CacheIndex,
 ) -> Option<Choice> {
     let at_canary = canary.and_then(|canary| {
         let request = Request {
-            sources: &service.endpoints,
+            cache_sources: &service.endpoints,
             ..*request
         };
         choose(settings, now, &canary.endpoints, &request, recall)
@@ -192,11 +193,11 @@
         engine: Engine,
         endpoints: &'a [Arc<Endpoint>],
         request: &Request<'a>,
-        recall: &Recall,
+        recall: &CacheIndex,
     ) -> Self {
         let ask = request.ask;
-        let held = recall.held_by(&ask.parts);
-        let sources = endpoints.iter().chain(request.sources);
+        let held = recall.held_by_endpoint(&ask.parts);
+        let sources = endpoints.iter().chain(request.cache_sources);
         let reachable = sources.filter(|endpoint| !endpoint.health.is_paused(now));
         let holders = reachable.filter_map(|endpoint| held.get(&endpoint.hash).map(|held| (endpoint, *held)));
         let holder = holders.max_by_key(|(_, held)| *held);
@@ -227,8 +228,8 @@
 fn weigh(settings: &Settings, endpoint: &Arc<Endpoint>, request: &Request<'_>, prompt: Option<&Prompt<'_>>) -> Choice {
     let running = f64::from(endpoint.running());
     let slots = f64::from(endpoint.registration.slots.max(1));
-    let away = match request.zone {
-        _ if endpoint.registration.zone == *request.own => 0.0,
+    let away = match request.preferred_zone {
+        _ if endpoint.registration.zone == *request.own_zone => 0.0,
         Some(_) => settings.far,
         None => settings.distance,
     };
--- a/bergamotshift-forward/src/control/inner.rs
+++ b/bergamotshift-forward/src/control/inner.rs
@@ -29,8 +29,8 @@
 use crate::endpoint::Event;
 use crate::follow::Knowledge;
 use crate::limits::Demand;
-use crate::limits::Keeping;
-use crate::limits::Timing;
+use crate::limits::Keepers;
+use crate::limits::SharePolicy;
 use crate::limits::granter;
 use crate::observe::Topic;
 use crate::peers::Members;
@@ -112,7 +112,7 @@
     pub(super) lost_calls: BTreeSet<&'static str>,
     pub(super) life: u64,
     /// Who keeps the zone.
-    pub(super) keeping: Keeping,
+    pub(super) keeping: Keepers,
     /// The entries that grant requests to endpoints which name a rate.
     pub(super) granters: Arc<[granter::Candidate]>,
     ticked: Instant,
@@ -150,7 +150,7 @@
             remembered: None,
             lost_calls: BTreeSet::new(),
             life: random::generator().next_u64(),
-            keeping: Keeping::default(),
+            keeping: Keepers::default(),
             granters: Arc::default(),
             ticked: now,
         }
@@ -232,11 +232,11 @@
     pub(super) fn tick(&mut self, now: Instant, shared: &Shared) {
         let span = now.since(self.ticked);
         self.ticked = now;
-        let timing = Timing::default();
+        let policy = SharePolicy::default();
         for organisation in self.organisations.values_mut() {
             organisation.demand.note(
-                timing.memory,
-                organisation.account.take_asked() + organisation.kept.take_asked(),
+                policy.averaging_window,
+                organisation.account.take_requested() + organisation.kept.take_requested(),
                 span,
             );
         }
--- a/bergamotshift-forward/src/control/mod.rs
+++ b/bergamotshift-forward/src/control/mod.rs
@@ -33,7 +33,7 @@
 use crate::endpoint::Change;
 use crate::endpoint::Endpoint;
 use crate::endpoint::Event;
-use crate::limits::Keeping;
+use crate::limits::Keepers;
 use crate::observe::Topic;
 use crate::outside::Cursor;
 use crate::outside::Written;
@@ -276,7 +276,7 @@
         let now = self.now();
         let mut inner = self.inner.borrow_mut();
         let holder = inner.holder.as_ref().map(|holder| holder.entry.clone());
-        inner.members.hurry(self.shared.book.take_urgent());
+        inner.members.hurry(self.shared.book.take_canary_failed());
         inner.members.due(now, most, holder.as_ref())
     }
 
@@ -286,7 +286,7 @@
     }
 
     /// Returns who decides for the zone.
-    pub fn keeping(&self) -> Keeping {
+    pub fn keeping(&self) -> Keepers {
         self.inner.borrow().keeping
     }
 
--- a/bergamotshift-forward/src/control/organisation.rs
+++ b/bergamotshift-forward/src/control/organisation.rs
@@ -11,12 +11,12 @@
 use crate::document::Limit;
 use crate::limits::Account;
 use crate::limits::Demand;
+use crate::limits::INITIAL_DEBT_CALM;
 use crate::limits::Keeper;
-use crate::limits::Keeping;
-use crate::limits::Part;
+use crate::limits::Keepers;
+use crate::limits::Quota;
 use crate::limits::Share;
-use crate::limits::Timing;
-use crate::limits::USED_CALM;
+use crate::limits::SharePolicy;
 use crate::limits::keeper;
 use crate::observe::Topic;
 use crate::view::Shared;
@@ -54,21 +54,21 @@
     /// When it last asked for more than what is calm, as far as this entry knows.
     pub(super) busy: Option<Instant>,
     /// This entry's part of the limit.
-    part: Option<Part>,
+    part: Option<Quota>,
 }
 
 impl Organisation {
     /// Works out this entry's part of the limit among `members` entries; `slack` are units that all together may let in
     /// beyond its burst.
     fn deal(&mut self, now: Instant, limit: Option<Limit>, slack: f64, members: usize) {
-        let timing = Timing::default();
-        let fraction = self.share.next(now, &timing, self.demand, members);
+        let policy = SharePolicy::default();
+        let fraction = self.share.update(now, &policy, self.demand, members);
         self.part = limit.map(|limit| {
-            if self.share.asked(now, &timing, self.demand) >= limit.rate * timing.calm {
+            if self.share.total_demand(now, &policy, self.demand) >= limit.rate * policy.calm_fraction {
                 self.busy = Some(now);
             }
-            let calm = self.share.is_calm(now, &timing, self.demand, members, limit.rate);
-            whole(limit, slack).times(fraction, fraction.max(spread(calm, members)))
+            let calm = self.share.is_calm(now, &policy, self.demand, members, limit.rate);
+            whole(limit, slack).scaled(fraction, fraction.max(spread(calm, members)))
         });
         self.account.set(now, self.part);
     }
@@ -76,41 +76,41 @@
     /// Takes in that all entries knew the organisation to be far below its limit before this process started.
     fn was_calm(&self, now: Instant) {
         if let Some(part) = self.part {
-            self.account.relieve(now, part, USED_CALM);
+            self.account.cap_debt(now, part, INITIAL_DEBT_CALM);
         }
     }
 
     /// Works out the part of the limit that this entry grants as the keeper of its zone, or as its deputy, among `zones`.
-    fn deal_zone(&mut self, now: Instant, limit: Option<Limit>, slack: f64, zones: usize, keeping: Keeping) {
-        let timing = Timing::default();
+    fn deal_zone(&mut self, now: Instant, limit: Option<Limit>, slack: f64, zones: usize, keeping: Keepers) {
+        let policy = SharePolicy::default();
         let is_keeper = keeping.keeper == Keeper::Own;
         if !is_keeper && !keeping.is_deputy {
             return;
         }
         let fraction = if is_keeper {
-            self.zone_share.next(now, &timing, self.demand, zones)
+            self.zone_share.update(now, &policy, self.demand, zones)
         } else {
-            self.zone_share.standby(zones) * keeper::DEPUTY
+            self.zone_share.current_or_initial(zones) * keeper::DEPUTY_SHARE
         };
         let part = limit.map(|limit| {
-            let calm = is_keeper && self.zone_share.is_calm(now, &timing, self.demand, zones, limit.rate);
-            let whole = Part {
-                used: USED_KEEPER,
+            let calm = is_keeper && self.zone_share.is_calm(now, &policy, self.demand, zones, limit.rate);
+            let whole = Quota {
+                initial_debt: USED_KEEPER,
                 ..whole(limit, slack)
             };
-            whole.times(fraction, fraction.max(spread(calm, zones)))
+            whole.scaled(fraction, fraction.max(spread(calm, zones)))
         });
         self.kept.set(now, part);
     }
 }
 
 /// Returns a whole limit, with what may be let in beyond it.
-fn whole(limit: Limit, slack: f64) -> Part {
-    Part {
+fn whole(limit: Limit, slack: f64) -> Quota {
+    Quota {
         rate: limit.rate,
         burst: limit.burst + slack,
-        base: limit.burst + slack,
-        ..Part::default()
+        share_burst: limit.burst + slack,
+        ..Quota::default()
     }
 }
 
--- a/bergamotshift-forward/src/control/publish.rs
+++ b/bergamotshift-forward/src/control/publish.rs
@@ -65,7 +65,7 @@
         }
         let memories = document.services.iter().filter_map(|service| service.engine);
         if let Some(memory) = memories.map(|engine| engine.memory).min() {
-            shared.recall().bound(memory);
+            shared.recall().set_memory(memory);
         }
         let accounts = self.organisations.iter();
         let view = View {
--- a/bergamotshift-forward/src/control/rollouts.rs
+++ b/bergamotshift-forward/src/control/rollouts.rs
@@ -184,7 +184,7 @@
         let orders: BTreeMap<_, _> = open
             .filter_map(|(service, standing)| Some((service.clone(), standing.last_order()?.number)))
             .collect();
-        shared.book.open(&orders);
+        shared.book.set_orders(&orders);
         if orders.is_empty() {
             self.testimonies.clear();
         }
--- a/bergamotshift-forward/src/control/talk.rs
+++ b/bergamotshift-forward/src/control/talk.rs
@@ -45,9 +45,9 @@
             organisation: name.clone(),
             demand: organisation.demand.get(),
             share: if keeps {
-                organisation.zone_share.told()
+                organisation.zone_share.announced()
             } else {
-                organisation.share.told()
+                organisation.share.announced()
             },
         });
         let flown = self.directory.endpoints().map(|endpoint| endpoint.flown(keeps));
@@ -84,7 +84,7 @@
             uses: uses.collect(),
             flown: flown.filter(|flown| flown.running > 0).collect(),
             reading: reading.filter(|(_, rate)| *rate > 0.0).collect(),
-            readings: shared.recall().told(now),
+            readings: shared.recall().announced(now),
             windows: shared.tally.windows(),
             suspicions: self.quarantine.suspicions(now),
             rates: self.told_rates(now),
@@ -135,8 +135,12 @@
                 continue;
             };
             match (state.stage == Stage::Keeps, is_near) {
-                (false, _) => organisation.share.heard(now, &state.entry, used.demand, used.share),
-                (true, false) => organisation.zone_share.heard(now, &state.zone, used.demand, used.share),
+                (false, _) => organisation
+                    .share
+                    .record_peer(now, &state.entry, used.demand, used.share),
+                (true, false) => organisation
+                    .zone_share
+                    .record_peer(now, &state.zone, used.demand, used.share),
                 // A keeper is told nothing by one before it that does not know yet.
                 (true, true) if keeps => {}
                 (true, true) => organisation.zone_share.adopt(used.share),
@@ -193,7 +197,7 @@
         }
         let mut recall = shared.recall();
         for reading in &state.readings {
-            recall.hear(now, *reading);
+            recall.record(now, *reading);
         }
         drop(recall);
         let counted = self.counted.entry((state.entry.clone(), state.life)).or_default();
--- a/bergamotshift-forward/src/duty/tally.rs
+++ b/bergamotshift-forward/src/duty/tally.rs
@@ -44,14 +44,14 @@
     }
 
     /// Returns the time since the start of 1970.
-    pub fn today(&self) -> Duration {
+    pub fn unix_time(&self) -> Duration {
         self.epoch + self.clock.now().since(Instant::ZERO)
     }
 
     /// Returns the window of the current moment.
     pub fn current(&self) -> u64 {
         let window = self.window.as_nanos();
-        let number = self.today().as_nanos().checked_div(window).unwrap_or_default();
+        let number = self.unix_time().as_nanos().checked_div(window).unwrap_or_default();
         u64::try_from(number).unwrap_or(u64::MAX)
     }
 
@@ -60,7 +60,7 @@
         let end = self
             .window
             .saturating_mul(u32::try_from(window + 1).unwrap_or(u32::MAX));
-        self.today().saturating_sub(end)
+        self.unix_time().saturating_sub(end)
     }
 
     /// Counts one request that began to run.
--- a/bergamotshift-forward/src/endpoint/mod.rs
+++ b/bergamotshift-forward/src/endpoint/mod.rs
@@ -26,7 +26,7 @@
 pub use self::ledger::Ledger;
 pub use self::said::Said;
 use crate::peers::Flown;
-use crate::rollouts::Witness;
+use crate::rollouts::Observer;
 
 /// What an endpoint says of itself where all endpoints register.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -180,7 +180,7 @@
     endpoint: Arc<Endpoint>,
     unread: u64,
     /// Sees what comes of the request while two versions are compared.
-    witness: Option<Witness>,
+    witness: Option<Observer>,
 }
 
 impl Seat {
@@ -197,7 +197,7 @@
 
     /// Has a witness see what comes of the request.
     #[must_use]
-    pub fn watched(mut self, witness: Option<Witness>) -> Self {
+    pub fn watched(mut self, witness: Option<Observer>) -> Self {
         self.witness = witness;
         self
     }
--- a/bergamotshift-forward/src/follow/members.rs
+++ b/bergamotshift-forward/src/follow/members.rs
@@ -87,7 +87,7 @@
     let settings = &control.shared().settings;
     let row = Row {
         address: settings.listen.peers,
-        at: control.shared().tally.today().as_secs(),
+        at: control.shared().tally.unix_time().as_secs(),
         zone: settings.zone.clone(),
         core_share: control.core_share(),
         every: pause(WRITE, control.members()).as_secs(),
@@ -109,7 +109,7 @@
 }
 
 async fn read(control: &Control, table: &Rc<dyn Table>) -> bool {
-    let today = control.shared().tally.today();
+    let today = control.shared().tally.unix_time();
     let mut after: Option<SmolStr> = None;
     let mut busy = Vec::new();
     let (mut others, mut is_back) = (0, false);
--- a/bergamotshift-forward/src/limits/account.rs
+++ b/bergamotshift-forward/src/limits/account.rs
@@ -22,52 +22,52 @@
 
 /// What a process that starts takes to be used up, in bursts, of an organisation that may have been at its limit: what was
 /// owed before its start is not known, and every entry lets one request overdraw its share.
-const USED: f64 = 1.25;
+const INITIAL_DEBT: f64 = 1.25;
 
 /// The same of an organisation that all entries knew to be far below its limit a few seconds before. Entries may be killed
 /// twice within a window, so it gets no whole burst each time: two of these and what the limit lets in between them stay
 /// below the tenth by which a window may exceed a limit.
-pub const USED_CALM: f64 = 0.4;
+pub const INITIAL_DEBT_CALM: f64 = 0.4;
 
 /// An entry's part of a limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Part {
+pub struct Quota {
     /// Units per second.
     pub rate: f64,
     /// Units beyond that at once.
     pub burst: f64,
     /// What the burst is when nothing but this entry's share is counted.
-    pub base: f64,
+    pub share_burst: f64,
     /// How many times that a process that starts takes to be used up.
-    pub used: f64,
+    pub initial_debt: f64,
 }
 
-impl Default for Part {
+impl Default for Quota {
     fn default() -> Self {
         Self {
             rate: 0.0,
             burst: 0.0,
-            base: 0.0,
-            used: USED,
+            share_burst: 0.0,
+            initial_debt: INITIAL_DEBT,
         }
     }
 }
 
-impl Part {
+impl Quota {
     /// Returns a part of this one; `burst` is the part of the burst that may be used at once.
     #[must_use]
-    pub fn times(self, share: f64, burst: f64) -> Self {
+    pub fn scaled(self, share: f64, burst: f64) -> Self {
         Self {
             rate: self.rate * share,
             burst: self.burst * burst,
-            base: self.base * share,
+            share_burst: self.share_burst * share,
             ..self
         }
     }
 
     /// Returns how long so many bursts last at the rate, which is not zero.
     fn lasts(self, bursts: f64) -> Duration {
-        Duration::from_secs_f64(self.base / self.rate).mul_f64(bursts)
+        Duration::from_secs_f64(self.share_burst / self.rate).mul_f64(bursts)
     }
 }
 
@@ -109,7 +109,7 @@
     ///
     /// Failure: all entries are killed and start again, each with a whole burst. Symptom: the organisation uses its
     /// burst twice within a window. A limit that is new to the process starts with bursts used up.
-    pub fn set(&self, now: Instant, part: Option<Part>) {
+    pub fn set(&self, now: Instant, part: Option<Quota>) {
         let Some(part) = part else {
             self.burst.store(UNLIMITED, Relaxed);
             return;
@@ -123,12 +123,12 @@
         let nanos = u64::try_from(length.as_nanos()).unwrap_or(CLOSED).min(CLOSED - 1);
         self.burst.store(nanos, Relaxed);
         if !self.is_open.swap(true, Relaxed) {
-            self.bucket.set_owed(now, part.lasts(part.used));
+            self.bucket.set_owed(now, part.lasts(part.initial_debt));
         }
     }
 
     /// Takes no more than `used` bursts to be used up, now that the organisation is known to have been far below its limit.
-    pub fn relieve(&self, now: Instant, part: Part, used: f64) {
+    pub fn cap_debt(&self, now: Instant, part: Quota, used: f64) {
         if part.rate > 0.0 && self.is_open.load(Relaxed) {
             let owed = self.bucket.owed(now).min(part.lasts(used));
             self.bucket.set_owed(now, owed);
@@ -165,18 +165,18 @@
     /// Failure: a fleet grows, and its entries let callers in by their own shares until each has heard of enough others;
     /// whoever keeps the zone then grants the burst once more. Symptom: the organisation uses its burst twice. What was
     /// let in moves to the keeper with the first question, before that grants anything to the same entry.
-    pub fn hand_over(&self, now: Instant) -> u64 {
+    pub fn take_unreported(&self, now: Instant) -> u64 {
         let untold = self.untold.swap(0, Relaxed);
         untold.min(self.bucket.owed_units(now))
     }
 
     /// Takes back what a keeper did not get to hear.
-    pub fn take_back(&self, untold: u64) {
+    pub fn restore_unreported(&self, untold: u64) {
         self.untold.fetch_add(untold, Relaxed);
     }
 
     /// Counts units that another entry let in before it asked this one; whether there is room does not matter any more.
-    pub fn take_over(&self, now: Instant, units: u64) {
+    pub fn charge(&self, now: Instant, units: u64) {
         if units > 0 && self.is_open.load(Relaxed) {
             self.bucket.charge(now, units);
         }
@@ -190,7 +190,7 @@
     }
 
     /// Returns the units asked for since the last call.
-    pub fn take_asked(&self) -> u64 {
+    pub fn take_requested(&self) -> u64 {
         self.asked.swap(0, Relaxed)
     }
 }
--- a/bergamotshift-forward/src/limits/granter.rs
+++ b/bergamotshift-forward/src/limits/granter.rs
@@ -10,13 +10,13 @@
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 /// How long an entry may take to grant a request or to refuse it.
-pub const PATIENCE: Duration = Duration::from_millis(50);
+pub const ANSWER_TIMEOUT: Duration = Duration::from_millis(50);
 
 /// How long an endpoint is left alone while it is not known who grants requests to it.
-pub const UNKNOWN: Duration = Duration::from_millis(100);
+pub const UNKNOWN_BACKOFF: Duration = Duration::from_millis(100);
 
 /// How long an entry that did not answer is left alone, and an endpoint that nobody grants requests to.
-pub const PAUSE: Duration = Duration::from_millis(800);
+pub const BACKOFF: Duration = Duration::from_millis(800);
 
 /// An entry that may grant requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -28,7 +28,7 @@
 }
 
 /// Returns the two candidates that come first for an endpoint, on which all entries with the same list agree.
-pub fn ranked(endpoint: u64, candidates: &[Candidate]) -> [Option<Candidate>; 2] {
+pub fn top_two(endpoint: u64, candidates: &[Candidate]) -> [Option<Candidate>; 2] {
     let rank = |candidate: &Candidate| xxh3_64_with_seed(&candidate.hash.to_le_bytes(), endpoint);
     let first = candidates.iter().max_by_key(|candidate| rank(candidate)).copied();
     let others = candidates.iter().filter(|candidate| Some(**candidate) != first);
--- a/bergamotshift-forward/src/limits/keeper.rs
+++ b/bergamotshift-forward/src/limits/keeper.rs
@@ -20,18 +20,18 @@
 use crate::peers::Flown;
 
 /// The most entries that do without keepers.
-pub const SMALL: usize = 16;
+pub const MAX_WITHOUT_KEEPER: usize = 16;
 
 /// The part of its zone's share that a deputy grants while the keeper is not reached. Both may grant for some seconds;
 /// with a quarter of a limit to a zone, half of it for two and a half seconds is a third of a second's rate, which lies
 /// within the tenth that a window may exceed its limit.
-pub const DEPUTY: f64 = 0.5;
+pub const DEPUTY_SHARE: f64 = 0.5;
 
 /// How long a keeper may take to answer: many ways within a zone. Nothing is sent meanwhile.
-pub const PATIENCE: Duration = Duration::from_millis(120);
+pub const ANSWER_TIMEOUT: Duration = Duration::from_millis(120);
 
 /// How long a keeper that did not answer is left alone.
-pub const PAUSE: Duration = Duration::from_millis(800);
+pub const BACKOFF: Duration = Duration::from_millis(800);
 
 /// Units of an organisation's limit that a request needs.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -42,7 +42,8 @@
     /// How many.
     pub count: u64,
     /// Units that the entry let in by its own share, and of which it told no keeper yet.
-    pub before: u64,
+    #[serde(rename = "before")]
+    pub unreported: u64,
 }
 
 /// A generation that needs an endpoint.
@@ -74,7 +75,8 @@
     /// The generation that needs an endpoint.
     pub generation: Option<Generation>,
     /// All work that the entry has under way.
-    pub flown: Vec<Flown>,
+    #[serde(rename = "flown")]
+    pub in_flight: Vec<Flown>,
 }
 
 /// An endpoint that a keeper chose.
@@ -119,7 +121,7 @@
 
 /// Who decides for an entry's zone, and who does while that one is not reached.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Keeping {
+pub struct Keepers {
     /// The keeper.
     pub keeper: Keeper,
     /// The deputy; this entry itself has no address here.
@@ -139,7 +141,7 @@
 
 /// Returns the two candidates that come first, on which all entries with the same list agree: of those that may use most
 /// of a core, by hash.
-pub fn first<'a>(candidates: impl Iterator<Item = Candidate<'a>>) -> [Option<&'a name::Entry>; 2] {
+pub fn top_two<'a>(candidates: impl Iterator<Item = Candidate<'a>>) -> [Option<&'a name::Entry>; 2] {
     let mut ranked: Vec<_> = candidates
         .map(|one| ((one.core_share, xxh3_64(one.entry.as_str().as_bytes())), one.entry))
         .collect();
--- a/bergamotshift-forward/src/limits/mod.rs
+++ b/bergamotshift-forward/src/limits/mod.rs
@@ -10,11 +10,11 @@
 mod share;
 
 pub use self::account::Account;
-pub use self::account::Part;
+pub use self::account::INITIAL_DEBT_CALM;
+pub use self::account::Quota;
 pub use self::account::Refused;
-pub use self::account::USED_CALM;
 pub use self::keeper::Keeper;
-pub use self::keeper::Keeping;
+pub use self::keeper::Keepers;
 pub use self::share::Demand;
 pub use self::share::Share;
-pub use self::share::Timing;
+pub use self::share::SharePolicy;
--- a/bergamotshift-forward/src/limits/share.rs
+++ b/bergamotshift-forward/src/limits/share.rs
@@ -7,28 +7,28 @@
 
 /// How demand and silence are judged.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Timing {
+pub struct SharePolicy {
     /// Over what time demand is averaged.
-    pub memory: Duration,
+    pub averaging_window: Duration,
     /// How long an entry may be silent until its share is left as it is.
-    pub silence: Duration,
+    pub silence_timeout: Duration,
     /// The part of its share that an entry keeps at the least from one round to the next.
-    pub kept: f64,
+    pub min_retained: f64,
     /// The part of the limit below which demand is calm.
-    pub calm: f64,
+    pub calm_fraction: f64,
     /// The part of the limit that is dealt out evenly, whatever the demand: a caller that comes to another entry must
     /// find room there at once.
-    pub even: f64,
+    pub even_fraction: f64,
 }
 
-impl Default for Timing {
+impl Default for SharePolicy {
     fn default() -> Self {
         Self {
-            memory: Duration::from_secs(8),
-            silence: Duration::from_millis(1_500),
-            kept: 0.96,
-            calm: 0.65,
-            even: 0.25,
+            averaging_window: Duration::from_secs(8),
+            silence_timeout: Duration::from_millis(1_500),
+            min_retained: 0.96,
+            calm_fraction: 0.65,
+            even_fraction: 0.25,
         }
     }
 }
@@ -105,7 +105,7 @@
 
 impl<K: Ord + Clone> Share<K> {
     /// Takes in what another entry says: its demand, and the share that it uses or claims.
-    pub fn heard(&mut self, now: Instant, entry: &K, demand: f64, share: f64) {
+    pub fn record_peer(&mut self, now: Instant, entry: &K, demand: f64, share: f64) {
         let other = Other {
             demand,
             share,
@@ -115,7 +115,7 @@
     }
 
     /// Returns the share that an entry which takes the place of another one may use, among `members` in all.
-    pub fn standby(&self, members: usize) -> f64 {
+    pub fn current_or_initial(&self, members: usize) -> f64 {
         self.own.unwrap_or(FIRST / members.max(1) as f64)
     }
 
@@ -131,25 +131,25 @@
     }
 
     /// Returns the share that the others have to be told: the one in use, or the larger one that is claimed.
-    pub fn told(&self) -> f64 {
+    pub fn announced(&self) -> f64 {
         self.claim.map_or(self.own.unwrap_or_default(), |claim| claim.share)
     }
 
     /// Returns this entry's share, between 0 and 1, among `members` entries in all.
-    pub fn next(&mut self, now: Instant, timing: &Timing, demand: Demand, members: usize) -> f64 {
-        let is_heard = |other: &&Other| now.since(other.heard) < timing.silence;
+    pub fn update(&mut self, now: Instant, policy: &SharePolicy, demand: Demand, members: usize) -> f64 {
+        let is_heard = |other: &&Other| now.since(other.heard) < policy.silence_timeout;
         let heard: Vec<Other> = self.others.values().filter(is_heard).copied().collect();
         let used: f64 = heard.iter().map(|other| other.share).sum();
         // An entry that starts uses half of an even share before anybody has heard it, or it could serve nobody while
         // another one is silent. The others give way as soon as they hear it.
-        let own = self.standby(members);
+        let own = self.current_or_initial(members);
         let free = self.free(&heard, members, own + used);
         let asked: f64 = heard.iter().map(|other| other.demand).sum();
         let count = heard.len() as f64 + 1.0;
         let part = |demand: f64| {
             let total = demand + asked;
             let fair = if total > 0.0 { demand / total } else { 1.0 / count };
-            timing.even / count + (1.0 - timing.even) * fair
+            policy.even_fraction / count + (1.0 - policy.even_fraction) * fair
         };
         let wanted = free * part(demand.get());
         let room = (free - used - own).max(0.0);
@@ -158,7 +158,7 @@
             _ if wanted <= own => {
                 self.claim = None;
                 // Requests come in lumps; a share that followed each lull would be small most of the time.
-                let kept = (own * timing.kept).min((free - used).max(0.0));
+                let kept = (own * policy.min_retained).min((free - used).max(0.0));
                 wanted.max(kept)
             }
             // Nobody else is there to be told.
@@ -182,19 +182,19 @@
     /// Returns whether most entries are heard and together ask for far less than `rate` units a second.
     ///
     /// The smaller half of a fleet that is cut in two is never calm, so not both halves spend what calm times allow.
-    pub fn is_calm(&self, now: Instant, timing: &Timing, demand: Demand, members: usize, rate: f64) -> bool {
-        let count = 1 + self.heard_lately(now, timing).count();
-        2 * count > members && self.asked(now, timing, demand) < rate * timing.calm
+    pub fn is_calm(&self, now: Instant, policy: &SharePolicy, demand: Demand, members: usize, rate: f64) -> bool {
+        let count = 1 + self.heard_lately(now, policy).count();
+        2 * count > members && self.total_demand(now, policy, demand) < rate * policy.calm_fraction
     }
 
     /// Returns the units per second that this entry and those that it hears are asked for.
-    pub fn asked(&self, now: Instant, timing: &Timing, demand: Demand) -> f64 {
-        let others = self.heard_lately(now, timing).map(|other| other.demand);
+    pub fn total_demand(&self, now: Instant, policy: &SharePolicy, demand: Demand) -> f64 {
+        let others = self.heard_lately(now, policy).map(|other| other.demand);
         demand.get() + others.sum::<f64>()
     }
 
-    fn heard_lately(&self, now: Instant, timing: &Timing) -> impl Iterator<Item = &Other> {
-        let silence = timing.silence;
+    fn heard_lately(&self, now: Instant, policy: &SharePolicy) -> impl Iterator<Item = &Other> {
+        let silence = policy.silence_timeout;
         self.others
             .values()
             .filter(move |other| now.since(other.heard) < silence)
--- a/bergamotshift-forward/src/peers/keep.rs
+++ b/bergamotshift-forward/src/peers/keep.rs
@@ -47,7 +47,7 @@
         return Response::new(StatusCode::CONFLICT);
     }
     let now = shared.clock.now();
-    told(shared, &view, now, &question.entry, &question.flown);
+    told(shared, &view, now, &question.entry, &question.in_flight);
     let answer = decide(permits, &view, &question).await;
     if let Some(placed) = answer.placement {
         let mut ledger = shared.ledger();
@@ -100,7 +100,7 @@
     let Some(accounts) = view.accounts.get(&units.organisation) else {
         return Ok(());
     };
-    accounts.kept.take_over(now, units.before);
+    accounts.kept.charge(now, units.unreported);
     accounts.kept.take(now, units.count)
 }
 
@@ -115,7 +115,9 @@
         }
         let shared = permits.shared();
         let endpoint = choice.endpoint.hash;
-        shared.recall().note(shared.clock.now(), endpoint, &generation.parts);
+        shared
+            .recall()
+            .record_choice(shared.clock.now(), endpoint, &generation.parts);
         return Some(Placement {
             endpoint,
             unread: choice.unread,
@@ -140,13 +142,13 @@
     let request = choice::Request {
         ask: &ask,
         engine: service.engine,
-        own: &shared.settings.zone,
-        zone: None,
+        own_zone: &shared.settings.zone,
+        preferred_zone: None,
         tried: &generation.avoided,
-        sources: &[],
+        cache_sources: &[],
     };
     let canary = service.canary_of(generation.is_canary);
     let recall = shared.recall();
     let weights = choice::Settings::default();
-    choice::among(&weights, shared.clock.now(), service, canary, &request, &recall)
+    choice::choose_with_canary(&weights, shared.clock.now(), service, canary, &request, &recall)
 }
--- a/bergamotshift-forward/src/peers/keepers.rs
+++ b/bergamotshift-forward/src/peers/keepers.rs
@@ -10,7 +10,7 @@
 use super::member::Members;
 use super::member::Peer;
 use crate::limits::Keeper;
-use crate::limits::Keeping;
+use crate::limits::Keepers;
 use crate::limits::granter;
 use crate::limits::keeper;
 use crate::limits::keeper::Candidate;
@@ -50,9 +50,9 @@
     ///
     /// Failure: an entry that is cut off takes all others for dead and itself for the keeper, and grants what the real
     /// one grants too. Symptom: an organisation exceeds its limit. Who hears less than a part of its zone keeps nothing.
-    pub fn keeping(&self, now: Instant) -> Keeping {
+    pub fn keeping(&self, now: Instant) -> Keepers {
         if !self.is_large() {
-            return Keeping::default();
+            return Keepers::default();
         }
         let near = self.peers.values().filter(|peer| peer.is_in(&self.zone));
         let (mates, alive) = near.fold((0, 0), |(mates, alive), peer| {
@@ -64,9 +64,9 @@
             core_share: self.core_share,
         };
         let own = Some(own).filter(|_| hears_enough && !self.stops);
-        let [first, second] = keeper::first(self.candidates(now, &self.zone).chain(own));
+        let [first, second] = keeper::top_two(self.candidates(now, &self.zone).chain(own));
         let address = |entry: &name::Entry| self.peers.get(entry).map(|peer| peer.address);
-        Keeping {
+        Keepers {
             keeper: match first {
                 Some(entry) if *entry == self.own => Keeper::Own,
                 Some(entry) => address(entry).map_or(Keeper::Unknown, Keeper::Other),
@@ -137,7 +137,7 @@
         now: Instant,
         zones: impl Iterator<Item = &'a name::Zone>,
     ) -> impl Iterator<Item = (&'a name::Entry, &'a Peer)> {
-        let first = zones.filter_map(move |zone| keeper::first(self.candidates(now, zone))[0]);
+        let first = zones.filter_map(move |zone| keeper::top_two(self.candidates(now, zone))[0]);
         first.filter_map(|entry| Some((entry, self.peers.get(entry)?)))
     }
 
@@ -149,7 +149,7 @@
         let near = self.peers.iter().filter(|(_, peer)| peer.is_in(&self.zone));
         let open = near.filter(|(_, peer)| !peer.is_paused(now) && !peer.was_asked(now));
         let candidates = open.map(|(entry, peer)| peer.candidate(entry));
-        keeper::first(candidates).into_iter().flatten().cloned().collect()
+        keeper::top_two(candidates).into_iter().flatten().cloned().collect()
     }
 
     /// Returns the keepers of the other zones.
--- a/bergamotshift-forward/src/peers/member.rs
+++ b/bergamotshift-forward/src/peers/member.rs
@@ -276,7 +276,7 @@
 
     /// Returns whether the entries are too many to be heard often each.
     pub fn is_large(&self) -> bool {
-        self.peers.len() >= keeper::SMALL
+        self.peers.len() >= keeper::MAX_WITHOUT_KEEPER
     }
 
     /// Notes whether the holder of the duties is to hear this entry at once.
--- a/bergamotshift-forward/src/peers/message.rs
+++ b/bergamotshift-forward/src/peers/message.rs
@@ -11,7 +11,7 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use crate::choice::Reading;
+use crate::choice::CachedPart;
 use crate::duty::Windows;
 use crate::endpoint::Endpoint;
 use crate::endpoint::Registration;
@@ -192,7 +192,7 @@
     /// Prompt tokens a second that its callers ask to have read, by service.
     pub reading: Vec<(name::Service, f64)>,
     /// Parts of prompts that it had read lately.
-    pub readings: Vec<Reading>,
+    pub readings: Vec<CachedPart>,
     /// Requests by window, as it counted them.
     pub windows: Windows,
     /// Requests that it suspects of ending endpoints.
--- a/bergamotshift-forward/src/peers/permit.rs
+++ b/bergamotshift-forward/src/peers/permit.rs
@@ -87,7 +87,7 @@
             return true;
         };
         let granters = Arc::clone(&self.shared.view.load().granters);
-        let ranked = granter::ranked(endpoint.hash, &granters).into_iter().flatten();
+        let ranked = granter::top_two(endpoint.hash, &granters).into_iter().flatten();
         for (candidate, cost) in ranked.zip([1, throttle::SECOND]) {
             let verdict = match candidate.address {
                 None => Some(grant(self.shared.clock.now(), endpoint, cost)),
@@ -111,9 +111,9 @@
         }
         let now = self.shared.clock.now();
         let pause = if granters.is_empty() {
-            granter::UNKNOWN
+            granter::UNKNOWN_BACKOFF
         } else {
-            granter::PAUSE
+            granter::BACKOFF
         };
         endpoint.said.throttle.close(now + pause);
         if let Some((logger, left_out)) = self.shared.log.room(now, Topic::Limit) {
@@ -133,12 +133,12 @@
         let rate = Rate::of(endpoint, now);
         let entry = self.shared.settings.name.clone();
         let question = Question { entry, rate, cost };
-        let asked = timeout(granter::PATIENCE, self.exchange(address, &question)).await;
+        let asked = timeout(granter::ANSWER_TIMEOUT, self.exchange(address, &question)).await;
         let verdict = asked.ok().flatten();
         let now = self.shared.clock.now();
         let mut away = self.away.borrow_mut();
         if verdict.is_none() {
-            away.insert(address, now + granter::PAUSE);
+            away.insert(address, now + granter::BACKOFF);
             self.shared.metrics.ungranted.inc();
         }
         away.retain(|_, until| now < *until);
@@ -148,7 +148,7 @@
     async fn exchange(&self, address: SocketAddr, question: &Question) -> Option<Verdict> {
         let question = postcard::to_stdvec(question).ok()?;
         let clock = self.shared.clock;
-        let asked = exchange::ask_pooled(&self.pool, clock, address, granter::PATIENCE, PATH, &question);
+        let asked = exchange::ask_pooled(&self.pool, clock, address, granter::ANSWER_TIMEOUT, PATH, &question);
         let answer = asked.await.ok()?;
         (answer.status == StatusCode::OK)
             .then(|| postcard::from_bytes(&answer.body).ok())
--- a/bergamotshift-forward/src/rollouts/book.rs
+++ b/bergamotshift-forward/src/rollouts/collector.rs
@@ -16,13 +16,13 @@
 
 /// What this entry saw of the answers of both versions, by service; threads hold it for microseconds.
 #[derive(Debug, Default)]
-pub struct Book {
+pub struct Collector {
     inner: Mutex<Inner>,
 }
 
-impl Book {
+impl Collector {
     /// Counts the answers of the given orders alone.
-    pub fn open(&self, orders: &BTreeMap<name::Service, u64>) {
+    pub fn set_orders(&self, orders: &BTreeMap<name::Service, u64>) {
         let mut inner = self.lock();
         let evidence = &mut inner.evidence;
         evidence.retain(|service, evidence| orders.get(service) == Some(&evidence.order));
@@ -33,7 +33,7 @@
     }
 
     /// Counts an answer; one of an order that does not stand any more is left out.
-    pub fn note(&self, service: &name::Service, order: u64, route: u32, group: Group, answer: Answer) {
+    pub fn record(&self, service: &name::Service, order: u64, route: u32, group: Group, answer: Answer) {
         let mut inner = self.lock();
         let evidence = inner.evidence.get_mut(service);
         let Some(evidence) = evidence.filter(|evidence| evidence.order == order) else {
@@ -53,7 +53,7 @@
     }
 
     /// Returns whether a new version failed since the last call.
-    pub fn take_urgent(&self) -> bool {
+    pub fn take_canary_failed(&self) -> bool {
         core::mem::take(&mut self.lock().is_urgent)
     }
 
--- a/bergamotshift-forward/src/rollouts/mod.rs
+++ b/bergamotshift-forward/src/rollouts/mod.rs
@@ -1,7 +1,7 @@
 //! What requests tell of two versions of a service while an order to change it stands.
 
-mod book;
-mod witness;
+mod collector;
+mod observer;
 
-pub use self::book::Book;
-pub use self::witness::Witness;
+pub use self::collector::Collector;
+pub use self::observer::Observer;
--- a/bergamotshift-forward/src/rollouts/witness.rs
+++ b/bergamotshift-forward/src/rollouts/observer.rs
@@ -5,7 +5,7 @@
 use bergamotshift_core::prelude::*;
 use bergamotshift_rollout::prelude::*;
 
-use super::Book;
+use super::Collector;
 use crate::observe::Clock;
 
 /// How many times the expected time a request has to have waited in vain to count as slow.
@@ -13,8 +13,8 @@
 
 /// Sees what comes of one send, and counts it in the entry's book.
 #[derive(Debug)]
-pub struct Witness {
-    book: Arc<Book>,
+pub struct Observer {
+    book: Arc<Collector>,
     clock: Clock,
     service: name::Service,
     order: u64,
@@ -27,9 +27,9 @@
     has_failed: bool,
 }
 
-impl Witness {
+impl Observer {
     /// Makes the witness of a request that is sent now.
-    pub fn new(book: &Arc<Book>, clock: Clock, service: &name::Service, order: u64, route: u32) -> Self {
+    pub fn new(book: &Arc<Collector>, clock: Clock, service: &name::Service, order: u64, route: u32) -> Self {
         Self {
             book: Arc::clone(book),
             clock,
@@ -46,7 +46,7 @@
 
     /// Says whose answer it is, and after how many milliseconds it is expected to begin.
     #[must_use]
-    pub fn of(mut self, group: Group, expected: f64) -> Self {
+    pub fn expecting(mut self, group: Group, expected: f64) -> Self {
         self.group = group;
         self.expected = expected.max(1.0);
         self
@@ -78,11 +78,11 @@
 
     fn note(&self, answer: Answer) {
         self.book
-            .note(&self.service, self.order, self.route, self.group, answer);
+            .record(&self.service, self.order, self.route, self.group, answer);
     }
 }
 
-impl Drop for Witness {
+impl Drop for Observer {
     /// Failure: a version answers so late that callers leave before. Symptom: none of its answers counts, and it passes for
     /// sound. A request that waited long in vain counts as slow.
     fn drop(&mut self) {
--- a/bergamotshift-forward/src/serve/attempt.rs
+++ b/bergamotshift-forward/src/serve/attempt.rs
@@ -27,7 +27,7 @@
 use crate::exchange::Failure;
 use crate::observe::Topic;
 use crate::peers::Note;
-use crate::rollouts::Witness;
+use crate::rollouts::Observer;
 
 /// How long a connection may take to come about: ten times the way there and back between zones.
 const CONNECT: Duration = Duration::from_millis(250);
@@ -212,7 +212,7 @@
         history.sends += 1;
         history.sent = Some(expected);
         self.shared.metrics.sends.inc();
-        self.shared.recall().note(now, endpoint.hash, &job.ask.parts);
+        self.shared.recall().record_choice(now, endpoint.hash, &job.ask.parts);
         seat = seat.watched(self.witness(job, choice));
         let envelope = Envelope {
             expected: &endpoint.registration.id,
@@ -250,7 +250,7 @@
     }
 
     /// Returns who sees what comes of a send while two versions of the service are compared.
-    fn witness(&self, job: &Job, choice: &Choice) -> Option<Witness> {
+    fn witness(&self, job: &Job, choice: &Choice) -> Option<Observer> {
         /// What the way there and back and the endpoint's turns add to the expected time, in milliseconds.
         const BESIDE: f64 = 40.0;
         /// The part of its objective that a plain answer is expected to take.
@@ -270,8 +270,8 @@
             job.route.objective.as_secs_f64() * 1e3 * PLAIN
         };
         let route = xxh3_64(job.route.name.as_bytes()) as u32;
-        let witness = Witness::new(&self.shared.book, self.shared.clock, &job.service, canary.order, route);
-        Some(witness.of(group, expected))
+        let witness = Observer::new(&self.shared.book, self.shared.clock, &job.service, canary.order, route);
+        Some(witness.expecting(group, expected))
     }
 
     /// Tells an answer that the caller may get from one that calls for another try.
--- a/bergamotshift-forward/src/serve/charge.rs
+++ b/bergamotshift-forward/src/serve/charge.rs
@@ -47,9 +47,9 @@
             let units = Units {
                 organisation: organisation.name.clone(),
                 count,
-                before: match view.keeping.keeper {
+                unreported: match view.keeping.keeper {
                     Keeper::Nobody => 0,
-                    Keeper::Own | Keeper::Other(_) | Keeper::Unknown => accounts.own.hand_over(now),
+                    Keeper::Own | Keeper::Other(_) | Keeper::Unknown => accounts.own.take_unreported(now),
                 },
             };
             Some((accounts, units))
--- a/bergamotshift-forward/src/serve/choose.rs
+++ b/bergamotshift-forward/src/serve/choose.rs
@@ -147,10 +147,10 @@
         let request = choice::Request {
             ask: &job.ask,
             engine: service.engine,
-            own: &self.shared.settings.zone,
-            zone: None,
+            own_zone: &self.shared.settings.zone,
+            preferred_zone: None,
             tried: avoided,
-            sources: &[],
+            cache_sources: &[],
         };
         if self.shared.is_stranded() {
             let choice = self.choose_here(now, service, &request, history)?;
@@ -164,7 +164,7 @@
         let canary = service.canary_of(job.is_canary && history.tried.is_empty());
         let candidate = placed.or_else(|| {
             let recall = self.shared.recall();
-            let choice = choice::among(&self.weights, now, service, canary, &request, &recall)?;
+            let choice = choice::choose_with_canary(&self.weights, now, service, canary, &request, &recall)?;
             Some(Candidate {
                 choice,
                 is_granted: false,
--- a/bergamotshift-forward/src/serve/keeper.rs
+++ b/bergamotshift-forward/src/serve/keeper.rs
@@ -91,9 +91,9 @@
     /// Keeps what this entry let in by itself for the next question, since nobody heard it.
     fn take_back(&self, units: Option<&Units>) {
         let view = self.shared.view.load();
-        let accounts = units.and_then(|units| Some((view.accounts.get(&units.organisation)?, units.before)));
+        let accounts = units.and_then(|units| Some((view.accounts.get(&units.organisation)?, units.unreported)));
         if let Some((accounts, before)) = accounts {
-            accounts.own.take_back(before);
+            accounts.own.restore_unreported(before);
         }
     }
 
@@ -146,7 +146,7 @@
             deputy: false,
             units,
             generation,
-            flown: self.flown(),
+            in_flight: self.flown(),
         }
     }
 
@@ -159,14 +159,21 @@
 
     async fn ask(&self, address: SocketAddr, question: &Question) -> Result<Answer, Missed> {
         self.told.set(self.shared.clock.now());
-        let asked = timeout(keeper::PATIENCE, self.exchange(address, question)).await;
+        let asked = timeout(keeper::ANSWER_TIMEOUT, self.exchange(address, question)).await;
         asked.unwrap_or(Err(Missed::Unreached))
     }
 
     async fn exchange(&self, address: SocketAddr, question: &Question) -> Result<Answer, Missed> {
         let question = postcard::to_stdvec(question).or(Err(Missed::Disagrees))?;
         let clock = self.shared.clock;
-        let asked = exchange::ask_pooled(&self.pool, clock, address, keeper::PATIENCE, peers::KEEP, &question);
+        let asked = exchange::ask_pooled(
+            &self.pool,
+            clock,
+            address,
+            keeper::ANSWER_TIMEOUT,
+            peers::KEEP,
+            &question,
+        );
         let answer = asked.await.or(Err(Missed::Unreached))?;
         if answer.status != StatusCode::OK {
             return Err(Missed::Disagrees);
@@ -184,11 +191,11 @@
     /// Notes that a keeper did not answer, so that the next requests do not wait for it too.
     fn note_away(&self, address: SocketAddr) {
         let now = self.shared.clock.now();
-        self.away.set(Some((address, now + keeper::PAUSE)));
+        self.away.set(Some((address, now + keeper::BACKOFF)));
         self.shared.metrics.unanswered.inc();
         if let Some((logger, left_out)) = self.shared.log.room(now, Topic::Belief) {
             info!(logger, "keeper not reached"; "keeper" => %address,
-                "pause_ms" => keeper::PAUSE.as_millis() as u64, "left_out" => left_out);
+                "pause_ms" => keeper::BACKOFF.as_millis() as u64, "left_out" => left_out);
         }
     }
 }
--- a/bergamotshift-forward/src/view/mod.rs
+++ b/bergamotshift-forward/src/view/mod.rs
@@ -22,20 +22,20 @@
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 pub use self::rates::Source;
-use crate::choice::Recall;
+use crate::choice::CacheIndex;
 use crate::dialect::Dialect;
 use crate::document::Engine;
 use crate::duty::Tally;
 use crate::endpoint::Endpoint;
 use crate::endpoint::Ledger;
 use crate::limits::Account;
-use crate::limits::Keeping;
+use crate::limits::Keepers;
 use crate::limits::granter;
 use crate::observe::Clock;
 use crate::observe::Log;
 use crate::observe::Metrics;
 use crate::peers::Note;
-use crate::rollouts::Book;
+use crate::rollouts::Collector;
 use crate::routes::Table;
 use crate::settings::Settings;
 
@@ -133,7 +133,7 @@
     /// Requests that are suspected of ending endpoints.
     pub suspects: quarantine::Table,
     /// Who decides for the zone.
-    pub keeping: Keeping,
+    pub keeping: Keepers,
     /// The entries that grant requests to endpoints which name a rate.
     pub granters: Arc<[granter::Candidate]>,
     /// Whether endpoints have been read at least once.
@@ -187,11 +187,11 @@
     /// Requests by organisation and window.
     pub tally: Tally,
     /// Which endpoints read which parts of prompts. Worker threads and the control thread hold it for microseconds.
-    pub recall: Mutex<Recall>,
+    pub recall: Mutex<CacheIndex>,
     /// What the entries of the zone told this one as their keeper. Threads hold it for microseconds.
     pub ledger: Mutex<Ledger>,
     /// What this entry saw of the answers of two versions.
-    pub book: Arc<Book>,
+    pub book: Arc<Collector>,
     /// Wakes whoever tells the keeper that work under way began or ended.
     pub flown: Notify,
     /// What requests tell the control thread.
@@ -214,7 +214,7 @@
 
 impl Shared {
     /// Lends the memory of which endpoints read which parts.
-    pub fn recall(&self) -> MutexGuard<'_, Recall> {
+    pub fn recall(&self) -> MutexGuard<'_, CacheIndex> {
         self.recall.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
--- a/bergamotshift-forward/tests/daemon/large.rs
+++ b/bergamotshift-forward/tests/daemon/large.rs
@@ -21,7 +21,7 @@
 use crate::site::until;
 
 /// One more than the most entries that do without a keeper.
-const ENTRIES: usize = keeper::SMALL + 1;
+const ENTRIES: usize = keeper::MAX_WITHOUT_KEEPER + 1;
 
 /// What the endpoints are like where they are model engines.
 const ENGINE: Engine = Engine {
@@ -121,7 +121,7 @@
             is_canary: false,
             avoided: avoided.to_vec(),
         }),
-        flown: Vec::new(),
+        in_flight: Vec::new(),
     };
     let body = postcard::to_stdvec(&question).expect("it is encoded");
     let mut connection = Caller(TcpStream::connect(keeper.listen.peers).expect("the keeper listens"));
@@ -157,7 +157,7 @@
         entry,
         core_share: 1_000,
     });
-    let first = keeper::first(candidates)[0].expect("there is one").clone();
+    let first = keeper::top_two(candidates)[0].expect("there is one").clone();
     names.iter().position(|name| *name == first).expect("it is one of them")
 }
 
--- a/bergamotshift-forward/tests/kernel/choice.rs
+++ b/bergamotshift-forward/tests/kernel/choice.rs
@@ -3,8 +3,8 @@
 use std::sync::Arc;
 
 use bergamotshift_core::prelude::*;
+use bergamotshift_forward::choice::CacheIndex;
 use bergamotshift_forward::choice::Choice;
-use bergamotshift_forward::choice::Recall;
 use bergamotshift_forward::choice::Request;
 use bergamotshift_forward::choice::Settings;
 use bergamotshift_forward::choice::choose;
@@ -40,16 +40,16 @@
     }
 }
 
-fn chosen(endpoints: &[Arc<Endpoint>], engine: Option<Engine>, recall: &Recall, tried: &[u64]) -> Option<Choice> {
+fn chosen(endpoints: &[Arc<Endpoint>], engine: Option<Engine>, recall: &CacheIndex, tried: &[u64]) -> Option<Choice> {
     let ask = ask();
     let zone = name::Zone::new("one");
     let request = Request {
         ask: &ask,
         engine,
-        own: &zone,
-        zone: None,
+        own_zone: &zone,
+        preferred_zone: None,
         tried,
-        sources: &[],
+        cache_sources: &[],
     };
     choose(&Settings::default(), at(1_000), endpoints, &request, recall)
 }
@@ -59,16 +59,16 @@
     let endpoints = endpoints(8);
     let mut turned = endpoints.clone();
     turned.rotate_left(3);
-    let one = chosen(&endpoints, Some(ENGINE), &Recall::default(), &[]).expect("one of them");
-    let other = chosen(&turned, Some(ENGINE), &Recall::default(), &[]).expect("one of them");
+    let one = chosen(&endpoints, Some(ENGINE), &CacheIndex::default(), &[]).expect("one of them");
+    let other = chosen(&turned, Some(ENGINE), &CacheIndex::default(), &[]).expect("one of them");
     assert_eq!(one.endpoint.hash, other.endpoint.hash);
 }
 
 #[test]
 fn who_holds_the_prompt_reads_only_the_rest() {
     let endpoints = endpoints(8);
-    let mut recall = Recall::default();
-    recall.note(at(0), endpoints[5].hash, &ask().parts[..1]);
+    let mut recall = CacheIndex::default();
+    recall.record_choice(at(0), endpoints[5].hash, &ask().parts[..1]);
     let choice = chosen(&endpoints, Some(ENGINE), &recall, &[]).expect("one of them");
     assert_eq!(choice.endpoint.hash, endpoints[5].hash);
     assert_eq!(choice.unread, 3_000);
@@ -80,8 +80,8 @@
 #[test]
 fn a_busy_holder_hands_its_part_to_an_idle_endpoint() {
     let endpoints = endpoints(8);
-    let mut recall = Recall::default();
-    recall.note(at(0), endpoints[5].hash, &ask().parts[..1]);
+    let mut recall = CacheIndex::default();
+    recall.record_choice(at(0), endpoints[5].hash, &ask().parts[..1]);
     let _busy = Seat::take(Arc::clone(&endpoints[5]), 60_000);
     let choice = chosen(&endpoints, Some(ENGINE), &recall, &[]).expect("one of them");
     assert_ne!(choice.endpoint.hash, endpoints[5].hash);
@@ -98,8 +98,8 @@
 #[test]
 fn a_leaving_holder_is_still_a_source() {
     let endpoints = endpoints(3);
-    let mut recall = Recall::default();
-    recall.note(at(0), endpoints[1].hash, &ask().parts[..1]);
+    let mut recall = CacheIndex::default();
+    recall.record_choice(at(0), endpoints[1].hash, &ask().parts[..1]);
     endpoints[1].leave();
     let choice = chosen(&endpoints, Some(ENGINE), &recall, &[]).expect("one of the others");
     assert_ne!(choice.endpoint.hash, endpoints[1].hash);
@@ -110,9 +110,9 @@
 fn an_endpoint_that_was_lost_is_taken_only_when_no_other_is_left() {
     let endpoints = endpoints(2);
     endpoints[0].health.lost(at(1_000));
-    let first = chosen(&endpoints, None, &Recall::default(), &[]).expect("the other one");
+    let first = chosen(&endpoints, None, &CacheIndex::default(), &[]).expect("the other one");
     assert_eq!(first.endpoint.hash, endpoints[1].hash);
-    let second = chosen(&endpoints, None, &Recall::default(), &[endpoints[1].hash]).expect("the lost one");
+    let second = chosen(&endpoints, None, &CacheIndex::default(), &[endpoints[1].hash]).expect("the lost one");
     assert_eq!(second.endpoint.hash, endpoints[0].hash);
 }
 
@@ -127,7 +127,7 @@
         }
     }
     let _work: Vec<_> = (0..4).map(|_| Seat::take(Arc::clone(&endpoints[1]), 0)).collect();
-    let choice = chosen(&endpoints, None, &Recall::default(), &[]).expect("one of them");
+    let choice = chosen(&endpoints, None, &CacheIndex::default(), &[]).expect("one of them");
     assert_eq!(choice.endpoint.hash, endpoints[1].hash);
 }
 
@@ -137,16 +137,16 @@
     for endpoint in &endpoints {
         endpoint.leave();
     }
-    assert!(chosen(&endpoints, None, &Recall::default(), &[]).is_none());
+    assert!(chosen(&endpoints, None, &CacheIndex::default(), &[]).is_none());
 }
 
 #[test]
 fn readings_are_told_without_the_requests_own_part() {
-    let mut recall = Recall::default();
-    recall.note(at(0), 9, &ask().parts);
-    let told = recall.told(at(100));
+    let mut recall = CacheIndex::default();
+    recall.record_choice(at(0), 9, &ask().parts);
+    let told = recall.announced(at(100));
     assert_eq!(told.iter().map(|reading| reading.part.id).collect::<Vec<_>>(), [1]);
-    assert!(recall.told(at(60_000)).is_empty());
+    assert!(recall.announced(at(60_000)).is_empty());
 }
 
 /// An engine's memory is full and it drops what it used longest ago. Requests must not go on to it for that: they would be
@@ -154,16 +154,16 @@
 #[test]
 fn an_engine_holds_no_more_than_its_memory_has_room_for() {
     let part = |id| Part { id, tokens: 100 };
-    let mut recall = Recall::default();
-    recall.bound(400);
+    let mut recall = CacheIndex::default();
+    recall.set_memory(400);
     for id in 1..=2 {
-        recall.note(at(id * 10), 9, &[part(id)]);
+        recall.record_choice(at(id * 10), 9, &[part(id)]);
     }
-    recall.note(at(30), 9, &[part(1)]);
-    recall.note(at(40), 9, &[part(3)]);
-    assert_eq!(recall.held(&[part(2)], 9), 0, "it was used longest ago");
-    assert_eq!(recall.held(&[part(1)], 9), 100);
-    assert_eq!(recall.held(&[part(3)], 9), 100);
+    recall.record_choice(at(30), 9, &[part(1)]);
+    recall.record_choice(at(40), 9, &[part(3)]);
+    assert_eq!(recall.held_tokens(&[part(2)], 9), 0, "it was used longest ago");
+    assert_eq!(recall.held_tokens(&[part(1)], 9), 100);
+    assert_eq!(recall.held_tokens(&[part(3)], 9), 100);
     recall.expire(at(50), |endpoint| endpoint != 9);
     assert!(!recall.is_known(1), "the engine is gone");
 }
@@ -173,7 +173,7 @@
 #[test]
 fn engines_of_a_silent_zone_are_left_for_last() {
     let endpoints = endpoints(4);
-    let recall = Recall::default();
+    let recall = CacheIndex::default();
     let first = chosen(&endpoints, Some(ENGINE), &recall, &[]).expect("one of them");
     first.endpoint.set_silent(true);
     let next = chosen(&endpoints, Some(ENGINE), &recall, &[]).expect("one of the others");
@@ -194,7 +194,7 @@
     let near: Vec<_> = endpoints(12);
     let far = Arc::new(Endpoint::new(registration("far", "two")));
     let all: Vec<_> = near.iter().cloned().chain([Arc::clone(&far)]).collect();
-    let recall = Recall::default();
+    let recall = CacheIndex::default();
     let chosen_first = chosen(&all, Some(ENGINE), &recall, &[]).expect("a near one");
     assert_ne!(chosen_first.endpoint.hash, far.hash);
     let _busy: Vec<_> = near.iter().map(|one| Seat::take(Arc::clone(one), 100_000)).collect();
--- a/bergamotshift-forward/tests/kernel/growing.rs
+++ b/bergamotshift-forward/tests/kernel/growing.rs
@@ -1,8 +1,8 @@
 //! A limit while a fleet grows from entries that decide for themselves to one that has a keeper.
 
 use bergamotshift_forward::limits::Account;
-use bergamotshift_forward::limits::Part;
-use bergamotshift_forward::limits::USED_CALM;
+use bergamotshift_forward::limits::INITIAL_DEBT_CALM;
+use bergamotshift_forward::limits::Quota;
 use bergamotshift_forward::limits::keeper::Units;
 use bergamotshift_forward::peers::keep;
 use bergamotshift_forward::view::Accounts;
@@ -19,12 +19,12 @@
 /// What a keeper that starts takes to be used up, in bursts.
 const KEEPER_USED: f64 = 0.5;
 
-fn whole(used: f64) -> Part {
-    Part {
+fn whole(used: f64) -> Quota {
+    Quota {
         rate: 1.0,
         burst: BURST,
-        base: BURST,
-        used,
+        share_burst: BURST,
+        initial_debt: used,
     }
 }
 
@@ -45,7 +45,7 @@
         let own = (0..ENTRIES).map(|_| {
             let account = Account::default();
             let share = 1.0 / ENTRIES as f64;
-            account.set(at(0), Some(whole(USED_CALM).times(share, share)));
+            account.set(at(0), Some(whole(INITIAL_DEBT_CALM).scaled(share, share)));
             account
         });
         Self {
@@ -69,7 +69,7 @@
             let units = Units {
                 organisation: "horeca".into(),
                 count: SIZE,
-                before: account.hand_over(at(0)),
+                unreported: account.take_unreported(at(0)),
             };
             keep::grant(&self.keeper, at(0), &units).is_ok()
         };
@@ -111,7 +111,7 @@
     let account = Account::default();
     account.set(at(0), Some(whole(0.0)));
     account.take(at(0), SIZE).expect("there is room");
-    assert_eq!(account.hand_over(at(60_000)), 0);
+    assert_eq!(account.take_unreported(at(60_000)), 0);
 }
 
 /// The keeper is not reached. What the entry let in before is told with the next question.
@@ -120,9 +120,9 @@
     let account = Account::default();
     account.set(at(0), Some(whole(0.0)));
     account.take(at(0), SIZE).expect("there is room");
-    let untold = account.hand_over(at(0));
+    let untold = account.take_unreported(at(0));
     assert_eq!(untold, SIZE);
-    assert_eq!(account.hand_over(at(0)), 0);
-    account.take_back(untold);
-    assert_eq!(account.hand_over(at(0)), SIZE);
+    assert_eq!(account.take_unreported(at(0)), 0);
+    account.restore_unreported(untold);
+    assert_eq!(account.take_unreported(at(0)), SIZE);
 }
--- a/bergamotshift-forward/tests/kernel/limits.rs
+++ b/bergamotshift-forward/tests/kernel/limits.rs
@@ -5,10 +5,10 @@
 use bergamotshift_core::prelude::*;
 use bergamotshift_forward::limits::Account;
 use bergamotshift_forward::limits::Demand;
-use bergamotshift_forward::limits::Part;
+use bergamotshift_forward::limits::INITIAL_DEBT_CALM;
+use bergamotshift_forward::limits::Quota;
 use bergamotshift_forward::limits::Share;
-use bergamotshift_forward::limits::Timing;
-use bergamotshift_forward::limits::USED_CALM;
+use bergamotshift_forward::limits::SharePolicy;
 use bergamotshift_forward::limits::keeper;
 use bergamotshift_forward::limits::keeper::Candidate;
 use quickcheck::Arbitrary;
@@ -38,19 +38,21 @@
 
 /// One round: every entry notes its demand and works out its share, then those that hear each other tell theirs.
 fn round(entries: &mut [Entry], now: Instant, units: &[u64], hears: impl Fn(usize, usize) -> bool) {
-    let timing = Timing::default();
+    let policy = SharePolicy::default();
     for (entry, units) in entries.iter_mut().zip(units) {
-        entry.demand.note(timing.memory, *units, Duration::from_millis(250));
-        entry.used = entry.share.next(now, &timing, entry.demand, ENTRIES);
+        entry
+            .demand
+            .note(policy.averaging_window, *units, Duration::from_millis(250));
+        entry.used = entry.share.update(now, &policy, entry.demand, ENTRIES);
     }
     let told: Vec<_> = entries
         .iter()
-        .map(|entry| (entry.name.clone(), entry.demand.get(), entry.share.told()))
+        .map(|entry| (entry.name.clone(), entry.demand.get(), entry.share.announced()))
         .collect();
     for (place, entry) in entries.iter_mut().enumerate() {
         for (other, (name, demand, share)) in told.iter().enumerate() {
             if other != place && hears(place, other) {
-                entry.share.heard(now, name, *demand, *share);
+                entry.share.record_peer(now, name, *demand, *share);
             }
         }
     }
@@ -115,11 +117,11 @@
 /// one it gives up what that one has, at once and not bit by bit: until then the organisation has its limit twice.
 #[test]
 fn an_entry_that_was_alone_gives_way_at_once() {
-    let timing = Timing::default();
+    let policy = SharePolicy::default();
     let mut share = Share::<name::Entry>::default();
-    assert_eq!(share.next(at(0), &timing, Demand::default(), 1), 1.0);
-    share.heard(at(100), &"entry-2".into(), 500.0, 0.6);
-    let next = share.next(at(250), &timing, Demand::default(), 2);
+    assert_eq!(share.update(at(0), &policy, Demand::default(), 1), 1.0);
+    share.record_peer(at(100), &"entry-2".into(), 500.0, 0.6);
+    let next = share.update(at(250), &policy, Demand::default(), 2);
     assert!(next <= 0.4, "it keeps {next} beside another one's 0.6");
 }
 
@@ -136,7 +138,7 @@
 #[test]
 fn an_entry_that_has_heard_nobody_takes_an_even_share() {
     let mut share = Share::<name::Entry>::default();
-    let alone = share.next(at(0), &Timing::default(), Demand::default(), ENTRIES);
+    let alone = share.update(at(0), &SharePolicy::default(), Demand::default(), ENTRIES);
     assert!(alone <= 1.0 / ENTRIES as f64 + 1e-9, "it takes {alone}");
 }
 
@@ -162,12 +164,12 @@
         .quickcheck(most_used as fn(Vec<(u8, u8)>) -> bool);
 }
 
-fn part(rate: f64, burst: f64) -> Part {
-    Part {
+fn part(rate: f64, burst: f64) -> Quota {
+    Quota {
         rate,
         burst,
-        base: burst,
-        ..Part::default()
+        share_burst: burst,
+        ..Quota::default()
     }
 }
 
@@ -221,7 +223,7 @@
 /// Entries that let requests in until they are killed.
 struct Killed {
     accounts: Vec<Account>,
-    part: Part,
+    part: Quota,
     /// When how many units were let in.
     taken: Vec<(u64, u64)>,
 }
@@ -232,12 +234,12 @@
     fn start(now: u64, is_calm: bool) -> Self {
         let whole = part(RATE, BURST + 0.4 * SLACK);
         let share = 1.0 / Self::ENTRIES as f64;
-        let part = whole.times(share, share);
+        let part = whole.scaled(share, share);
         let account = || {
             let account = Account::default();
             account.set(at(now), Some(part));
             if is_calm {
-                account.relieve(at(now), part, USED_CALM);
+                account.cap_debt(at(now), part, INITIAL_DEBT_CALM);
             }
             account
         };
@@ -313,7 +315,7 @@
     let mut entries = Killed::start(0, true);
     let (_, taken) = entries.ask(0..1, 1);
     assert_eq!(taken, 1);
-    let burst = entries.part.base * (1.0 - USED_CALM);
+    let burst = entries.part.share_burst * (1.0 - INITIAL_DEBT_CALM);
     let first: u64 = (0..200)
         .filter(|_| entries.accounts[1].take(at(0), 200).is_ok())
         .count() as u64
@@ -339,7 +341,7 @@
     let account = Account::default();
     account.set(at(0), None);
     assert!((0..100).all(|_| account.take(at(0), 1_000_000).is_ok()));
-    assert_eq!(account.take_asked(), 100_000_000);
+    assert_eq!(account.take_requested(), 100_000_000);
 }
 
 /// Sixty entries lie in a zone, some of them on larger VMs. Whichever of them a caller meets, it asks the same one, and
@@ -357,25 +359,25 @@
             core_share: if place % 20 == 0 { 500 } else { 120 },
         })
         .collect();
-    let [first, second] = keeper::first(candidates.iter().copied());
-    assert_eq!([first, second], keeper::first(candidates.iter().rev().copied()));
+    let [first, second] = keeper::top_two(candidates.iter().copied());
+    assert_eq!([first, second], keeper::top_two(candidates.iter().rev().copied()));
     let large = [&names[0], &names[20], &names[40]];
     assert!(large.contains(&first.expect("there is one")), "a large VM comes first");
     let others = candidates.iter().copied().filter(|one| Some(one.entry) != first);
-    assert_eq!(keeper::first(others)[0], second);
+    assert_eq!(keeper::top_two(others)[0], second);
 }
 
 /// A zone's keeper ends. Its deputy goes on with the zone's share as that one used it, not with that of a zone which is new
 /// and has to be given room first.
 #[test]
 fn a_deputy_goes_on_with_the_share_of_its_zone() {
-    let timing = Timing::default();
+    let policy = SharePolicy::default();
     let mut demand = Demand::default();
-    demand.note(timing.memory, 100_000, Duration::from_secs(8));
+    demand.note(policy.averaging_window, 100_000, Duration::from_secs(8));
     let mut share = Share::<name::Zone>::default();
     share.adopt(0.4);
-    share.heard(at(0), &"two".into(), demand.get(), 0.6);
-    let next = share.next(at(100), &timing, demand, 2);
+    share.record_peer(at(0), &"two".into(), demand.get(), 0.6);
+    let next = share.update(at(100), &policy, demand, 2);
     assert!((0.39..=0.41).contains(&next), "it uses {next}");
 }
 
@@ -384,7 +386,7 @@
 #[test]
 fn zones_together_grant_nearly_all_of_a_limit() {
     const RATE: f64 = 500_000.0;
-    let timing = Timing::default();
+    let policy = SharePolicy::default();
     let names: Vec<name::Zone> = ["a", "b", "c", "d"].into_iter().map(name::Zone::new).collect();
     let mut shares: Vec<Share<name::Zone>> = names.iter().map(|_| Share::default()).collect();
     let mut demands = [Demand::default(); 4];
@@ -394,20 +396,24 @@
     for tick in 0..120_u64 {
         let now = at(tick * 250);
         for (place, share) in shares.iter_mut().enumerate() {
-            demands[place].note(timing.memory, accounts[place].take_asked(), Duration::from_millis(250));
-            let fraction = share.next(now, &timing, demands[place], names.len());
-            let whole = Part {
+            demands[place].note(
+                policy.averaging_window,
+                accounts[place].take_requested(),
+                Duration::from_millis(250),
+            );
+            let fraction = share.update(now, &policy, demands[place], names.len());
+            let whole = Quota {
                 rate: RATE,
                 burst: RATE,
-                base: RATE,
-                ..Part::default()
+                share_burst: RATE,
+                ..Quota::default()
             };
-            accounts[place].set(now, Some(whole.times(fraction, fraction)));
+            accounts[place].set(now, Some(whole.scaled(fraction, fraction)));
         }
-        let told: Vec<_> = shares.iter().map(Share::told).collect();
+        let told: Vec<_> = shares.iter().map(Share::announced).collect();
         for (place, share) in shares.iter_mut().enumerate() {
             for other in (0..names.len()).filter(|other| *other != place) {
-                share.heard(now, &names[other], demands[other].get(), told[other]);
+                share.record_peer(now, &names[other], demands[other].get(), told[other]);
             }
         }
         let mut units = 0;
--- a/bergamotshift-forward/tests/kernel/members.rs
+++ b/bergamotshift-forward/tests/kernel/members.rs
@@ -5,7 +5,7 @@
 
 use bergamotshift_core::prelude::*;
 use bergamotshift_forward::limits::Keeper;
-use bergamotshift_forward::limits::Keeping;
+use bergamotshift_forward::limits::Keepers;
 use bergamotshift_forward::limits::keeper;
 use bergamotshift_forward::limits::keeper::Candidate;
 use bergamotshift_forward::peers::Listed;
@@ -78,7 +78,7 @@
         .filter(|entry| !without.contains(&entry.as_str()))
         .collect();
     let candidates = names.iter().map(|entry| Candidate { entry, core_share: 120 });
-    keeper::first(candidates)[0].expect("there is one").to_string()
+    keeper::top_two(candidates)[0].expect("there is one").to_string()
 }
 
 /// An entry that comes first in rank is cut off from the store but heard by the others. If they waited for its news,
@@ -156,7 +156,7 @@
     for number in 1..10 {
         members.heard_of(at(0), state(&format!("entry-{number:02}"), true));
     }
-    assert_eq!(members.keeping(at(100)), Keeping::default());
+    assert_eq!(members.keeping(at(100)), Keepers::default());
 }
 
 /// The keeper of a zone falls silent. For as long as it may merely be heard late it stays the keeper, and its deputy is
