--- a/bergamotshift-forward/src/choice/mod.rs
+++ b/bergamotshift-forward/src/choice/mod.rs
@@ -14,7 +14,7 @@
 
 pub use self::recall::Reading;
 pub use self::recall::Recall;
-use crate::dialect::Ask;
+use crate::dialect::Metadata;
 use crate::document::Engine;
 use crate::endpoint::Endpoint;
 use crate::view::Canary;
@@ -89,7 +89,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Request<'a> {
     /// What the caller asks for.
-    pub ask: &'a Ask,
+    pub ask: &'a Metadata,
     /// What the service's model engines are like; `None` for a plain service.
     pub engine: Option<Engine>,
     /// The entry's own availability zone.
@@ -177,7 +177,7 @@
 /// What is known of where a prompt's parts are.
 struct Prompt<'a> {
     engine: Engine,
-    ask: &'a Ask,
+    ask: &'a Metadata,
     /// How many tokens of the prompt's beginning each endpoint holds that holds any.
     held: HashMap<u64, u64>,
     /// The endpoint on which all entries agree for a part that nobody has read.
@@ -200,7 +200,7 @@
         let reachable = sources.filter(|endpoint| !endpoint.health.is_paused(now));
         let holders = reachable.filter_map(|endpoint| held.get(&endpoint.hash).map(|held| (endpoint, *held)));
         let holder = holders.max_by_key(|(_, held)| *held);
-        let known = ask.shared().is_some_and(|part| recall.is_known(part.id));
+        let known = ask.shared_part().is_some_and(|part| recall.is_known(part.id));
         let open = endpoints
             .iter()
             .filter(|endpoint| !endpoint.is_leaving() && request.is_near(endpoint));
@@ -219,8 +219,8 @@
 }
 
 /// Returns the endpoint on which all entries agree for a prompt's shared part, by rendezvous hash.
-fn home(ask: &Ask, endpoints: impl Iterator<Item = u64>) -> Option<u64> {
-    let part = ask.shared()?;
+fn home(ask: &Metadata, endpoints: impl Iterator<Item = u64>) -> Option<u64> {
+    let part = ask.shared_part()?;
     endpoints.max_by_key(|hash| xxh3_64_with_seed(&part.id.to_le_bytes(), *hash))
 }
 
--- a/bergamotshift-forward/src/control/behind.rs
+++ b/bergamotshift-forward/src/control/behind.rs
@@ -17,7 +17,7 @@
 use crate::peers::Offer;
 use crate::peers::Source;
 use crate::peers::State;
-use crate::peers::update::Arrival;
+use crate::peers::update::Download;
 use crate::view::Shared;
 
 /// How long an entry may know that it lacks the newest document until it sends its callers to others. A copy takes a
@@ -29,7 +29,7 @@
     pub fn source(&self) -> Source {
         let now = self.now();
         let inner = self.inner.borrow();
-        inner.members.source(now, inner.document.version)
+        inner.members.document_source(now, inner.document.version)
     }
 
     /// Returns how long another entry has been known to have a newer document.
@@ -54,7 +54,7 @@
     /// Notes that an entry did not give its document, and for how long it is not asked again.
     pub fn not_given(&self, holder: &Holder, span: Duration) {
         let now = self.now();
-        self.inner.borrow_mut().members.spare(now, &holder.entry, span);
+        self.inner.borrow_mut().members.defer_download(now, &holder.entry, span);
     }
 
     /// Returns what another entry is given that has a version of the document.
@@ -72,7 +72,7 @@
             return Offer::Nothing;
         };
         Offer::Update {
-            known: told(&inner.document_known, now),
+            freshness: told(&inner.document_known, now),
             encoded,
             permit,
         }
@@ -83,7 +83,7 @@
     /// # Errors
     ///
     /// Returns [`Mismatch`] when what came starts from another version than the one in force.
-    pub fn given(&self, holder: &Holder, arrival: Arrival, took: Duration) -> Result<(), Mismatch> {
+    pub fn given(&self, holder: &Holder, arrival: Download, took: Duration) -> Result<(), Mismatch> {
         let now = self.now();
         let mut inner = self.inner.borrow_mut();
         let (document, steps) = arrival.update.apply(&inner.document)?;
@@ -97,7 +97,7 @@
         if inner.document.version == version {
             // Failure: the copy says nothing of how fresh it is, so the store is asked at once for what changed since this
             // entry's last look. Symptom: it answers with the whole document once more.
-            learn(&mut inner.document_known, now - took, arrival.known);
+            learn(&mut inner.document_known, now - took, arrival.freshness);
         }
         Ok(())
     }
@@ -115,7 +115,7 @@
             shared.metrics.behind.set(1);
             info!(shared.log.always(), "document behind"; "version" => self.document.version,
                 "newest" => state.document, "entry" => state.entry.as_str(),
-                "known_age_ms" => state.document_known.map(|known| known.age_ms));
+                "known_age_ms" => state.document_freshness.map(|known| known.age_ms));
         }
     }
 
--- a/bergamotshift-forward/src/control/copies.rs
+++ b/bergamotshift-forward/src/control/copies.rs
@@ -32,7 +32,7 @@
         // Together they must stay shorter than the document; those before are of no use.
         let mut written = 0;
         let useful = self.steps.iter().rev().take(STEPS).take_while(|step| {
-            written += step.written();
+            written += step.changed_routes();
             written < document.routes.len().max(1)
         });
         let spare = self.steps.len() - useful.count();
--- a/bergamotshift-forward/src/control/inner.rs
+++ b/bergamotshift-forward/src/control/inner.rs
@@ -126,7 +126,7 @@
             shared.settings.zone.clone(),
             core_share(shared),
         );
-        members.start(now);
+        members.set_started(now);
         Self {
             document: Arc::default(),
             document_known: Knowledge::default(),
@@ -274,7 +274,10 @@
             windows.retain(|window, _| *window >= oldest);
             !windows.is_empty()
         });
-        shared.metrics.peers.set(self.members.heard(now, FRESH).count() as i64);
+        shared
+            .metrics
+            .peers
+            .set(self.members.recent_states(now, FRESH).count() as i64);
         self.quarantine.expire(now);
     }
 
@@ -283,14 +286,16 @@
         let own = self.services.get(service).map_or(0.0, |lasting| lasting.reading.get());
         // Failure: in a large fleet each entry is heard every other second, and the figures of those heard less lately
         // are left out. Symptom: the demand comes out at three quarters of what it is.
-        let others = self.members.heard(now, self.patience());
-        let told = others.flat_map(|(_, state)| state.reading.iter().filter(|(name, _)| name == service));
+        let others = self.members.recent_states(now, self.patience());
+        let told = others.flat_map(|(_, state)| state.prompt_rates.iter().filter(|(name, _)| name == service));
         own + told.map(|(_, rate)| rate).sum::<f64>()
     }
 
     /// Returns whether another entry said lately that the store answers it.
     pub(super) fn others_reach_store(&self, now: Instant) -> bool {
-        self.members.heard(now, FRESH).any(|(_, state)| state.reaches_store)
+        self.members
+            .recent_states(now, FRESH)
+            .any(|(_, state)| state.reaches_store)
     }
 
     /// Returns whether another entry is known to hold the duties, in a large fleet by word that others pass on. The lease
--- a/bergamotshift-forward/src/control/mod.rs
+++ b/bergamotshift-forward/src/control/mod.rs
@@ -36,12 +36,12 @@
 use crate::limits::Keeping;
 use crate::observe::Topic;
 use crate::outside::Cursor;
-use crate::outside::Written;
-use crate::peers::Listed;
+use crate::outside::Instructions;
+use crate::peers::Contact;
 use crate::peers::Offer;
 use crate::peers::Reply;
 use crate::peers::State;
-use crate::peers::update::UPLOADS;
+use crate::peers::update::MAX_UPLOADS;
 use crate::view::Shared;
 
 /// A question of another entry, with the way back of its answer.
@@ -87,7 +87,7 @@
             questions,
             inbox: Rc::new(RefCell::new(Some(inbox))),
             news: Rc::default(),
-            uploads: Arc::new(Semaphore::new(UPLOADS)),
+            uploads: Arc::new(Semaphore::new(MAX_UPLOADS)),
         }
     }
 
@@ -152,12 +152,12 @@
     }
 
     /// Takes in what the store tells of the document.
-    pub fn read_document(&self, written: Written, cursor: Cursor) {
+    pub fn read_document(&self, written: Instructions, cursor: Cursor) {
         let now = self.now();
         let mut inner = self.inner.borrow_mut();
         inner.document_known.learn(now, cursor, Duration::ZERO);
         inner.read_rollouts(now, &self.shared, written.rollouts);
-        for (service, cause) in &written.unread {
+        for (service, cause) in &written.unreadable {
             self.shared.metrics.unread.inc();
             if let Some((logger, left_out)) = self.shared.log.room(now, Topic::Belief) {
                 info!(logger, "rollout not read"; "service" => service.as_str(), "cause" => %cause,
@@ -215,7 +215,7 @@
         let now = self.now();
         let mut inner = self.inner.borrow_mut();
         // Only while the store is away does what is missing there prove nothing.
-        if inner.members.misses_store(now, inner::FRESH) {
+        if inner.members.suspects_store_outage(now, inner::FRESH) {
             inner.on_endpoints(now, &self.shared, Event::Lost, "store");
         }
     }
@@ -239,9 +239,9 @@
     }
 
     /// Notes that the list names another entry.
-    pub fn named(&self, listed: &Listed) {
+    pub fn named(&self, listed: &Contact) {
         let now = self.now();
-        self.inner.borrow_mut().members.listed(now, listed);
+        self.inner.borrow_mut().members.add_contact(now, listed);
     }
 
     /// Notes that the list of entries was read, with the organisations that they wrote to be busy; `None` where this entry
@@ -276,7 +276,7 @@
         let now = self.now();
         let mut inner = self.inner.borrow_mut();
         let holder = inner.holder.as_ref().map(|holder| holder.entry.clone());
-        inner.members.hurry(self.shared.book.take_urgent());
+        inner.members.set_urgent(self.shared.book.take_urgent());
         inner.members.due(now, most, holder.as_ref())
     }
 
@@ -303,7 +303,7 @@
     /// Notes that another entry did not answer, and whether it was silent rather than refused.
     pub fn peer_failed(&self, entry: &name::Entry, is_silent: bool) {
         let now = self.now();
-        self.inner.borrow_mut().members.failed(now, entry, is_silent);
+        self.inner.borrow_mut().members.record_failure(now, entry, is_silent);
     }
 
     /// Returns whether another entry is told in brief.
--- a/bergamotshift-forward/src/control/organisation.rs
+++ b/bergamotshift-forward/src/control/organisation.rs
@@ -159,7 +159,7 @@
     /// Works out who keeps the zone.
     pub(super) fn keep(&mut self, now: Instant, shared: &Shared) {
         if shared.is_stopping() {
-            self.members.stop();
+            self.members.set_stopping();
         }
         let keeping = self.members.keeping(now);
         if keeping == self.keeping {
--- a/bergamotshift-forward/src/control/rates.rs
+++ b/bergamotshift-forward/src/control/rates.rs
@@ -32,7 +32,12 @@
             let Some(endpoint) = self.directory.by_hash(told.endpoint) else {
                 continue;
             };
-            shared.hear_rate(now, endpoint, told.word(now), Source::Entry(state.entry.as_str()));
+            shared.hear_rate(
+                now,
+                endpoint,
+                told.received_at(now),
+                Source::Entry(state.entry.as_str()),
+            );
         }
     }
 
--- a/bergamotshift-forward/src/control/rollouts.rs
+++ b/bergamotshift-forward/src/control/rollouts.rs
@@ -104,7 +104,7 @@
             let order = told.order.clone();
             self.hear_rollout(now, shared, order, age, told.directive, state.entry.as_str());
         }
-        let key = (state.entry.clone(), state.life);
+        let key = (state.entry.clone(), state.incarnation);
         // Whoever takes the duties over next hears the whole sums anew.
         if self.holds && !state.evidence.is_empty() {
             self.testimonies.insert(key, state.evidence.clone());
--- a/bergamotshift-forward/src/control/talk.rs
+++ b/bergamotshift-forward/src/control/talk.rs
@@ -13,24 +13,24 @@
 use crate::limits::Keeper;
 use crate::observe::Topic;
 use crate::outside::Cursor;
-use crate::peers::Known;
+use crate::peers::Freshness;
+use crate::peers::LimitUsage;
 use crate::peers::Reply;
 use crate::peers::Stage;
 use crate::peers::State;
-use crate::peers::Use;
 use crate::view::Shared;
 
 /// Returns how fresh something is known, in the form in which it is told.
-pub(super) fn told(knowledge: &Knowledge, now: Instant) -> Option<Known> {
-    knowledge.age(now).map(|age| Known {
+pub(super) fn told(knowledge: &Knowledge, now: Instant) -> Option<Freshness> {
+    knowledge.age(now).map(|age| Freshness {
         cursor: knowledge.cursor().0,
         age_ms: u32::try_from(age.as_millis()).unwrap_or(u32::MAX),
     })
 }
 
 /// Takes in how fresh another entry knows something that it has in the same state.
-pub(super) fn learn(knowledge: &mut Knowledge, now: Instant, known: Option<Known>) {
-    if let Some(Known { cursor, age_ms }) = known {
+pub(super) fn learn(knowledge: &mut Knowledge, now: Instant, known: Option<Freshness>) {
+    if let Some(Freshness { cursor, age_ms }) = known {
         knowledge.learn(now, Cursor(cursor), Duration::from_millis(age_ms.into()));
     }
 }
@@ -41,7 +41,7 @@
         let keeps = self.keeping.keeper == Keeper::Own;
         // In a large fleet only the keepers' shares are in use.
         let sharing = self.organisations.iter().filter(|_| keeps || !is_large);
-        let uses = sharing.map(|(name, organisation)| Use {
+        let uses = sharing.map(|(name, organisation)| LimitUsage {
             organisation: name.clone(),
             demand: organisation.demand.get(),
             share: if keeps {
@@ -51,14 +51,14 @@
             },
         });
         let flown = self.directory.endpoints().map(|endpoint| endpoint.flown(keeps));
-        let (zones, members) = self.members.names(now);
+        let (zones, members) = self.members.member_list(now);
         let reading = self
             .services
             .iter()
             .map(|(name, lasting)| (name.clone(), lasting.reading.get()));
         State {
             entry: shared.settings.name.clone(),
-            life: self.life,
+            incarnation: self.life,
             address: shared.settings.listen.peers,
             zone: shared.settings.zone.clone(),
             core_share: core_share(shared),
@@ -67,7 +67,7 @@
                 true => Stage::Keeps,
                 false => Stage::Serves,
             },
-            holds: self.holds,
+            holds_duties: self.holds,
             lease: self.word,
             holder: self.holder.as_ref().filter(|holder| holder.holds).map(|holder| {
                 let age = now.since(holder.at).as_millis();
@@ -75,16 +75,16 @@
             }),
             reaches_store: self.lost_calls.is_empty(),
             document: self.document.version,
-            document_known: told(&self.document_known, now),
+            document_freshness: told(&self.document_known, now),
             endpoints: self.directory.digest(),
             // Failure: this entry keeps endpoints whose registrations are missing, since the store was away for it, and
             // another one takes them over as the newest state. Symptom: endpoints that left get work for good. What is
             // not settled is not told as knowledge.
-            endpoints_known: told(&self.registrations_known, now).filter(|_| self.directory.is_settled()),
-            uses: uses.collect(),
-            flown: flown.filter(|flown| flown.running > 0).collect(),
-            reading: reading.filter(|(_, rate)| *rate > 0.0).collect(),
-            readings: shared.recall().told(now),
+            endpoints_freshness: told(&self.registrations_known, now).filter(|_| self.directory.is_settled()),
+            limit_usage: uses.collect(),
+            in_flight: flown.filter(|flown| flown.running > 0).collect(),
+            prompt_rates: reading.filter(|(_, rate)| *rate > 0.0).collect(),
+            cached_parts: shared.recall().told(now),
             windows: shared.tally.windows(),
             suspicions: self.quarantine.suspicions(now),
             rates: self.told_rates(now),
@@ -97,7 +97,7 @@
 
     /// Takes in what another entry says of itself, and returns what it is told: also what it has in an older state.
     pub(super) fn asked(&mut self, now: Instant, shared: &Shared, state: State) -> Reply {
-        let theirs = (state.endpoints, state.endpoints_known);
+        let theirs = (state.endpoints, state.endpoints_freshness);
         let is_brief = state.is_brief();
         self.heard(now, shared, state);
         let cursor = theirs.1.map_or(0, |known| known.cursor);
@@ -117,10 +117,10 @@
         let from = state.entry.clone();
         if let Some(endpoints) = endpoints
             && state
-                .endpoints_known
+                .endpoints_freshness
                 .is_some_and(|known| known.cursor > self.registrations_known.cursor().0)
         {
-            learn(&mut self.registrations_known, now, state.endpoints_known);
+            learn(&mut self.registrations_known, now, state.endpoints_freshness);
             self.on_endpoints(now, shared, Event::Relayed(endpoints), from.as_str());
         }
         self.heard(now, shared, state);
@@ -130,7 +130,7 @@
     fn hear_uses(&mut self, now: Instant, shared: &Shared, state: &State) {
         let keeps = self.keeping.keeper == Keeper::Own;
         let is_near = state.zone == shared.settings.zone;
-        for used in &state.uses {
+        for used in &state.limit_usage {
             let Some(organisation) = self.organisations.get_mut(&used.organisation) else {
                 continue;
             };
@@ -148,7 +148,7 @@
         if state.entry == shared.settings.name {
             return;
         }
-        self.members.told(now, &state.zones, &state.members);
+        self.members.merge_members(now, &state.zones, &state.members);
         self.hear_uses(now, shared, &state);
         let before = self.heard_word.map(|(word, _)| word);
         if let Some(word) = state
@@ -158,11 +158,11 @@
             self.heard_word = Some((word, now));
         }
         let was_holder = self.holder.as_ref().is_some_and(|holder| holder.entry == state.entry);
-        let said = if state.holds || was_holder {
+        let said = if state.holds_duties || was_holder {
             Some(Holder {
                 entry: state.entry.clone(),
                 at: now,
-                holds: state.holds,
+                holds: state.holds_duties,
             })
         } else {
             let told = state.holder.clone();
@@ -182,26 +182,29 @@
         self.hear_document(now, shared, &state);
         // Who has the same, and knows it to be newer, makes this entry's knowledge as fresh as its own.
         if state.document == self.document.version {
-            learn(&mut self.document_known, now, state.document_known);
+            learn(&mut self.document_known, now, state.document_freshness);
         }
         if state.endpoints == self.directory.digest() {
-            learn(&mut self.registrations_known, now, state.endpoints_known);
+            learn(&mut self.registrations_known, now, state.endpoints_freshness);
         }
         if !state.suspicions.is_empty() {
             self.quarantine.merge(now, &state.suspicions);
             self.publish(shared);
         }
         let mut recall = shared.recall();
-        for reading in &state.readings {
+        for reading in &state.cached_parts {
             recall.hear(now, *reading);
         }
         drop(recall);
-        let counted = self.counted.entry((state.entry.clone(), state.life)).or_default();
+        let counted = self
+            .counted
+            .entry((state.entry.clone(), state.incarnation))
+            .or_default();
         for (window, counts) in &state.windows {
             counted.insert(*window, counts.clone());
         }
         let entry = state.entry.clone();
-        if self.members.heard_of(now, state)
+        if self.members.record_state(now, state)
             && let Some((logger, left_out)) = shared.log.room(now, Topic::Belief)
         {
             info!(logger, "entry heard"; "entry" => entry.as_str(), "members" => self.members.count(),
--- a/bergamotshift-forward/src/control/zone.rs
+++ b/bergamotshift-forward/src/control/zone.rs
@@ -45,10 +45,10 @@
         let is_large = self.members.is_large();
         let ledger = shared.ledger();
         let mut sums: HashMap<u64, (u32, u64)> = HashMap::new();
-        for (entry, state) in self.members.heard(now, FRESH) {
+        for (entry, state) in self.members.recent_states(now, FRESH) {
             let is_near = state.zone == shared.settings.zone;
             let counts = !is_large || (state.stage == Stage::Keeps) != is_near && !ledger.tells(entry);
-            for flown in state.flown.iter().filter(|_| counts) {
+            for flown in state.in_flight.iter().filter(|_| counts) {
                 let sum = sums.entry(flown.endpoint).or_default();
                 sum.0 += flown.running;
                 sum.1 += flown.unread;
@@ -72,7 +72,11 @@
         if self.keeping.keeper != Keeper::Own {
             return BTreeSet::new();
         }
-        let heard: BTreeSet<&name::Zone> = self.members.heard(now, ROUNDS).map(|(_, state)| &state.zone).collect();
+        let heard: BTreeSet<&name::Zone> = self
+            .members
+            .recent_states(now, ROUNDS)
+            .map(|(_, state)| &state.zone)
+            .collect();
         let zones = self.members.zones().into_iter();
         let silent = zones.filter(|zone| **zone != shared.settings.zone && !heard.contains(zone));
         silent.cloned().collect()
--- a/bergamotshift-forward/src/daemon/server.rs
+++ b/bergamotshift-forward/src/daemon/server.rs
@@ -122,10 +122,10 @@
                 let permits = Rc::clone(&permits);
                 async move {
                     let response = match request.path() {
-                        peers::KEEP => peers::keep(&permits, request).await,
-                        peers::PERMIT => peers::permit(permits.shared(), request).await,
-                        peers::DOCUMENT => peers::give(&exchange, request).await,
-                        _ => peers::answer(&exchange, request).await,
+                        peers::KEEP_PATH => peers::answer_keep(&permits, request).await,
+                        peers::PERMIT_PATH => peers::answer_permit(permits.shared(), request).await,
+                        peers::DOCUMENT_PATH => peers::answer_document(&exchange, request).await,
+                        _ => peers::answer_exchange(&exchange, request).await,
                     };
                     Ok::<_, io::Error>(response)
                 }
--- a/bergamotshift-forward/src/dialect/ask.rs
+++ b/bergamotshift-forward/src/dialect/metadata.rs
@@ -38,7 +38,7 @@
 
 /// What a request's head says beside its HTTP meaning.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Ask {
+pub struct Metadata {
     /// The caller's identifier of this attempt; empty when it sent none.
     pub id: SmolStr,
     /// How long the caller still waits.
@@ -51,7 +51,7 @@
     pub last_event: Option<u64>,
 }
 
-impl Ask {
+impl Metadata {
     /// Reads a request's head; a value that makes no sense counts as absent.
     pub fn read(dialect: &Dialect, headers: &HeaderMap) -> Self {
         let text = |name| headers.get(name).and_then(|value| value.to_str().ok());
@@ -67,7 +67,7 @@
     }
 
     /// Returns the deepest part that other requests may share; the last one is the request's own.
-    pub fn shared(&self) -> Option<Part> {
+    pub fn shared_part(&self) -> Option<Part> {
         let last = self.parts.len().checked_sub(1)?;
         Some(self.parts[last.saturating_sub(1)])
     }
--- a/bergamotshift-forward/src/dialect/mod.rs
+++ b/bergamotshift-forward/src/dialect/mod.rs
@@ -3,7 +3,7 @@
 //! The formats are fixed and small: decimal numbers, `a,b` pairs and `ID:TOKENS` lists. The header names vary from one
 //! platform to the next, so they are data. The defaults are this product's own.
 
-mod ask;
+mod metadata;
 mod notice;
 
 use core::net::SocketAddr;
@@ -14,9 +14,9 @@
 use ntex::http::header::HeaderName;
 use smol_str::SmolStr;
 
-pub use self::ask::Ask;
-pub use self::ask::Part;
-pub use self::ask::Size;
+pub use self::metadata::Metadata;
+pub use self::metadata::Part;
+pub use self::metadata::Size;
 pub use self::notice::Notice;
 
 /// The header names and the key scheme that callers and endpoints use.
--- a/bergamotshift-forward/src/dialect/notice.rs
+++ b/bergamotshift-forward/src/dialect/notice.rs
@@ -17,9 +17,9 @@
     /// The requests a second that it takes from all entries together; `None` when it names no limit.
     pub rate: Option<f64>,
     /// Whether it leaves.
-    pub leaves: bool,
+    pub is_leaving: bool,
     /// How long it wants nothing from this entry; `None` when it did not turn the request away, or named no time.
-    pub pause: Option<Duration>,
+    pub retry_after: Option<Duration>,
 }
 
 impl Notice {
@@ -29,8 +29,8 @@
         let pause = text(&header::RETRY_AFTER).filter(|_| status == StatusCode::SERVICE_UNAVAILABLE);
         Self {
             rate: text(&dialect.rate).and_then(quantity),
-            leaves: text(&dialect.leaving).is_some_and(|mark| mark != UNMARKED),
-            pause: pause
+            is_leaving: text(&dialect.leaving).is_some_and(|mark| mark != UNMARKED),
+            retry_after: pause
                 .and_then(quantity)
                 .and_then(|seconds| Duration::try_from_secs_f64(seconds).ok()),
         }
--- a/bergamotshift-forward/src/document/difference.rs
+++ b/bergamotshift-forward/src/document/difference.rs
@@ -7,7 +7,7 @@
 //! let before = Document { version: 7, ..Document::default() };
 //! let after = Document { version: 9, ..Document::default() };
 //! let difference = Difference::between(&before, &after);
-//! assert_eq!((difference.before, difference.written()), (7, 0));
+//! assert_eq!((difference.before, difference.changed_routes()), (7, 0));
 //! assert_eq!(difference.apply(&before), Ok(after));
 //! ```
 
@@ -78,7 +78,7 @@
     }
 
     /// Returns how many routes it tells.
-    pub fn written(&self) -> usize {
+    pub fn changed_routes(&self) -> usize {
         let written = self.routes.iter().map(|run| match run {
             Run::Kept { .. } => 0,
             Run::Written(routes) => routes.len(),
@@ -99,7 +99,7 @@
         if before.version != self.before {
             return Err(mismatch);
         }
-        let mut routes = Vec::with_capacity(before.routes.len() + self.written());
+        let mut routes = Vec::with_capacity(before.routes.len() + self.changed_routes());
         for run in &self.routes {
             match run {
                 Run::Kept { first, count } => {
--- a/bergamotshift-forward/src/duty/rollouts.rs
+++ b/bergamotshift-forward/src/duty/rollouts.rs
@@ -73,7 +73,7 @@
         let Some(_permit) = self.holder() else { return };
         let told = self
             .lease
-            .within(self.operators.tell(rollout.order.clone(), step.state))
+            .within(self.operators.report_rollout(rollout.order.clone(), step.state))
             .await;
         self.control.called("rollout", told.as_ref().err());
         let Ok(state) = told else { return };
--- a/bergamotshift-forward/src/duty/task.rs
+++ b/bergamotshift-forward/src/duty/task.rs
@@ -28,11 +28,11 @@
 use crate::capacity::Planner;
 use crate::capacity::Present;
 use crate::control::Control;
+use crate::outside::Clients;
 use crate::outside::Duties;
-use crate::outside::Holder;
+use crate::outside::FencingToken;
 use crate::outside::Operators;
 use crate::outside::Order;
-use crate::outside::Outside;
 use crate::outside::Usage;
 use crate::random;
 use crate::view::Shared;
@@ -56,7 +56,7 @@
 const WATCHERS: usize = 3;
 
 /// Does the duties for as long as the process lives.
-pub async fn run(control: Control, outside: Outside) {
+pub async fn run(control: Control, outside: Clients) {
     let Some(duties) = outside.duties else {
         return;
     };
@@ -244,9 +244,9 @@
     }
 
     /// Returns the right to make one call now.
-    pub(super) fn holder(&self) -> Option<Holder> {
+    pub(super) fn holder(&self) -> Option<FencingToken> {
         let number = self.lease.permit(false)?;
-        Some(Holder {
+        Some(FencingToken {
             entry: self.control.shared().settings.name.clone(),
             number,
         })
--- a/bergamotshift-forward/src/endpoint/ledger.rs
+++ b/bergamotshift-forward/src/endpoint/ledger.rs
@@ -6,7 +6,7 @@
 use bergamotshift_core::prelude::*;
 
 use super::Endpoint;
-use crate::peers::Flown;
+use crate::peers::InFlight;
 
 /// How long what an entry told counts. Entries with work under way tell several times a second; one that was killed has
 /// none any more.
@@ -16,7 +16,7 @@
 #[derive(Debug, Default)]
 struct Told {
     at: Instant,
-    flown: HashMap<u64, Flown>,
+    flown: HashMap<u64, InFlight>,
 }
 
 /// Adds up what the entries of a zone have under way at each endpoint.
@@ -31,7 +31,7 @@
 
 impl Ledger {
     /// Takes in all that an entry has under way; returns the endpoints whose sums changed.
-    pub fn told(&mut self, now: Instant, entry: &name::Entry, flown: &[Flown]) -> Vec<u64> {
+    pub fn told(&mut self, now: Instant, entry: &name::Entry, flown: &[InFlight]) -> Vec<u64> {
         let flown = flown.iter().map(|one| (one.endpoint, *one)).collect();
         let told = self.entries.entry(entry.clone()).or_default();
         told.at = now;
@@ -42,7 +42,7 @@
     /// Counts a request that this entry placed for another one.
     pub fn placed(&mut self, entry: &name::Entry, endpoint: u64, unread: u64) {
         let told = self.entries.entry(entry.clone()).or_default();
-        let flown = told.flown.entry(endpoint).or_insert(Flown::at(endpoint));
+        let flown = told.flown.entry(endpoint).or_insert(InFlight::none(endpoint));
         flown.running += 1;
         flown.unread += unread;
     }
--- a/bergamotshift-forward/src/endpoint/mod.rs
+++ b/bergamotshift-forward/src/endpoint/mod.rs
@@ -25,7 +25,7 @@
 pub use self::health::Health;
 pub use self::ledger::Ledger;
 pub use self::said::Said;
-use crate::peers::Flown;
+use crate::peers::InFlight;
 use crate::rollouts::Witness;
 
 /// What an endpoint says of itself where all endpoints register.
@@ -163,10 +163,10 @@
     }
 
     /// Returns what this entry has under way there, with what it placed for its zone if that is to count.
-    pub fn flown(&self, with_placed: bool) -> Flown {
+    pub fn flown(&self, with_placed: bool) -> InFlight {
         let counted = [Some(&self.own), Some(&self.placed).filter(|_| with_placed)];
         let flights = counted.into_iter().flatten();
-        flights.fold(Flown::at(self.hash), |flown, flight| Flown {
+        flights.fold(InFlight::none(self.hash), |flown, flight| InFlight {
             running: flown.running + flight.running.load(Relaxed),
             unread: flown.unread + flight.unread.load(Relaxed),
             ..flown
--- a/bergamotshift-forward/src/follow/document.rs
+++ b/bergamotshift-forward/src/follow/document.rs
@@ -149,14 +149,14 @@
         }
         let after = control.document_cursor();
         let result = match after {
-            Some(after) if !self.anew => self.operators.changed(after, wait(rank)).await,
-            _ => self.operators.written().await.map_err(Gap::Failed),
+            Some(after) if !self.anew => self.operators.wait_for_change(after, wait(rank)).await,
+            _ => self.operators.read().await.map_err(Gap::Failed),
         };
         self.anew = result.is_err();
         control.called("document", result.as_ref().err().and_then(failure));
         match result {
             Ok((written, next)) => control.read_document(written, next),
-            Err(Gap::Forgotten) => {}
+            Err(Gap::Truncated) => {}
             Err(Gap::Failed(_)) => return pause(PAUSE, control.members()),
         }
         Duration::ZERO
@@ -196,7 +196,7 @@
 /// Returns the error of a call that failed; a gap in the history is an answer.
 pub(super) fn failure(gap: &Gap) -> Option<&bergamotshift_platform::Error> {
     match gap {
-        Gap::Forgotten => None,
+        Gap::Truncated => None,
         Gap::Failed(error) => Some(error),
     }
 }
--- a/bergamotshift-forward/src/follow/members.rs
+++ b/bergamotshift-forward/src/follow/members.rs
@@ -18,7 +18,7 @@
 
 use super::knowledge::pause;
 use crate::control::Control;
-use crate::peers::Listed;
+use crate::peers::Contact;
 
 /// The partition of the list.
 const PARTITION: &str = "entry";
@@ -128,7 +128,7 @@
                     let is_own = *name == control.shared().settings.name.as_str();
                     is_back |= is_own;
                     others += usize::from(!is_own);
-                    control.named(&Listed {
+                    control.named(&Contact {
                         entry: name::Entry::new(name),
                         address: row.address,
                         zone: row.zone,
--- a/bergamotshift-forward/src/follow/notes.rs
+++ b/bergamotshift-forward/src/follow/notes.rs
@@ -18,7 +18,7 @@
 /// connection right afterwards: a request that merely lost its answer must not be suspected.
 pub async fn notes(control: Control, mut inbox: mpsc::UnboundedReceiver<Note>) {
     while let Some(note) = inbox.recv().await {
-        let Note::Broke { endpoint, fingerprint } = note;
+        let Note::ConnectionLost { endpoint, fingerprint } = note;
         let endpoints = control.endpoints();
         let Some(found) = endpoints.iter().find(|one| one.hash == endpoint) else {
             continue;
--- a/bergamotshift-forward/src/follow/registrations.rs
+++ b/bergamotshift-forward/src/follow/registrations.rs
@@ -40,7 +40,7 @@
                 control.unread(&changes);
                 control.read_registrations(event(is_whole, changes), next);
             }
-            Err(Gap::Forgotten) => {}
+            Err(Gap::Truncated) => {}
             Err(Gap::Failed(_)) => {
                 control.registrations_lost();
                 tokio::time::sleep(pause(PAUSE, control.members())).await;
--- a/bergamotshift-forward/src/limits/keeper.rs
+++ b/bergamotshift-forward/src/limits/keeper.rs
@@ -17,7 +17,7 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::dialect::Part;
-use crate::peers::Flown;
+use crate::peers::InFlight;
 
 /// The most entries that do without keepers.
 pub const SMALL: usize = 16;
@@ -74,7 +74,7 @@
     /// The generation that needs an endpoint.
     pub generation: Option<Generation>,
     /// All work that the entry has under way.
-    pub flown: Vec<Flown>,
+    pub flown: Vec<InFlight>,
 }
 
 /// An endpoint that a keeper chose.
--- a/bergamotshift-forward/src/outside/mod.rs
+++ b/bergamotshift-forward/src/outside/mod.rs
@@ -30,7 +30,7 @@
 pub enum Gap {
     /// The history after the cursor is gone; everything has to be read anew.
     #[error("the history after the cursor is gone")]
-    Forgotten,
+    Truncated,
     /// The call failed.
     #[error(transparent)]
     Failed(#[from] Error),
@@ -38,13 +38,13 @@
 
 /// What operators wrote.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Written {
+pub struct Instructions {
     /// Their document, if it is there, or changed.
     pub document: Option<Document>,
     /// Their orders to roll out new versions, with what they were told of each.
     pub rollouts: Vec<(Rollout, State)>,
     /// Why an order cannot be read, by the service whose it is.
-    pub unread: Vec<(name::Service, Error)>,
+    pub unreadable: Vec<(name::Service, Error)>,
 }
 
 /// Where the operators keep their document.
@@ -54,21 +54,21 @@
     /// # Errors
     ///
     /// Returns why it could not be read.
-    fn written(&self) -> Future<'_, Result<(Written, Cursor), Error>>;
+    fn read(&self) -> Future<'_, Result<(Instructions, Cursor), Error>>;
 
     /// Waits until operators write something, at most `wait`, and returns what is new.
     ///
     /// # Errors
     ///
     /// Returns why nothing is known of changes.
-    fn changed(&self, after: Cursor, wait: Duration) -> Future<'_, Result<(Written, Cursor), Gap>>;
+    fn wait_for_change(&self, after: Cursor, wait: Duration) -> Future<'_, Result<(Instructions, Cursor), Gap>>;
 
     /// Tells the operators how far an order is, unless they were told how it ended; returns what they know now.
     ///
     /// # Errors
     ///
     /// Returns why they may not have been told.
-    fn tell(&self, order: Rollout, state: State) -> Future<'_, Result<State, Error>>;
+    fn report_rollout(&self, order: Rollout, state: State) -> Future<'_, Result<State, Error>>;
 }
 
 /// Where endpoints register.
@@ -90,7 +90,7 @@
 
 /// Who gives an order, so that the receiver can tell an old holder of the duty from the current one.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Holder {
+pub struct FencingToken {
     /// The entry.
     pub entry: name::Entry,
     /// The fencing number.
@@ -126,19 +126,19 @@
     /// # Errors
     ///
     /// Returns why it was not taken.
-    fn report(&self, holder: Holder, usage: Usage) -> Future<'_, Result<(), Error>>;
+    fn report(&self, holder: FencingToken, usage: Usage) -> Future<'_, Result<(), Error>>;
 
     /// Orders endpoints.
     ///
     /// # Errors
     ///
     /// Returns [`Error::NoCapacity`] when there is no room there at the moment.
-    fn order(&self, holder: Holder, order: Order) -> Future<'_, Result<(), Error>>;
+    fn order(&self, holder: FencingToken, order: Order) -> Future<'_, Result<(), Error>>;
 }
 
 /// Everything outside, as the control thread meets it.
 #[derive(Clone, Debug)]
-pub struct Outside {
+pub struct Clients {
     /// The operators' document.
     pub operators: Rc<dyn Operators>,
     /// The endpoints' registrations.
@@ -166,7 +166,7 @@
     /// Returns how its callers and endpoints name things.
     pub dialect: fn() -> Dialect,
     /// Makes the clients of one thread.
-    pub connect: fn(Addresses) -> Future<'static, Result<Outside, Error>>,
+    pub connect: fn(Addresses) -> Future<'static, Result<Clients, Error>>,
 }
 
 impl Named for Kind {
--- a/bergamotshift-forward/src/peers/holders.rs
+++ b/bergamotshift-forward/src/peers/holders.rs
@@ -37,8 +37,10 @@
     ///
     /// The newest there is comes first, then entries of the own zone, as bytes between zones are paid for. Among those each
     /// entry has an order of its own, so that not all ask the same one.
-    pub fn source(&self, now: Instant, version: u64) -> Source {
-        let newer = self.heard(now, HEARD).filter(|(_, state)| state.document > version);
+    pub fn document_source(&self, now: Instant, version: u64) -> Source {
+        let newer = self
+            .recent_states(now, HEARD)
+            .filter(|(_, state)| state.document > version);
         let holders: Vec<_> = newer.map(|(entry, state)| (entry, state.document)).collect();
         let Some(newest) = holders.iter().map(|(_, document)| *document).max() else {
             return Source::Nobody;
@@ -58,7 +60,7 @@
     }
 
     /// Notes that an entry did not give its document, and for how long it is not asked for it again.
-    pub fn spare(&mut self, now: Instant, entry: &name::Entry, span: Duration) {
+    pub fn defer_download(&mut self, now: Instant, entry: &name::Entry, span: Duration) {
         if let Some(peer) = self.peers.get_mut(entry) {
             peer.spared = now + span;
         }
--- a/bergamotshift-forward/src/peers/keep.rs
+++ b/bergamotshift-forward/src/peers/keep.rs
@@ -5,12 +5,12 @@
 use ntex::http::Response;
 use ntex::http::StatusCode;
 
-use super::message::Flown;
+use super::message::InFlight;
 use super::permit::Permits;
 use super::question::question;
 use crate::choice;
 use crate::choice::Choice;
-use crate::dialect::Ask;
+use crate::dialect::Metadata;
 use crate::dialect::Size;
 use crate::limits::Keeper;
 use crate::limits::Refused;
@@ -35,7 +35,7 @@
 ///
 /// An entry that takes itself neither for the keeper nor for the deputy decides nothing: the one that asks hears other
 /// entries than this one, and two keepers would give out the zone's share twice.
-pub async fn keep(permits: &Permits, mut request: Request) -> Response {
+pub async fn answer_keep(permits: &Permits, mut request: Request) -> Response {
     let shared = permits.shared();
     let question = match question::<Question>(&mut request, LARGEST).await {
         Ok(question) => question,
@@ -83,7 +83,7 @@
 }
 
 /// Takes in what an entry of the zone has under way.
-fn told(shared: &Shared, view: &View, now: Instant, entry: &name::Entry, flown: &[Flown]) {
+fn told(shared: &Shared, view: &View, now: Instant, entry: &name::Entry, flown: &[InFlight]) {
     let mut ledger = shared.ledger();
     let changed = ledger.told(now, entry, flown);
     for endpoint in changed.into_iter().filter_map(|hash| view.endpoint(hash)) {
@@ -110,7 +110,7 @@
     for _ in 0..PLACES {
         let choice = choose(permits.shared(), view, generation)?;
         let is_limited = choice.endpoint.said.throttle.rate().is_some();
-        if is_limited && !permits.ask(&choice.endpoint, "").await {
+        if is_limited && !permits.acquire(&choice.endpoint, "").await {
             continue;
         }
         let shared = permits.shared();
@@ -129,13 +129,13 @@
 
 fn choose(shared: &Shared, view: &View, generation: &Generation) -> Option<Choice> {
     let service = view.services.get(&generation.service)?;
-    let ask = Ask {
+    let ask = Metadata {
         size: Some(Size {
             prompt: generation.prompt,
             output: 0,
         }),
         parts: generation.parts.clone(),
-        ..Ask::default()
+        ..Metadata::default()
     };
     let request = choice::Request {
         ask: &ask,
--- a/bergamotshift-forward/src/peers/keepers.rs
+++ b/bergamotshift-forward/src/peers/keepers.rs
@@ -31,7 +31,7 @@
         let is_far = |peer: &&Peer| peer.zone.as_ref().is_some_and(|zone| *zone != self.zone);
         let mut far = self.peers.values().filter(is_far);
         let is_silent = |peer: &Peer| peer.silent.is_some_and(|silent| now.since(silent) < CUT);
-        let hears_any = far.clone().any(|peer| peer.was_heard(now, CUT));
+        let hears_any = far.clone().any(|peer| peer.is_recent(now, CUT));
         !hears_any && far.any(is_silent)
     }
 
@@ -41,8 +41,8 @@
     /// Failure: an entry is cut off, and its calls of the store fail up to the end. Symptom: it takes what is missing among
     /// the registrations after that for what a store that was away has to get back, and sends requests to endpoints that left
     /// two seconds before.
-    pub fn misses_store(&self, now: Instant, span: Duration) -> bool {
-        let is_reached = self.heard(now, span).any(|(_, state)| state.reaches_store);
+    pub fn suspects_store_outage(&self, now: Instant, span: Duration) -> bool {
+        let is_reached = self.recent_states(now, span).any(|(_, state)| state.reaches_store);
         !is_reached && !self.is_cut_off(now)
     }
 
--- a/bergamotshift-forward/src/peers/member.rs
+++ b/bergamotshift-forward/src/peers/member.rs
@@ -7,7 +7,7 @@
 use bergamotshift_core::prelude::*;
 use xxhash_rust::xxh3::xxh3_64;
 
-use super::message::Named;
+use super::message::Member;
 use super::message::Stage;
 use super::message::State;
 use crate::limits::Keeper;
@@ -49,7 +49,7 @@
     /// Where it can be asked.
     pub address: SocketAddr,
     /// What it last said, and when.
-    pub said: Option<(Instant, State)>,
+    pub last_state: Option<(Instant, State)>,
     /// Its availability zone, when that is known.
     pub(super) zone: Option<name::Zone>,
     /// The part of a core that it may use, in thousandths.
@@ -72,8 +72,8 @@
 
 impl Peer {
     /// Returns whether it was heard within `span`.
-    pub fn was_heard(&self, now: Instant, span: Duration) -> bool {
-        self.said.as_ref().is_some_and(|(at, _)| now.since(*at) < span)
+    pub fn is_recent(&self, now: Instant, span: Duration) -> bool {
+        self.last_state.as_ref().is_some_and(|(at, _)| now.since(*at) < span)
     }
 
     /// Returns whether it is left alone, since it did not answer just now.
@@ -107,7 +107,7 @@
 
 /// An entry as the list of entries names it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Listed {
+pub struct Contact {
     /// The entry.
     pub entry: name::Entry,
     /// Where it can be asked.
@@ -147,7 +147,7 @@
     }
 
     /// Notes that the list names an entry.
-    pub fn listed(&mut self, now: Instant, listed: &Listed) {
+    pub fn add_contact(&mut self, now: Instant, listed: &Contact) {
         self.named(now, &listed.entry, listed.address);
         if let Some(peer) = self.peers.get_mut(&listed.entry)
             && peer.zone.is_none()
@@ -163,7 +163,7 @@
         }
         let peer = self.peers.entry(entry.clone()).or_insert_with(|| Peer {
             address,
-            said: None,
+            last_state: None,
             zone: None,
             core_share: 0,
             stops: false,
@@ -178,7 +178,7 @@
     }
 
     /// Notes what another entry knows of the entries.
-    pub fn told(&mut self, now: Instant, zones: &[name::Zone], members: &[Named]) {
+    pub fn merge_members(&mut self, now: Instant, zones: &[name::Zone], members: &[Member]) {
         for named in members {
             self.named(now, &named.entry, named.address);
             let Some(peer) = self.peers.get_mut(&named.entry) else {
@@ -195,24 +195,24 @@
     }
 
     /// Notes what an entry says of itself; returns whether it was not heard for long before.
-    pub fn heard_of(&mut self, now: Instant, state: State) -> bool {
+    pub fn record_state(&mut self, now: Instant, state: State) -> bool {
         let entry = state.entry.clone();
         self.named(now, &entry, state.address);
         let Some(peer) = self.peers.get_mut(&entry) else {
             return false;
         };
-        let fresh = !peer.was_heard(now, MEMORY);
+        let fresh = !peer.is_recent(now, MEMORY);
         peer.zone = Some(state.zone.clone());
         peer.core_share = state.core_share;
         peer.stops = state.stage == Stage::Stops;
         peer.heard = now;
-        peer.said = Some((now, state));
+        peer.last_state = Some((now, state));
         peer.paused = Instant::ZERO;
         fresh
     }
 
     /// Notes that an entry did not answer, and whether it was silent rather than refused.
-    pub fn failed(&mut self, now: Instant, entry: &name::Entry, is_silent: bool) {
+    pub fn record_failure(&mut self, now: Instant, entry: &name::Entry, is_silent: bool) {
         let pause = if self.is_young(now) { YOUNG_PAUSE } else { PAUSE };
         if let Some(peer) = self.peers.get_mut(entry) {
             peer.paused = now + pause;
@@ -256,7 +256,10 @@
         let is_near = |peer: &Peer| peer.is_in(&zone);
         let mut open: Vec<_> = self.peers.iter_mut().filter(|(_, peer)| !peer.is_paused(now)).collect();
         // Whoever asked this entry lately has been heard already.
-        open.sort_by_key(|(_, peer)| peer.asked.max(peer.said.as_ref().map_or(Instant::ZERO, |(at, _)| *at)));
+        open.sort_by_key(|(_, peer)| {
+            peer.asked
+                .max(peer.last_state.as_ref().map_or(Instant::ZERO, |(at, _)| *at))
+        });
         if is_large {
             let (mut near, far): (Vec<_>, Vec<_>) = open.into_iter().partition(|(_, peer)| is_near(peer));
             near.sort_by_key(|(entry, _)| !likely.contains(entry));
@@ -280,18 +283,18 @@
     }
 
     /// Notes whether the holder of the duties is to hear this entry at once.
-    pub const fn hurry(&mut self, is_urgent: bool) {
+    pub const fn set_urgent(&mut self, is_urgent: bool) {
         self.is_urgent = is_urgent;
     }
 
     /// Notes that this entry is about to end.
-    pub const fn stop(&mut self) {
+    pub const fn set_stopping(&mut self) {
         self.stops = true;
     }
 
     /// Forgets entries that are gone for good, and returns them.
     pub fn expire(&mut self, now: Instant) -> Vec<name::Entry> {
-        let gone = |peer: &Peer| match &peer.said {
+        let gone = |peer: &Peer| match &peer.last_state {
             Some((at, _)) => now.since(*at) >= MEMORY,
             None => now.since(peer.since) >= UNHEARD,
         };
@@ -308,14 +311,14 @@
     }
 
     /// Returns the entries heard within `span`, with what they last said.
-    pub fn heard(&self, now: Instant, span: Duration) -> impl Iterator<Item = (&name::Entry, &State)> {
-        let heard = self.peers.iter().filter(move |(_, peer)| peer.was_heard(now, span));
-        heard.filter_map(|(entry, peer)| peer.said.as_ref().map(|(_, state)| (entry, state)))
+    pub fn recent_states(&self, now: Instant, span: Duration) -> impl Iterator<Item = (&name::Entry, &State)> {
+        let heard = self.peers.iter().filter(move |(_, peer)| peer.is_recent(now, span));
+        heard.filter_map(|(entry, peer)| peer.last_state.as_ref().map(|(_, state)| (entry, state)))
     }
 
     /// Returns how many of the entries that were heard lately, and that reach the store, come before this one.
     pub fn rank(&self, now: Instant) -> usize {
-        let able = self.heard(now, RANKED).filter(|(_, state)| state.reaches_store);
+        let able = self.recent_states(now, RANKED).filter(|(_, state)| state.reaches_store);
         able.filter(|(entry, _)| **entry < self.own).count()
     }
 
@@ -323,7 +326,7 @@
     ///
     /// Failure: entries name one that is gone for good to each other, and each that forgets it is told of it anew.
     /// Symptom: its share of each limit stays unused for good. Only who was heard is named.
-    pub fn names(&self, now: Instant) -> (Vec<name::Zone>, Vec<Named>) {
+    pub fn member_list(&self, now: Instant) -> (Vec<name::Zone>, Vec<Member>) {
         let zones: Vec<name::Zone> = self.zones().into_iter().cloned().collect();
         let keepers = self.other_keepers(now);
         let is_whole = !self.is_large() || self.is_young(now) || self.tells_all(now);
@@ -333,8 +336,8 @@
         let heard = self
             .peers
             .iter()
-            .filter(|(entry, peer)| peer.said.is_some() && counts(entry, peer));
-        let names = heard.map(|(entry, peer)| Named {
+            .filter(|(entry, peer)| peer.last_state.is_some() && counts(entry, peer));
+        let names = heard.map(|(entry, peer)| Member {
             entry: entry.clone(),
             address: peer.address,
             zone: zones
@@ -364,7 +367,7 @@
     }
 
     /// Notes that the process starts.
-    pub const fn start(&mut self, now: Instant) {
+    pub const fn set_started(&mut self, now: Instant) {
         self.started = Some(now);
     }
 
--- a/bergamotshift-forward/src/peers/message.rs
+++ b/bergamotshift-forward/src/peers/message.rs
@@ -20,7 +20,7 @@
 #[derive(Clone, Copy, Debug)]
 pub enum Note {
     /// A connection broke while an endpoint had a request.
-    Broke {
+    ConnectionLost {
         /// The endpoint, by its hash.
         endpoint: u64,
         /// The request.
@@ -31,7 +31,7 @@
 /// An entry as another one knows it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
-pub struct Named {
+pub struct Member {
     /// The entry.
     pub entry: name::Entry,
     /// Where it can be asked.
@@ -50,7 +50,7 @@
 /// zone's callers and share, told by the entry that keeps the zone.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Serialize, Deserialize)]
-pub struct Use {
+pub struct LimitUsage {
     /// The organisation.
     pub organisation: name::Organisation,
     /// Units per second.
@@ -62,7 +62,7 @@
 /// One entry's work under way at an endpoint; told by the entry that keeps a zone, that of the whole zone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
-pub struct Flown {
+pub struct InFlight {
     /// The endpoint, by its hash.
     pub endpoint: u64,
     /// Requests under way.
@@ -71,9 +71,9 @@
     pub unread: u64,
 }
 
-impl Flown {
+impl InFlight {
     /// Makes one of nothing under way.
-    pub const fn at(endpoint: u64) -> Self {
+    pub const fn none(endpoint: u64) -> Self {
         Self {
             endpoint,
             running: 0,
@@ -110,7 +110,7 @@
     }
 
     /// Returns it as a word at the time at which it is heard.
-    pub fn word(&self, now: Instant) -> Word {
+    pub fn received_at(&self, now: Instant) -> Word {
         Word {
             rate: self.rate,
             at: now - Duration::from_millis(self.age_ms.into()),
@@ -121,7 +121,7 @@
 /// Up to which change of the store something is known, and how long ago that was found.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
-pub struct Known {
+pub struct Freshness {
     /// The change.
     pub cursor: u64,
     /// How long ago, in milliseconds.
@@ -135,7 +135,7 @@
     /// It serves callers.
     #[default]
     Serves,
-    /// It serves callers and keeps its zone: [`State::uses`] and [`State::flown`] are those of all entries there.
+    /// It serves callers and keeps its zone: [`State::limit_usage`] and [`State::in_flight`] are those of all entries there.
     Keeps,
     /// It is about to end.
     Stops,
@@ -160,7 +160,8 @@
     /// Who says it.
     pub entry: name::Entry,
     /// Which life of its process, drawn at random; counts start anew with each.
-    pub life: u64,
+    #[serde(rename = "life")]
+    pub incarnation: u64,
     /// Where it can be asked.
     pub address: SocketAddr,
     /// Its availability zone.
@@ -170,7 +171,8 @@
     /// What it is about.
     pub stage: Stage,
     /// Whether it holds the duties.
-    pub holds: bool,
+    #[serde(rename = "holds")]
+    pub holds_duties: bool,
     /// What it tells of the duties' lease, when it holds that or gave it up.
     pub lease: Option<lease::Word>,
     /// Which other entry holds the duties, as far as it knows, and how many milliseconds ago that one said so.
@@ -180,19 +182,25 @@
     /// The version of the document that it has; 0 without one.
     pub document: u64,
     /// How fresh that is.
-    pub document_known: Option<Known>,
+    #[serde(rename = "document_known")]
+    pub document_freshness: Option<Freshness>,
     /// A digest of the endpoints that it knows and of those among them that leave.
     pub endpoints: u64,
     /// How fresh that is.
-    pub endpoints_known: Option<Known>,
+    #[serde(rename = "endpoints_known")]
+    pub endpoints_freshness: Option<Freshness>,
     /// What its callers ask for.
-    pub uses: Vec<Use>,
+    #[serde(rename = "uses")]
+    pub limit_usage: Vec<LimitUsage>,
     /// Its work under way.
-    pub flown: Vec<Flown>,
+    #[serde(rename = "flown")]
+    pub in_flight: Vec<InFlight>,
     /// Prompt tokens a second that its callers ask to have read, by service.
-    pub reading: Vec<(name::Service, f64)>,
+    #[serde(rename = "reading")]
+    pub prompt_rates: Vec<(name::Service, f64)>,
     /// Parts of prompts that it had read lately.
-    pub readings: Vec<Reading>,
+    #[serde(rename = "readings")]
+    pub cached_parts: Vec<Reading>,
     /// Requests by window, as it counted them.
     pub windows: Windows,
     /// Requests that it suspects of ending endpoints.
@@ -206,7 +214,7 @@
     /// The availability zones of the entries that it knows.
     pub zones: Vec<name::Zone>,
     /// The entries that it knows.
-    pub members: Vec<Named>,
+    pub members: Vec<Member>,
 }
 
 impl State {
@@ -214,9 +222,9 @@
     #[must_use]
     pub fn brief(self) -> Self {
         Self {
-            uses: Vec::new(),
-            flown: Vec::new(),
-            readings: Vec::new(),
+            limit_usage: Vec::new(),
+            in_flight: Vec::new(),
+            cached_parts: Vec::new(),
             zones: Vec::new(),
             members: Vec::new(),
             ..self
--- a/bergamotshift-forward/src/peers/permit.rs
+++ b/bergamotshift-forward/src/peers/permit.rs
@@ -82,7 +82,7 @@
     }
 
     /// Returns whether a request may be sent to an endpoint now; one that may not is left alone until it may.
-    pub async fn ask(&self, endpoint: &Endpoint, request: &str) -> bool {
+    pub async fn acquire(&self, endpoint: &Endpoint, request: &str) -> bool {
         let Some(rate) = endpoint.said.throttle.rate() else {
             return true;
         };
@@ -98,7 +98,7 @@
             if let Some(address) = candidate.address {
                 let from = address.to_string();
                 self.shared
-                    .hear_rate(now, endpoint, verdict.rate.word(now), Source::Entry(&from));
+                    .hear_rate(now, endpoint, verdict.rate.received_at(now), Source::Entry(&from));
             }
             if let Some(millis) = verdict.wait_ms {
                 endpoint
@@ -181,7 +181,7 @@
 }
 
 /// Answers an entry that asks for a permit.
-pub async fn permit(shared: &Shared, mut request: Request) -> Response {
+pub async fn answer_permit(shared: &Shared, mut request: Request) -> Response {
     let Question { entry, rate, cost } = match question::<Question>(&mut request, LARGEST).await {
         Ok(question) => question,
         Err(status) => return Response::new(status),
@@ -191,7 +191,7 @@
         return Response::new(StatusCode::CONFLICT);
     };
     let now = shared.clock.now();
-    shared.hear_rate(now, endpoint, rate.word(now), Source::Entry(entry.as_str()));
+    shared.hear_rate(now, endpoint, rate.received_at(now), Source::Entry(entry.as_str()));
     match postcard::to_stdvec(&grant(now, endpoint, cost)) {
         Ok(bytes) => Response::build(StatusCode::OK).body(bytes),
         Err(_) => Response::new(StatusCode::INTERNAL_SERVER_ERROR),
--- a/bergamotshift-forward/src/peers/rounds.rs
+++ b/bergamotshift-forward/src/peers/rounds.rs
@@ -21,9 +21,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Round {
     /// The time before it.
-    pub pause: Duration,
+    pub delay: Duration,
     /// How long an entry may take to answer.
-    pub patience: Duration,
+    pub timeout: Duration,
 }
 
 /// Tells when an entry asks the others next.
@@ -47,14 +47,14 @@
     pub fn next(&mut self, is_lost: bool) -> Round {
         if !is_lost || self.quick == 0 {
             return Round {
-                pause: PAUSE,
-                patience: PATIENCE,
+                delay: PAUSE,
+                timeout: PATIENCE,
             };
         }
         self.quick -= 1;
         Round {
-            pause: QUICK_PAUSE,
-            patience: QUICK_PATIENCE,
+            delay: QUICK_PAUSE,
+            timeout: QUICK_PATIENCE,
         }
     }
 }
--- a/bergamotshift-forward/src/peers/task.rs
+++ b/bergamotshift-forward/src/peers/task.rs
@@ -76,7 +76,7 @@
     loop {
         let is_lost = control.keeping().keeper == Keeper::Unknown;
         let round = rounds.next(is_lost || control.is_alone());
-        tokio::time::sleep(round.pause).await;
+        tokio::time::sleep(round.delay).await;
         control.tick();
         let mut due: Vec<(Option<name::Entry>, SocketAddr)> = control
             .due(ASKED)
@@ -99,7 +99,7 @@
         let asks = due.into_iter().map(|(entry, address)| {
             let is_brief = entry.as_ref().is_some_and(|entry| control.is_brief(entry));
             let question = if is_brief { &brief } else { &question };
-            ask(&control, &connections, entry, address, question, round.patience)
+            ask(&control, &connections, entry, address, question, round.timeout)
         });
         join_all(asks).await;
     }
@@ -159,7 +159,7 @@
 }
 
 /// Answers another entry's question.
-pub async fn answer(control: &mpsc::UnboundedSender<Question>, mut request: Request) -> Response {
+pub async fn answer_exchange(control: &mpsc::UnboundedSender<Question>, mut request: Request) -> Response {
     if request.path() != PATH {
         return Response::new(StatusCode::NOT_FOUND);
     }
--- a/bergamotshift-forward/src/peers/update.rs
+++ b/bergamotshift-forward/src/peers/update.rs
@@ -23,7 +23,7 @@
 use tokio::sync::mpsc;
 use tokio::sync::oneshot;
 
-use super::message::Known;
+use super::message::Freshness;
 use super::question::question;
 use crate::control::Question;
 use crate::document::Difference;
@@ -38,7 +38,7 @@
 
 /// How many entries one gives its document to at the same time. Its link is its callers' too, and each that has got the
 /// document gives it on; those that are turned away ask another one.
-pub const UPLOADS: usize = 4;
+pub const MAX_UPLOADS: usize = 4;
 
 /// How long an entry that gives a document may take to accept a connection, to begin, and for each further [`STEP`]. A way
 /// between zones takes milliseconds, and the narrowest links carry that much in 13 ms; what is forty times as slow had
@@ -104,10 +104,10 @@
     /// It gives what the other one lacks.
     Update {
         /// How fresh it knows its document to be.
-        known: Option<Known>,
+        freshness: Option<Freshness>,
         /// The [`Update`], encoded.
         encoded: Bytes,
-        /// Counts it among the [`UPLOADS`] until it has gone out.
+        /// Counts it among the [`MAX_UPLOADS`] until it has gone out.
         permit: OwnedSemaphorePermit,
     },
 }
@@ -132,9 +132,9 @@
 
 /// A document as it came.
 #[derive(Debug)]
-pub struct Arrival {
+pub struct Download {
     /// How fresh the other entry knew it to be when it began to tell.
-    pub known: Option<Known>,
+    pub freshness: Option<Freshness>,
     /// What this entry lacked.
     pub update: Update<'static>,
     /// How long the answer was, in bytes.
@@ -147,7 +147,7 @@
 ///
 /// Returns why it did not come. What keeps coming is never given up: the longer a document is, the more would be lost by
 /// beginning anew.
-pub async fn fetch(address: SocketAddr, version: u64) -> Result<Arrival, Error> {
+pub async fn fetch(address: SocketAddr, version: u64) -> Result<Download, Error> {
     let question = postcard::to_stdvec(&Ask { version })?;
     let mut connection = Connection::open(address, PATIENCE).await?;
     let pace = Pace {
@@ -160,16 +160,16 @@
         StatusCode::NO_CONTENT => return Err(Error::Nothing),
         _ => return Err(Error::Busy),
     }
-    let (known, update) = postcard::take_from_bytes(&answer.body)?;
-    Ok(Arrival {
-        known,
+    let (freshness, update) = postcard::take_from_bytes(&answer.body)?;
+    Ok(Download {
+        freshness,
         update: postcard::from_bytes(update)?,
         bytes: answer.body.len(),
     })
 }
 
 /// Answers an entry that lacks the newest document.
-pub async fn give(control: &mpsc::UnboundedSender<Question>, mut request: Request) -> Response {
+pub async fn answer_document(control: &mpsc::UnboundedSender<Question>, mut request: Request) -> Response {
     let ask = match question::<Ask>(&mut request, LARGEST).await {
         Ok(ask) => ask,
         Err(status) => return Response::new(status),
@@ -180,15 +180,19 @@
         return Response::new(StatusCode::SERVICE_UNAVAILABLE);
     }
     match answer.await {
-        Ok(Offer::Update { known, encoded, permit }) => response(known, &encoded, permit),
+        Ok(Offer::Update {
+            freshness,
+            encoded,
+            permit,
+        }) => response(freshness, &encoded, permit),
         Ok(Offer::Nothing) => Response::new(StatusCode::NO_CONTENT),
         Ok(Offer::Busy) | Err(_) => Response::new(StatusCode::SERVICE_UNAVAILABLE),
     }
 }
 
 /// Makes an answer that goes out piece by piece, as the connection takes it, and gives the permit back behind the last one.
-fn response(known: Option<Known>, encoded: &Bytes, permit: OwnedSemaphorePermit) -> Response {
-    let Ok(head) = postcard::to_stdvec(&known) else {
+fn response(freshness: Option<Freshness>, encoded: &Bytes, permit: OwnedSemaphorePermit) -> Response {
+    let Ok(head) = postcard::to_stdvec(&freshness) else {
         return Response::new(StatusCode::INTERNAL_SERVER_ERROR);
     };
     let length = head.len() + encoded.len();
--- a/bergamotshift-forward/src/routes/mod.rs
+++ b/bergamotshift-forward/src/routes/mod.rs
@@ -83,7 +83,7 @@
     }
 
     /// Returns whether callers need keys at all.
-    pub fn wants_keys(&self) -> bool {
+    pub fn requires_keys(&self) -> bool {
         !self.document.organisations.is_empty()
     }
 }
--- a/bergamotshift-forward/src/serve/attempt.rs
+++ b/bergamotshift-forward/src/serve/attempt.rs
@@ -278,7 +278,7 @@
     ///
     /// Being turned away with a time is no failure: neither the endpoint's health nor its version's evidence suffers.
     fn accept(&self, job: &Job, mut open: Open, notice: Notice) -> Result<Open, Missed> {
-        let turned_away = notice.pause.is_some();
+        let turned_away = notice.retry_after.is_some();
         let Answer { status, headers, .. } = &open.answer;
         if *status == StatusCode::MISDIRECTED_REQUEST {
             // Another incarnation has the address, so this one is gone.
@@ -340,7 +340,7 @@
             Missed::Lost(failure) => {
                 endpoint.health.failed();
                 if matches!(failure, Failure::Broken(_)) {
-                    let _ = self.shared.notes.send(Note::Broke {
+                    let _ = self.shared.notes.send(Note::ConnectionLost {
                         endpoint: endpoint.hash,
                         fingerprint: job.fingerprint,
                     });
--- a/bergamotshift-forward/src/serve/charge.rs
+++ b/bergamotshift-forward/src/serve/charge.rs
@@ -8,7 +8,7 @@
 use super::job::Charge;
 use super::refusal::Reason;
 use super::refusal::Refusal;
-use crate::dialect::Ask;
+use crate::dialect::Metadata;
 use crate::dialect::Size;
 use crate::document::Organisation;
 use crate::endpoint::Endpoint;
@@ -37,7 +37,7 @@
         view: &View,
         organisation: Option<&Organisation>,
         service: &name::Service,
-        ask: &Ask,
+        ask: &Metadata,
         is_canary: bool,
         now: Instant,
     ) -> Result<Admission, Refusal> {
--- a/bergamotshift-forward/src/serve/choose.rs
+++ b/bergamotshift-forward/src/serve/choose.rs
@@ -85,7 +85,7 @@
                 },
             };
             let Candidate { choice, is_granted } = candidate;
-            if is_granted || self.permits.ask(&choice.endpoint, &job.ask.id).await {
+            if is_granted || self.permits.acquire(&choice.endpoint, &job.ask.id).await {
                 if history.tried.is_empty() {
                     service.asked.fetch_add(choice.unread, Relaxed);
                 }
--- a/bergamotshift-forward/src/serve/forwarder.rs
+++ b/bergamotshift-forward/src/serve/forwarder.rs
@@ -27,7 +27,7 @@
 use super::refusal::Refusal;
 use super::stream::Flow;
 use crate::choice;
-use crate::dialect::Ask;
+use crate::dialect::Metadata;
 use crate::document::Bounds;
 use crate::document::Organisation;
 use crate::document::Route;
@@ -104,7 +104,7 @@
         let arrived = self.shared.clock.now();
         let busy = request.io().map(|connection| self.callers.enter(connection));
         let active = Active::new(&self.shared, busy);
-        let ask = Ask::read(&self.shared.dialect, request.headers());
+        let ask = Metadata::read(&self.shared.dialect, request.headers());
         let id = ask.id.clone();
         let caller = request.io().cloned();
         let mut response = match self.job(&mut request, ask, arrived).await {
@@ -123,7 +123,7 @@
     }
 
     /// Reads a request whole and matches it to its route, its organisation and a service.
-    async fn job(&self, request: &mut Request, ask: Ask, arrived: Instant) -> Result<Job, Rejected> {
+    async fn job(&self, request: &mut Request, ask: Metadata, arrived: Instant) -> Result<Job, Rejected> {
         let view = self.known(&ask).await;
         let bound = view
             .table
@@ -202,7 +202,7 @@
     /// callers in the first half second. The document is there some 30 ms after the start, so who waits for it is in
     /// time. An entry that cannot read it refuses at once when the time to start is over. The same holds for the list of
     /// entries, which says what organisations may use at once: until then all bursts count as used up.
-    async fn known(&self, ask: &Ask) -> Arc<View> {
+    async fn known(&self, ask: &Metadata) -> Arc<View> {
         let wakes = self.shared.known.notified();
         let view = self.shared.view.load_full();
         if view.is_complete() {
@@ -228,7 +228,7 @@
     /// Failure: an entry is told of a new route or key a moment later than others. Symptom: its callers are refused for good,
     /// and clients do not come again after that, although every other entry would have served them. A copy takes a tenth of
     /// a second; who waits for it is in time, and once that part of a caller's time is over it may come again elsewhere.
-    async fn caught_up(&self, view: Arc<View>, request: &Request, ask: &Ask) -> Arc<View> {
+    async fn caught_up(&self, view: Arc<View>, request: &Request, ask: &Metadata) -> Arc<View> {
         let is_refused = |view: &View| {
             let table = view.table.as_ref();
             table.is_some_and(|table| self.is_behind(view, table, request))
@@ -294,7 +294,7 @@
         request: &Request,
         public: bool,
     ) -> Result<Option<&'a Organisation>, Refusal> {
-        if !table.wants_keys() {
+        if !table.requires_keys() {
             return Ok(None);
         }
         let key = self.shared.dialect.key(request.headers());
@@ -390,7 +390,7 @@
     }
 
     /// Notes what decided that an organisation is over this entry's share of its limit.
-    fn over_limit(&self, organisation: Option<&Organisation>, ask: &Ask, refusal: Refusal, version: u64) {
+    fn over_limit(&self, organisation: Option<&Organisation>, ask: &Metadata, refusal: Refusal, version: u64) {
         let now = self.shared.clock.now();
         let limit = organisation.and_then(|organisation| organisation.limit);
         if let Some((logger, left_out)) = self.shared.log.room(now, Topic::Limit) {
--- a/bergamotshift-forward/src/serve/hear.rs
+++ b/bergamotshift-forward/src/serve/hear.rs
@@ -28,11 +28,11 @@
             let source = Source::Answer(&job.ask.id);
             self.shared.hear_rate(now, &choice.endpoint, word, source);
         }
-        let is_news = notice.leaves && choice.endpoint.said.leave();
-        if let Some(pause) = notice.pause {
+        let is_news = notice.is_leaving && choice.endpoint.said.leave();
+        if let Some(pause) = notice.retry_after {
             choice.endpoint.said.pause(now + pause);
         }
-        if is_news || notice.pause.is_some() {
+        if is_news || notice.retry_after.is_some() {
             self.log_notice(now, job, choice, answer.status, notice);
         }
         notice
@@ -42,9 +42,9 @@
         let endpoint = &choice.endpoint;
         if let Some((logger, left_out)) = self.shared.log.room(now, Topic::Belief) {
             info!(logger, "endpoint wants no more"; "endpoint" => endpoint.registration.id.as_str(),
-                "request" => job.ask.id.as_str(), "status" => status.as_u16(), "leaves" => notice.leaves,
+                "request" => job.ask.id.as_str(), "status" => status.as_u16(), "leaves" => notice.is_leaving,
                 "leaves_registered" => endpoint.is_withdrawn(),
-                "pause_ms" => notice.pause.map(|pause| pause.as_millis() as u64), "left_out" => left_out);
+                "pause_ms" => notice.retry_after.map(|pause| pause.as_millis() as u64), "left_out" => left_out);
         }
     }
 }
--- a/bergamotshift-forward/src/serve/job.rs
+++ b/bergamotshift-forward/src/serve/job.rs
@@ -8,7 +8,7 @@
 use ntex::http::HeaderMap;
 use ntex::http::Method;
 
-use crate::dialect::Ask;
+use crate::dialect::Metadata;
 use crate::document::Kind;
 use crate::document::Route;
 use crate::limits::Account;
@@ -39,7 +39,7 @@
 #[derive(Debug)]
 pub(super) struct Job {
     /// What its head says.
-    pub(super) ask: Ask,
+    pub(super) ask: Metadata,
     /// Its method.
     pub(super) method: Method,
     /// Its path and query, as the caller sent them.
--- a/bergamotshift-forward/src/serve/keeper.rs
+++ b/bergamotshift-forward/src/serve/keeper.rs
@@ -151,7 +151,7 @@
     }
 
     /// Returns this entry's own work under way.
-    fn flown(&self) -> Vec<peers::Flown> {
+    fn flown(&self) -> Vec<peers::InFlight> {
         let view = self.shared.view.load();
         let flown = view.by_hash.values().map(|endpoint| endpoint.flown(false));
         flown.filter(|flown| flown.running > 0).collect()
@@ -166,7 +166,14 @@
     async fn exchange(&self, address: SocketAddr, question: &Question) -> Result<Answer, Missed> {
         let question = postcard::to_stdvec(question).or(Err(Missed::Disagrees))?;
         let clock = self.shared.clock;
-        let asked = exchange::ask_pooled(&self.pool, clock, address, keeper::PATIENCE, peers::KEEP, &question);
+        let asked = exchange::ask_pooled(
+            &self.pool,
+            clock,
+            address,
+            keeper::PATIENCE,
+            peers::KEEP_PATH,
+            &question,
+        );
         let answer = asked.await.or(Err(Missed::Unreached))?;
         if answer.status != StatusCode::OK {
             return Err(Missed::Disagrees);
--- a/bergamotshift-forward/tests/daemon/growth.rs
+++ b/bergamotshift-forward/tests/daemon/growth.rs
@@ -5,7 +5,7 @@
 
 use bergamotshift_forward::document::Document;
 use bergamotshift_forward::document::Route;
-use bergamotshift_forward::peers::update::UPLOADS;
+use bergamotshift_forward::peers::update::MAX_UPLOADS;
 use socket2::Domain;
 use socket2::Socket;
 use socket2::Type;
@@ -147,7 +147,7 @@
     let site = Site::new(&[&endpoint]);
     lock(&site.world).put(grown_by(2, ROUTES_HELD_UP));
     let daemon = site.start();
-    let mut served: Vec<_> = (0..UPLOADS).map(|_| ask_and_read_nothing(&daemon)).collect();
+    let mut served: Vec<_> = (0..MAX_UPLOADS).map(|_| ask_and_read_nothing(&daemon)).collect();
     assert!(served.iter().all(|(_, status)| *status == 200));
     assert_eq!(ask_and_read_nothing(&daemon).1, 503);
     served.pop();
--- a/bergamotshift-forward/tests/daemon/outside.rs
+++ b/bergamotshift-forward/tests/daemon/outside.rs
@@ -22,17 +22,17 @@
 use bergamotshift_forward::endpoint::Change;
 use bergamotshift_forward::endpoint::Registration;
 use bergamotshift_forward::outside::Addresses;
+use bergamotshift_forward::outside::Clients;
 use bergamotshift_forward::outside::Cursor;
 use bergamotshift_forward::outside::Duties;
+use bergamotshift_forward::outside::FencingToken;
 use bergamotshift_forward::outside::Gap;
-use bergamotshift_forward::outside::Holder;
+use bergamotshift_forward::outside::Instructions;
 use bergamotshift_forward::outside::Kind;
 use bergamotshift_forward::outside::Operators;
 use bergamotshift_forward::outside::Order;
-use bergamotshift_forward::outside::Outside;
 use bergamotshift_forward::outside::Registry;
 use bergamotshift_forward::outside::Usage;
-use bergamotshift_forward::outside::Written;
 use bergamotshift_platform::Error;
 use bergamotshift_platform::Future;
 use bergamotshift_platform::table::Page;
@@ -50,8 +50,8 @@
     pub rows: BTreeMap<Key, Row>,
     /// All that was written, in order.
     pub written: Vec<(Key, Vec<u8>)>,
-    pub reports: Vec<(Holder, Usage)>,
-    pub orders: Vec<(Holder, Order)>,
+    pub reports: Vec<(FencingToken, Usage)>,
+    pub orders: Vec<(FencingToken, Order)>,
     /// Entries, by the name after `@` in their store's address, to which no call is answered.
     pub cut: Vec<SmolStr>,
     changes: u64,
@@ -91,11 +91,11 @@
         self.rollouts.push((order, State::Running));
     }
 
-    fn written(&self) -> Written {
-        Written {
+    fn written(&self) -> Instructions {
+        Instructions {
             document: self.document.clone(),
             rollouts: self.rollouts.clone(),
-            ..Written::default()
+            ..Instructions::default()
         }
     }
 
@@ -116,7 +116,7 @@
     Kind { name: "memory", dialect: Dialect::default, connect: |addresses| Box::pin(core::future::ready(Ok(connect(addresses)))) }
 }
 
-fn connect(addresses: Addresses) -> Outside {
+fn connect(addresses: Addresses) -> Clients {
     let (name, entry) = addresses
         .store
         .split_once('@')
@@ -125,7 +125,7 @@
         world: world(name),
         entry: SmolStr::new(entry),
     });
-    Outside {
+    Clients {
         operators: Rc::clone(&store) as _,
         registry: Rc::clone(&store) as _,
         table: Rc::clone(&store) as _,
@@ -150,12 +150,12 @@
 }
 
 impl Operators for Store {
-    fn written(&self) -> Future<'_, Result<(Written, Cursor), Error>> {
+    fn read(&self) -> Future<'_, Result<(Instructions, Cursor), Error>> {
         let answer = self.reach().map(|world| (world.written(), Cursor(world.changes)));
         Box::pin(async move { answer })
     }
 
-    fn changed(&self, _after: Cursor, wait: Duration) -> Future<'_, Result<(Written, Cursor), Gap>> {
+    fn wait_for_change(&self, _after: Cursor, wait: Duration) -> Future<'_, Result<(Instructions, Cursor), Gap>> {
         const LOOK: Duration = Duration::from_millis(20);
         Box::pin(async move {
             tokio::time::sleep(wait.min(LOOK)).await;
@@ -164,7 +164,7 @@
         })
     }
 
-    fn tell(&self, order: Rollout, state: State) -> Future<'_, Result<State, Error>> {
+    fn report_rollout(&self, order: Rollout, state: State) -> Future<'_, Result<State, Error>> {
         let told = self.reach().map(|mut world| {
             let known = world.rollouts.iter_mut().find(|(one, _)| one.number == order.number);
             let Some((_, known)) = known.filter(|(_, known)| !known.is_final()) else {
@@ -189,7 +189,7 @@
 
     fn changes(&self, _after: Cursor) -> Future<'_, Result<(Vec<Change>, Cursor), Gap>> {
         // The history is gone each time, so that everything is read anew.
-        Box::pin(async { Err(Gap::Forgotten) })
+        Box::pin(async { Err(Gap::Truncated) })
     }
 }
 
@@ -249,12 +249,12 @@
 }
 
 impl Duties for Store {
-    fn report(&self, holder: Holder, usage: Usage) -> Future<'_, Result<(), Error>> {
+    fn report(&self, holder: FencingToken, usage: Usage) -> Future<'_, Result<(), Error>> {
         lock(&self.world).reports.push((holder, usage));
         Box::pin(async { Ok(()) })
     }
 
-    fn order(&self, holder: Holder, order: Order) -> Future<'_, Result<(), Error>> {
+    fn order(&self, holder: FencingToken, order: Order) -> Future<'_, Result<(), Error>> {
         lock(&self.world).orders.push((holder, order));
         Box::pin(async { Ok(()) })
     }
--- a/bergamotshift-forward/tests/kernel/choice.rs
+++ b/bergamotshift-forward/tests/kernel/choice.rs
@@ -8,7 +8,7 @@
 use bergamotshift_forward::choice::Request;
 use bergamotshift_forward::choice::Settings;
 use bergamotshift_forward::choice::choose;
-use bergamotshift_forward::dialect::Ask;
+use bergamotshift_forward::dialect::Metadata;
 use bergamotshift_forward::dialect::Part;
 use bergamotshift_forward::dialect::Size;
 use bergamotshift_forward::document::Engine;
@@ -29,14 +29,14 @@
     (0..count).map(endpoint).collect()
 }
 
-fn ask() -> Ask {
-    Ask {
+fn ask() -> Metadata {
+    Metadata {
         size: Some(Size {
             prompt: 15_000,
             output: 100,
         }),
         parts: vec![Part { id: 1, tokens: 12_000 }, Part { id: 2, tokens: 3_000 }],
-        ..Ask::default()
+        ..Metadata::default()
     }
 }
 
--- a/bergamotshift-forward/tests/kernel/dialect.rs
+++ b/bergamotshift-forward/tests/kernel/dialect.rs
@@ -1,10 +1,10 @@
 //! What callers say, and what endpoints get to see.
 
 use bergamotshift_core::prelude::*;
-use bergamotshift_forward::dialect::Ask;
 use bergamotshift_forward::dialect::Dialect;
 use bergamotshift_forward::dialect::Envelope;
 use bergamotshift_forward::dialect::Load;
+use bergamotshift_forward::dialect::Metadata;
 use bergamotshift_forward::dialect::Size;
 use ntex::http::HeaderMap;
 use ntex::http::header::HeaderName;
@@ -37,10 +37,10 @@
         ("bergamotshift-size", "1460,80"),
         ("bergamotshift-prompt", "5c1e:800,91bd:410,e440:250"),
     ]);
-    let ask = Ask::read(&Dialect::default(), &head);
+    let ask = Metadata::read(&Dialect::default(), &head);
     assert_eq!(ask.id, "r1");
     assert_eq!(ask.size.map(Size::total), Some(1_540));
-    assert_eq!(ask.shared().map(|part| part.id), Some(0x91bd));
+    assert_eq!(ask.shared_part().map(|part| part.id), Some(0x91bd));
 }
 
 #[test]
@@ -50,7 +50,7 @@
         ("bergamotshift-deadline-ms", "-5"),
         ("bergamotshift-prompt", "zz:1"),
     ]);
-    let ask = Ask::read(&Dialect::default(), &head);
+    let ask = Metadata::read(&Dialect::default(), &head);
     assert_eq!((ask.size, ask.time_left, ask.parts.len()), (None, None, 0));
 }
 
--- a/bergamotshift-forward/tests/kernel/difference.rs
+++ b/bergamotshift-forward/tests/kernel/difference.rs
@@ -65,7 +65,7 @@
     after.remove(20);
     after.push((45, 0));
     let difference = Difference::between(&document(1, before), &document(2, after));
-    assert_eq!(difference.written(), 2);
+    assert_eq!(difference.changed_routes(), 2);
 }
 
 #[test]
--- a/bergamotshift-forward/tests/kernel/holders.rs
+++ b/bergamotshift-forward/tests/kernel/holders.rs
@@ -21,7 +21,7 @@
 }
 
 fn chosen(members: &Members, now: Instant, version: u64) -> Option<name::Entry> {
-    match members.source(now, version) {
+    match members.document_source(now, version) {
         Source::Holder(holder) => Some(holder.entry),
         Source::Nobody | Source::Busy => None,
     }
@@ -30,8 +30,8 @@
 #[test]
 fn who_has_nothing_newer_is_not_asked() {
     let mut members = members("entry-0");
-    members.heard_of(at(0), holds("entry-1", "one", 7));
-    assert_eq!(members.source(at(100), 7), Source::Nobody);
+    members.record_state(at(0), holds("entry-1", "one", 7));
+    assert_eq!(members.document_source(at(100), 7), Source::Nobody);
     assert_eq!(chosen(&members, at(100), 6), Some("entry-1".into()));
 }
 
@@ -40,9 +40,9 @@
 fn an_entry_of_the_own_zone_comes_first() {
     let mut members = members("entry-0");
     for number in 1..9 {
-        members.heard_of(at(0), holds(&format!("entry-{number}"), "two", 7));
+        members.record_state(at(0), holds(&format!("entry-{number}"), "two", 7));
     }
-    members.heard_of(at(0), holds("entry-9", "one", 7));
+    members.record_state(at(0), holds("entry-9", "one", 7));
     assert_eq!(chosen(&members, at(100), 6), Some("entry-9".into()));
 }
 
@@ -50,8 +50,8 @@
 #[test]
 fn the_newest_document_comes_before_the_own_zone() {
     let mut members = members("entry-0");
-    members.heard_of(at(0), holds("entry-1", "one", 7));
-    members.heard_of(at(0), holds("entry-2", "two", 8));
+    members.record_state(at(0), holds("entry-1", "one", 7));
+    members.record_state(at(0), holds("entry-2", "two", 8));
     assert_eq!(chosen(&members, at(100), 6), Some("entry-2".into()));
 }
 
@@ -60,14 +60,14 @@
 #[test]
 fn who_did_not_give_it_is_spared_for_a_while() {
     let mut members = members("entry-0");
-    members.heard_of(at(0), holds("entry-1", "one", 7));
-    members.heard_of(at(0), holds("entry-2", "one", 7));
+    members.record_state(at(0), holds("entry-1", "one", 7));
+    members.record_state(at(0), holds("entry-2", "one", 7));
     let first = chosen(&members, at(100), 6).expect("there are two");
-    members.spare(at(100), &first, Duration::from_millis(80));
+    members.defer_download(at(100), &first, Duration::from_millis(80));
     let second = chosen(&members, at(100), 6).expect("there is one more");
     assert_ne!(first, second);
-    members.spare(at(110), &second, Duration::from_millis(80));
-    assert_eq!(members.source(at(120), 6), Source::Busy);
+    members.defer_download(at(110), &second, Duration::from_millis(80));
+    assert_eq!(members.document_source(at(120), 6), Source::Busy);
     assert_eq!(chosen(&members, at(180), 6), Some(first));
 }
 
@@ -75,8 +75,8 @@
 #[test]
 fn who_was_not_heard_for_long_is_not_asked() {
     let mut members = members("entry-0");
-    members.heard_of(at(0), holds("entry-1", "one", 7));
-    assert_eq!(members.source(at(10_000), 6), Source::Nobody);
+    members.record_state(at(0), holds("entry-1", "one", 7));
+    assert_eq!(members.document_source(at(10_000), 6), Source::Nobody);
 }
 
 /// Thirty entries hear at once that eight others have a newer document. If all asked the same one, its link would carry
@@ -86,7 +86,7 @@
     let ask = |asker: usize| {
         let mut members = members(&format!("asker-{asker}"));
         for number in 1..9 {
-            members.heard_of(at(0), holds(&format!("entry-{number}"), "one", 7));
+            members.record_state(at(0), holds(&format!("entry-{number}"), "one", 7));
         }
         chosen(&members, at(100), 6).expect("there are eight")
     };
--- a/bergamotshift-forward/tests/kernel/ledger.rs
+++ b/bergamotshift-forward/tests/kernel/ledger.rs
@@ -4,7 +4,7 @@
 use bergamotshift_forward::endpoint::Endpoint;
 use bergamotshift_forward::endpoint::Ledger;
 use bergamotshift_forward::endpoint::Registration;
-use bergamotshift_forward::peers::Flown;
+use bergamotshift_forward::peers::InFlight;
 
 use crate::support::at;
 
@@ -23,8 +23,8 @@
     })
 }
 
-fn flown(endpoint: &Endpoint, running: u32, unread: u64) -> Flown {
-    Flown {
+fn flown(endpoint: &Endpoint, running: u32, unread: u64) -> InFlight {
+    InFlight {
         endpoint: endpoint.hash,
         running,
         unread,
--- a/bergamotshift-forward/tests/kernel/members.rs
+++ b/bergamotshift-forward/tests/kernel/members.rs
@@ -8,7 +8,7 @@
 use bergamotshift_forward::limits::Keeping;
 use bergamotshift_forward::limits::keeper;
 use bergamotshift_forward::limits::keeper::Candidate;
-use bergamotshift_forward::peers::Listed;
+use bergamotshift_forward::peers::Contact;
 use bergamotshift_forward::peers::Members;
 use bergamotshift_forward::peers::Stage;
 use bergamotshift_forward::peers::State;
@@ -18,23 +18,23 @@
 pub fn state(entry: &str, reaches_store: bool) -> State {
     State {
         entry: entry.into(),
-        life: 1,
+        incarnation: 1,
         address: "127.0.0.1:9".parse().expect("an address"),
         zone: "one".into(),
         core_share: 120,
         stage: Stage::Serves,
-        holds: false,
+        holds_duties: false,
         lease: None,
         holder: None,
         reaches_store,
         document: 0,
-        document_known: None,
+        document_freshness: None,
         endpoints: 0,
-        endpoints_known: None,
-        uses: Vec::new(),
-        flown: Vec::new(),
-        reading: Vec::new(),
-        readings: Vec::new(),
+        endpoints_freshness: None,
+        limit_usage: Vec::new(),
+        in_flight: Vec::new(),
+        prompt_rates: Vec::new(),
+        cached_parts: Vec::new(),
         windows: BTreeMap::new(),
         suspicions: Vec::new(),
         rates: Vec::new(),
@@ -45,8 +45,8 @@
     }
 }
 
-fn listed(entry: &str, core_share: u16) -> Listed {
-    Listed {
+fn listed(entry: &str, core_share: u16) -> Contact {
+    Contact {
         entry: entry.into(),
         address: "127.0.0.1:9".parse().expect("an address"),
         zone: "one".into(),
@@ -66,7 +66,7 @@
         state.zone = if number < 20 { "one".into() } else { "two".into() };
         // The other zone's keeper is known beforehand.
         state.core_share = if number == 33 { 500 } else { 120 };
-        members.heard_of(now, state);
+        members.record_state(now, state);
     }
     members
 }
@@ -86,16 +86,16 @@
 #[test]
 fn who_does_not_reach_the_store_comes_before_nobody() {
     let mut members = self::members("entry-2");
-    members.heard_of(at(0), state("entry-1", true));
+    members.record_state(at(0), state("entry-1", true));
     assert_eq!(members.rank(at(100)), 1);
-    members.heard_of(at(200), state("entry-1", false));
+    members.record_state(at(200), state("entry-1", false));
     assert_eq!(members.rank(at(300)), 0);
 }
 
 #[test]
 fn who_is_silent_comes_before_nobody_and_is_forgotten_in_the_end() {
     let mut members = self::members("entry-2");
-    members.heard_of(at(0), state("entry-1", true));
+    members.record_state(at(0), state("entry-1", true));
     assert_eq!(members.rank(at(5_000)), 0);
     assert_eq!(members.count(), 2, "it may be restarted");
     assert_eq!(members.expire(at(60_000)), [name::Entry::new("entry-1")]);
@@ -106,7 +106,7 @@
 fn every_entry_is_asked_in_turn() {
     let mut members = self::members("entry-0");
     for number in 1..7 {
-        members.heard_of(at(0), state(&format!("entry-{number}"), true));
+        members.record_state(at(0), state(&format!("entry-{number}"), true));
     }
     let mut asked: Vec<_> = (1..=2)
         .flat_map(|round| members.due(at(round * 250), 3, None))
@@ -119,8 +119,8 @@
 #[test]
 fn who_did_not_answer_is_left_alone_for_a_moment() {
     let mut members = self::members("entry-0");
-    members.heard_of(at(0), state("entry-1", true));
-    members.failed(at(100), &"entry-1".into(), false);
+    members.record_state(at(0), state("entry-1", true));
+    members.record_failure(at(100), &"entry-1".into(), false);
     assert!(members.due(at(300), 3, None).is_empty());
     assert_eq!(members.due(at(700), 3, None).len(), 1);
 }
@@ -133,7 +133,7 @@
     for number in 1..60 {
         let mut state = state(&format!("entry-{number}"), true);
         state.zone = if number <= 6 { "one".into() } else { "two".into() };
-        members.heard_of(at(0), state);
+        members.record_state(at(0), state);
     }
     let mut near = 0;
     let mut far = std::collections::BTreeSet::new();
@@ -154,7 +154,7 @@
 fn a_small_fleet_has_no_keepers() {
     let mut members = self::members("entry-00");
     for number in 1..10 {
-        members.heard_of(at(0), state(&format!("entry-{number:02}"), true));
+        members.record_state(at(0), state(&format!("entry-{number:02}"), true));
     }
     assert_eq!(members.keeping(at(100)), Keeping::default());
 }
@@ -170,20 +170,20 @@
         let name = format!("entry-{number:02}");
         let mut state = state(&name, true);
         state.zone = if number < 20 { "one".into() } else { "two".into() };
-        members.heard_of(at(10_000), state);
+        members.record_state(at(10_000), state);
     }
     let keeping = members.keeping(at(12_000));
     assert!(matches!(keeping.keeper, Keeper::Other(_)) && keeping.is_deputy);
     for number in (0..40).filter(|number| format!("entry-{number:02}") != own) {
-        members.heard_of(at(11_900), state(&format!("entry-{number:02}"), true));
+        members.record_state(at(11_900), state(&format!("entry-{number:02}"), true));
     }
     assert_eq!(members.keeping(at(12_600)).keeper, Keeper::Own);
 
     let mut leaving = state(&own, true);
     leaving.stage = Stage::Stops;
-    members.heard_of(at(12_700), state(&own, true));
+    members.record_state(at(12_700), state(&own, true));
     assert!(matches!(members.keeping(at(12_700)).keeper, Keeper::Other(_)));
-    members.heard_of(at(12_800), leaving);
+    members.record_state(at(12_800), leaving);
     assert_eq!(members.keeping(at(12_800)).keeper, Keeper::Own);
 }
 
@@ -193,7 +193,7 @@
 fn who_hears_nobody_of_its_zone_keeps_nothing() {
     let mut members = Members::new(first(&[]).as_str().into(), "one".into(), 900);
     for number in 0..40 {
-        members.heard_of(at(10_000), state(&format!("entry-{number:02}"), true));
+        members.record_state(at(10_000), state(&format!("entry-{number:02}"), true));
     }
     assert_eq!(members.keeping(at(11_000)).keeper, Keeper::Own);
     assert_eq!(members.keeping(at(13_000)).keeper, Keeper::Unknown);
@@ -205,12 +205,12 @@
 fn who_was_heard_by_others_is_alive() {
     let mut members = large(at(10_000));
     let mut told = large(at(13_000));
-    let (zones, names) = told.names(at(13_100));
+    let (zones, names) = told.member_list(at(13_100));
     assert_eq!(members.keeping(at(13_100)).keeper, Keeper::Unknown);
-    members.told(at(13_100), &zones, &names);
+    members.merge_members(at(13_100), &zones, &names);
     assert_eq!(members.keeping(at(13_200)), told.keeping(at(13_200)));
     assert_ne!(told.keeping(at(13_200)).keeper, Keeper::Unknown);
-    told.stop();
+    told.set_stopping();
     assert_ne!(told.keeping(at(13_200)).keeper, Keeper::Own);
 }
 
@@ -221,7 +221,7 @@
     let mut members = self::members("entry-00");
     for number in 1..40 {
         let core_share = if number == 33 { 500 } else { 120 };
-        members.listed(at(10_000), &listed(&format!("entry-{number:02}"), core_share));
+        members.add_contact(at(10_000), &listed(&format!("entry-{number:02}"), core_share));
     }
     assert_eq!(members.keeping(at(10_000)).keeper, Keeper::Unknown);
     let due = members.due(at(10_000), 3, None);
@@ -235,7 +235,7 @@
         let mut state = state(&format!("entry-{number:02}"), true);
         state.zone = if number < 20 { "one".into() } else { "two".into() };
         state.core_share = if number == 33 { 500 } else { 120 };
-        members.heard_of(at(10_000), state);
+        members.record_state(at(10_000), state);
     }
     let other = name::Entry::new("entry-33");
     for round in 1..6 {
@@ -248,7 +248,7 @@
 fn the_holder_of_the_duties_is_asked_every_other_second_in_a_large_fleet() {
     let mut members = self::members("entry-00");
     for number in 1..40 {
-        members.heard_of(at(0), state(&format!("entry-{number:02}"), true));
+        members.record_state(at(0), state(&format!("entry-{number:02}"), true));
     }
     let holder = name::Entry::new("entry-33");
     let asked = (8..48).filter(|round| {
@@ -265,8 +265,8 @@
 #[test]
 fn who_was_never_heard_is_named_to_nobody_and_soon_forgotten() {
     let mut members = self::members("entry-0");
-    members.listed(at(0), &listed("entry-1", 120));
-    assert!(members.names(at(0)).1.is_empty());
+    members.add_contact(at(0), &listed("entry-1", 120));
+    assert!(members.member_list(at(0)).1.is_empty());
     assert_eq!(members.expire(at(9_000)), [name::Entry::new("entry-1")]);
 }
 
@@ -277,13 +277,19 @@
 fn a_cut_off_entry_does_not_take_the_store_for_away() {
     const SPAN: Duration = Duration::from_millis(1_500);
     let mut members = large(at(10_000));
-    assert!(!members.misses_store(at(10_500), SPAN), "others reach it");
+    assert!(!members.suspects_store_outage(at(10_500), SPAN), "others reach it");
     for number in 1..20 {
-        members.heard_of(at(11_800), state(&format!("entry-{number:02}"), false));
+        members.record_state(at(11_800), state(&format!("entry-{number:02}"), false));
     }
-    assert!(members.misses_store(at(11_900), SPAN), "nobody says that it reaches it");
-    members.failed(at(11_800), &"entry-33".into(), true);
-    assert!(!members.misses_store(at(11_900), SPAN), "no other zone is heard");
+    assert!(
+        members.suspects_store_outage(at(11_900), SPAN),
+        "nobody says that it reaches it"
+    );
+    members.record_failure(at(11_800), &"entry-33".into(), true);
+    assert!(
+        !members.suspects_store_outage(at(11_900), SPAN),
+        "no other zone is heard"
+    );
 }
 
 /// A zone is cut off. Its entries hear each other and ask those of other zones in vain, so after a moment they know; when
@@ -294,13 +300,13 @@
         let mut members = large(at(10_000));
         assert!(!members.is_cut_off(at(10_500)));
         for number in 1..20 {
-            members.heard_of(at(11_400), state(&format!("entry-{number:02}"), true));
+            members.record_state(at(11_400), state(&format!("entry-{number:02}"), true));
         }
-        members.failed(at(11_400), &"entry-33".into(), is_silent);
+        members.record_failure(at(11_400), &"entry-33".into(), is_silent);
         assert_eq!(members.is_cut_off(at(11_500)), expected);
         let mut far = state("entry-34", true);
         far.zone = "two".into();
-        members.heard_of(at(11_600), far);
+        members.record_state(at(11_600), far);
         assert!(!members.is_cut_off(at(11_700)), "one is heard again");
     }
 }
@@ -313,13 +319,13 @@
     for number in 1..300 {
         let mut state = state(&format!("entry-{number:03}"), true);
         state.zone = format!("zone-{}", number % 4).as_str().into();
-        members.heard_of(at(60_000), state);
+        members.record_state(at(60_000), state);
     }
     for number in 300..310 {
-        members.heard_of(at(60_000), state(&format!("entry-{number}"), true));
+        members.record_state(at(60_000), state(&format!("entry-{number}"), true));
     }
     let named: Vec<usize> = (0..16)
-        .map(|round| members.names(at(60_000 + round * 250)).1.len())
+        .map(|round| members.member_list(at(60_000 + round * 250)).1.len())
         .collect();
     assert_eq!(named.iter().filter(|count| **count == 309).count(), 1, "{named:?}");
     assert_eq!(named.iter().filter(|count| **count <= 14).count(), 15, "{named:?}");
@@ -328,8 +334,8 @@
         !members.is_brief(at(60_100), &"entry-300".into()),
         "it lies in the own zone"
     );
-    members.start(at(60_000));
-    assert_eq!(members.names(at(60_500)).1.len(), 309, "it starts");
+    members.set_started(at(60_000));
+    assert_eq!(members.member_list(at(60_500)).1.len(), 309, "it starts");
     assert!(!members.is_brief(at(60_500), &"entry-001".into()));
 }
 
@@ -345,13 +351,13 @@
 #[test]
 fn who_starts_and_has_heard_nobody_grants_nothing_while_there_may_be_others() {
     let mut members = self::members("entry-0");
-    members.start(at(100));
+    members.set_started(at(100));
     assert_eq!(members.granters(at(200), false), []);
     assert_eq!(members.granters(at(200), true).len(), 1, "it is the only one");
-    members.listed(at(200), &listed("entry-1", 120));
+    members.add_contact(at(200), &listed("entry-1", 120));
     assert_eq!(members.granters(at(300), true), []);
     assert_eq!(members.granters(at(9_000), true).len(), 1, "the other one is gone");
-    members.heard_of(at(9_100), state("entry-1", true));
+    members.record_state(at(9_100), state("entry-1", true));
     assert_eq!(members.granters(at(9_200), true).len(), 2);
 }
 
@@ -359,13 +365,13 @@
 #[test]
 fn who_stops_grants_nothing() {
     let mut members = self::members("entry-0");
-    members.heard_of(at(100), state("entry-1", true));
-    members.heard_of(at(100), state("entry-2", true));
+    members.record_state(at(100), state("entry-1", true));
+    members.record_state(at(100), state("entry-2", true));
     assert_eq!(members.granters(at(150), true).len(), 3);
     let mut stopping = state("entry-1", true);
     stopping.stage = Stage::Stops;
-    members.heard_of(at(200), stopping);
+    members.record_state(at(200), stopping);
     assert_eq!(members.granters(at(300), true).len(), 2);
-    members.stop();
+    members.set_stopping();
     assert_eq!(members.granters(at(300), true).len(), 1);
 }
--- a/bergamotshift-forward/tests/kernel/rounds.rs
+++ b/bergamotshift-forward/tests/kernel/rounds.rs
@@ -15,7 +15,7 @@
     // The first one asked is silent, the second one answers at once.
     let first = rounds.next(true);
     let second = rounds.next(true);
-    assert!(first.pause + first.patience + second.pause < WAIT);
+    assert!(first.delay + first.timeout + second.delay < WAIT);
 }
 
 #[test]
@@ -23,7 +23,7 @@
     let mut rounds = Rounds::default();
     let quick = rounds.next(true);
     let usual = rounds.next(false);
-    assert!(usual.pause > quick.pause && usual.patience > quick.patience);
+    assert!(usual.delay > quick.delay && usual.timeout > quick.timeout);
 }
 
 /// Guards against a process that finds nobody and asks many times a second for good.
@@ -31,7 +31,7 @@
 fn an_entry_that_finds_nobody_slows_down() {
     let mut rounds = Rounds::default();
     let paces: Vec<_> = (0..40).map(|_| rounds.next(true)).collect();
-    assert!(paces[39].pause > paces[0].pause);
-    let quick = paces.iter().filter(|round| round.pause == paces[0].pause).count();
+    assert!(paces[39].delay > paces[0].delay);
+    let quick = paces.iter().filter(|round| round.delay == paces[0].delay).count();
     assert!(quick < 40);
 }
