--- a/bergamotshift-forward/src/serve/keeper.rs
+++ b/bergamotshift-forward/src/serve/keeper.rs
@@ -151,7 +151,7 @@
     }
 
     /// Returns this entry's own work under way.
-    fn flown(&self) -> Vec<peers::Flown> {
+    fn flown(&self) -> Vec<peers::InFlight> {
         let view = self.shared.view.load();
         let flown = view.by_hash.values().map(|endpoint| endpoint.flown(false));
         flown.filter(|flown| flown.running > 0).collect()
@@ -171,7 +171,7 @@
             clock,
             address,
             keeper::ANSWER_TIMEOUT,
-            peers::KEEP,
+            peers::KEEP_PATH,
             &question,
         );
         let answer = asked.await.or(Err(Missed::Unreached))?;
