--- a/bergamotshift-forward/src/choice/mod.rs
+++ b/bergamotshift-forward/src/choice/mod.rs
@@ -233,7 +233,7 @@
         None => settings.distance,
     };
     let silence = if endpoint.is_silent() { settings.trouble } else { 0.0 };
-    let trouble = settings.trouble * endpoint.health.trouble() + silence;
+    let trouble = settings.trouble * endpoint.health.failure_rate() + silence;
     let turn = if prompt.is_some() { settings.turn } else { settings.work };
     let beyond = (running + 1.0 - slots).max(0.0) * turn;
     let mut choice = Choice {
--- a/bergamotshift-forward/src/control/behind.rs
+++ b/bergamotshift-forward/src/control/behind.rs
@@ -109,7 +109,7 @@
         if state.document <= self.document.version {
             return;
         }
-        shared.newest.fetch_max(state.document, Ordering::AcqRel);
+        shared.newest_document.fetch_max(state.document, Ordering::AcqRel);
         if self.behind.is_none() {
             self.behind = Some(now);
             shared.metrics.behind.set(1);
@@ -121,13 +121,13 @@
 
     /// Works out whether the document in force is behind, and for too long.
     pub(super) fn lag(&mut self, now: Instant, shared: &Shared) {
-        if self.document.version >= shared.newest.load(Ordering::Acquire) && self.behind.take().is_some() {
+        if self.document.version >= shared.newest_document.load(Ordering::Acquire) && self.behind.take().is_some() {
             shared.metrics.behind.set(0);
         }
         let late = self.behind.is_some_and(|since| now.since(since) >= LATE);
         if shared.late.swap(late, Ordering::AcqRel) != late {
             info!(shared.log.always(), "document late"; "late" => late, "version" => self.document.version,
-                "newest" => shared.newest.load(Ordering::Acquire),
+                "newest" => shared.newest_document.load(Ordering::Acquire),
                 "behind_ms" => self.behind.map(|since| now.since(since).as_millis() as u64));
         }
     }
--- a/bergamotshift-forward/src/control/inner.rs
+++ b/bergamotshift-forward/src/control/inner.rs
@@ -27,7 +27,7 @@
 use crate::endpoint::Directory;
 use crate::endpoint::Endpoint;
 use crate::endpoint::Event;
-use crate::follow::Knowledge;
+use crate::follow::Freshness;
 use crate::limits::Demand;
 use crate::limits::Keeping;
 use crate::limits::Timing;
@@ -77,13 +77,13 @@
 #[derive(Debug)]
 pub(super) struct Inner {
     pub(super) document: Arc<Document>,
-    pub(super) document_known: Knowledge,
+    pub(super) document_known: Freshness,
     /// Since when another entry has been known to have a newer document; `None` when none has.
     pub(super) behind: Option<Instant>,
     /// What others are given of the document.
     pub(super) copies: Copies,
     pub(super) directory: Directory,
-    pub(super) registrations_known: Knowledge,
+    pub(super) registrations_known: Freshness,
     pub(super) organisations: BTreeMap<name::Organisation, Organisation>,
     pub(super) services: BTreeMap<name::Service, Lasting>,
     pub(super) members: Members,
@@ -129,11 +129,11 @@
         members.start(now);
         Self {
             document: Arc::default(),
-            document_known: Knowledge::default(),
+            document_known: Freshness::default(),
             behind: None,
             copies: Copies::default(),
             directory: Directory::default(),
-            registrations_known: Knowledge::default(),
+            registrations_known: Freshness::default(),
             organisations: BTreeMap::new(),
             services: BTreeMap::new(),
             members,
@@ -186,7 +186,9 @@
         let steps = steps.unwrap_or_else(|| vec![Difference::between(&self.document, &document)]);
         self.copies.step(&document, steps);
         self.document = Arc::new(document);
-        shared.newest.fetch_max(self.document.version, Ordering::AcqRel);
+        shared
+            .newest_document
+            .fetch_max(self.document.version, Ordering::AcqRel);
         // Versions that follow one another quickly are got one by one; who gets on is not left behind.
         self.behind = self.behind.map(|_since| now);
         self.lag(now, shared);
--- a/bergamotshift-forward/src/control/mod.rs
+++ b/bergamotshift-forward/src/control/mod.rs
@@ -46,7 +46,7 @@
 
 /// A question of another entry, with the way back of its answer.
 #[derive(Debug)]
-pub enum Question {
+pub enum Query {
     /// What this entry knows.
     Exchange {
         /// What the other entry says of itself.
@@ -68,8 +68,8 @@
 pub struct Control {
     shared: Arc<Shared>,
     inner: Rc<RefCell<Inner>>,
-    questions: mpsc::UnboundedSender<Question>,
-    inbox: Rc<RefCell<Option<mpsc::UnboundedReceiver<Question>>>>,
+    questions: mpsc::UnboundedSender<Query>,
+    inbox: Rc<RefCell<Option<mpsc::UnboundedReceiver<Query>>>>,
     /// Wakes whoever follows the document when another entry has a newer one.
     news: Rc<Notify>,
     /// How many more entries may be given the document now.
@@ -97,12 +97,12 @@
     }
 
     /// Returns where questions of other entries go.
-    pub fn exchange(&self) -> mpsc::UnboundedSender<Question> {
+    pub fn query_sender(&self) -> mpsc::UnboundedSender<Query> {
         self.questions.clone()
     }
 
     /// Returns the questions of other entries; `None` from the second call on.
-    pub fn take_inbox(&self) -> Option<mpsc::UnboundedReceiver<Question>> {
+    pub fn take_queries(&self) -> Option<mpsc::UnboundedReceiver<Query>> {
         self.inbox.borrow_mut().take()
     }
 
@@ -113,7 +113,7 @@
     }
 
     /// Counts a call of the store, and logs when it stops or begins to answer.
-    pub fn called(&self, call: &'static str, error: Option<&bergamotshift_platform::Error>) {
+    pub fn record_call(&self, call: &'static str, error: Option<&bergamotshift_platform::Error>) {
         self.shared.metrics.called(call, error.is_none());
         let mut inner = self.inner.borrow_mut();
         let lost = inner.lost_calls.contains(call);
@@ -155,7 +155,7 @@
     pub fn read_document(&self, written: Written, cursor: Cursor) {
         let now = self.now();
         let mut inner = self.inner.borrow_mut();
-        inner.document_known.learn(now, cursor, Duration::ZERO);
+        inner.document_known.confirm(now, cursor, Duration::ZERO);
         inner.read_rollouts(now, &self.shared, written.rollouts);
         for (service, cause) in &written.unread {
             self.shared.metrics.unread.inc();
@@ -194,14 +194,16 @@
         if is_older && matches!(event, Event::Listed(_)) {
             return;
         }
-        inner.registrations_known.learn(now, cursor, Duration::ZERO);
+        inner.registrations_known.confirm(now, cursor, Duration::ZERO);
         inner.on_endpoints(now, &self.shared, event, "store");
     }
 
     /// Counts and logs what stands among the registrations and cannot be read.
     pub fn unread(&self, changes: &[Change]) {
         for change in changes {
-            let Change::Unread { id, cause } = change else { continue };
+            let Change::Unreadable { id, cause } = change else {
+                continue;
+            };
             self.shared.metrics.unread.inc();
             if let Some((logger, left_out)) = self.shared.log.room(self.now(), Topic::Belief) {
                 info!(logger, "registration not read"; "endpoint" => id.as_str(), "cause" => %cause,
@@ -272,12 +274,12 @@
     }
 
     /// Returns whom to ask now.
-    pub fn due(&self, most: usize) -> Vec<(name::Entry, SocketAddr)> {
+    pub fn due_peers(&self, limit: usize) -> Vec<(name::Entry, SocketAddr)> {
         let now = self.now();
         let mut inner = self.inner.borrow_mut();
         let holder = inner.holder.as_ref().map(|holder| holder.entry.clone());
-        inner.members.hurry(self.shared.book.take_urgent());
-        inner.members.due(now, most, holder.as_ref())
+        inner.members.hurry(self.shared.rollout_evidence.take_urgent());
+        inner.members.due(now, limit, holder.as_ref())
     }
 
     /// Returns the part of a core that this entry may use, in thousandths.
@@ -319,7 +321,7 @@
     }
 
     /// Takes in what another entry says of itself, and returns what it is told.
-    pub fn asked(&self, state: State) -> Reply {
+    pub fn handle_state(&self, state: State) -> Reply {
         let now = self.now();
         let reply = self.inner.borrow_mut().asked(now, &self.shared, state);
         self.tell_news();
@@ -327,7 +329,7 @@
     }
 
     /// Takes in another entry's answer.
-    pub fn answered(&self, reply: Reply) {
+    pub fn handle_reply(&self, reply: Reply) {
         let now = self.now();
         self.inner.borrow_mut().answered(now, &self.shared, reply);
         self.tell_news();
@@ -340,7 +342,7 @@
     }
 
     /// Notes whether this entry holds the duties, and what it tells of their lease.
-    pub fn hold(&self, held: bool, word: Option<Word>) {
+    pub fn set_duties(&self, held: bool, word: Option<Word>) {
         let mut inner = self.inner.borrow_mut();
         inner.holds = held;
         inner.word = word;
@@ -348,7 +350,7 @@
     }
 
     /// Returns what another entry said of the duties' lease since the last call, as of now.
-    pub fn take_word(&self) -> Option<Word> {
+    pub fn take_lease_notice(&self) -> Option<Word> {
         let now = self.now();
         let (word, at) = self.inner.borrow_mut().heard_word.take()?;
         Some(word.after(now.since(at)))
@@ -383,7 +385,7 @@
     }
 
     /// Returns the prompt tokens a second that callers of a service ask all entries to have read.
-    pub fn reading(&self, service: &name::Service) -> f64 {
+    pub fn prompt_demand(&self, service: &name::Service) -> f64 {
         let now = self.now();
         self.inner.borrow().reading(now, service)
     }
--- a/bergamotshift-forward/src/control/publish.rs
+++ b/bergamotshift-forward/src/control/publish.rs
@@ -23,7 +23,7 @@
     fn accounts(&self) -> Accounts {
         Accounts {
             own: Arc::clone(&self.account),
-            kept: Arc::clone(&self.kept),
+            zone: Arc::clone(&self.kept),
         }
     }
 }
@@ -57,8 +57,8 @@
                 endpoints: endpoints.remove(&service.name).unwrap_or_default().into(),
                 engine: service.engine,
                 budget: Arc::clone(&lasting.budget),
-                asked: Arc::clone(&lasting.asked),
-                usual_prompt: Arc::clone(&lasting.usual_prompt),
+                requested_tokens: Arc::clone(&lasting.asked),
+                typical_prompt: Arc::clone(&lasting.usual_prompt),
             };
             let canary = self.canary(now, &service.name);
             services.insert(service.name.clone(), Service { canary, ..picture });
@@ -82,7 +82,7 @@
         let is_known = view.is_known();
         shared.view.store(Arc::new(view));
         if is_known {
-            shared.known.notify_waiters();
+            shared.view_ready.notify_waiters();
         }
     }
 }
--- a/bergamotshift-forward/src/control/rates.rs
+++ b/bergamotshift-forward/src/control/rates.rs
@@ -9,8 +9,8 @@
 use crate::endpoint::Endpoint;
 use crate::peers::Rate;
 use crate::peers::State;
+use crate::view::Origin;
 use crate::view::Shared;
-use crate::view::Source;
 
 /// How long the other entries are told that an endpoint names no rate any more: several rounds of telling.
 const TOLD: Duration = Duration::from_secs(3);
@@ -19,7 +19,7 @@
     /// Returns what endpoints said of their rates in answers to this entry.
     pub(super) fn told_rates(&self, now: Instant) -> Vec<Rate> {
         let rate = |endpoint: &Arc<Endpoint>| {
-            let word = endpoint.said.throttle.first_hand()?;
+            let word = endpoint.signals.throttle.first_hand()?;
             let is_told = word.rate.is_some() || now.since(word.at) < TOLD;
             is_told.then(|| Rate::new(endpoint, word, now))
         };
@@ -32,7 +32,7 @@
             let Some(endpoint) = self.directory.by_hash(told.endpoint) else {
                 continue;
             };
-            shared.hear_rate(now, endpoint, told.word(now), Source::Entry(state.entry.as_str()));
+            shared.apply_rate(now, endpoint, told.word(now), Origin::Entry(state.entry.as_str()));
         }
     }
 
--- a/bergamotshift-forward/src/control/rollouts.rs
+++ b/bergamotshift-forward/src/control/rollouts.rs
@@ -30,7 +30,7 @@
     /// What was last directed.
     pub directive: Option<Directive>,
     /// What its director sees.
-    pub sight: Sight,
+    pub observation: Sight,
 }
 
 impl Control {
@@ -41,7 +41,7 @@
 
     /// Returns how many endpoints of a service, leaving ones included, the platform started in each zone for a version that
     /// does not serve everybody.
-    pub fn foreign(&self, service: &name::Service) -> BTreeMap<name::Zone, u32> {
+    pub fn unstable_endpoints(&self, service: &name::Service) -> BTreeMap<name::Zone, u32> {
         let inner = self.inner.borrow();
         let mut zones = BTreeMap::new();
         let all = inner.directory.endpoints();
@@ -62,7 +62,7 @@
     }
 
     /// Puts in force, and tells all entries, what is to happen to a service's requests.
-    pub fn direct(&self, service: &name::Service, directive: Directive) {
+    pub fn apply_directive(&self, service: &name::Service, directive: Directive) {
         let now = self.now();
         let mut inner = self.inner.borrow_mut();
         let standing = inner.standings.get_mut(service);
@@ -184,7 +184,7 @@
         let orders: BTreeMap<_, _> = open
             .filter_map(|(service, standing)| Some((service.clone(), standing.last_order()?.number)))
             .collect();
-        shared.book.open(&orders);
+        shared.rollout_evidence.open(&orders);
         if orders.is_empty() {
             self.testimonies.clear();
         }
@@ -227,7 +227,7 @@
     fn rollout(&self, now: Instant, shared: &Shared, service: &name::Service, standing: &Standing) -> Option<Rollout> {
         let order = standing.last_order()?.clone();
         let mut evidence = Evidence::new(order.number);
-        let own = shared.book.evidence();
+        let own = shared.rollout_evidence.evidence();
         let all = self.testimonies.values().flatten().chain(&own);
         for (_, seen) in all.filter(|(of, _)| of == service) {
             evidence.add(seen);
@@ -236,7 +236,7 @@
         let slots = canary.iter().map(|endpoint| endpoint.registration.slots);
         Some(Rollout {
             directive: standing.directive().copied(),
-            sight: Sight {
+            observation: Sight {
                 age: standing.age(now),
                 evidence,
                 busy: stable.iter().map(|endpoint| endpoint.running()).sum(),
--- a/bergamotshift-forward/src/control/talk.rs
+++ b/bergamotshift-forward/src/control/talk.rs
@@ -9,7 +9,7 @@
 use super::inner::Inner;
 use super::inner::core_share;
 use crate::endpoint::Event;
-use crate::follow::Knowledge;
+use crate::follow::Freshness;
 use crate::limits::Keeper;
 use crate::observe::Topic;
 use crate::outside::Cursor;
@@ -21,7 +21,7 @@
 use crate::view::Shared;
 
 /// Returns how fresh something is known, in the form in which it is told.
-pub(super) fn told(knowledge: &Knowledge, now: Instant) -> Option<Known> {
+pub(super) fn told(knowledge: &Freshness, now: Instant) -> Option<Known> {
     knowledge.age(now).map(|age| Known {
         cursor: knowledge.cursor().0,
         age_ms: u32::try_from(age.as_millis()).unwrap_or(u32::MAX),
@@ -29,9 +29,9 @@
 }
 
 /// Takes in how fresh another entry knows something that it has in the same state.
-pub(super) fn learn(knowledge: &mut Knowledge, now: Instant, known: Option<Known>) {
+pub(super) fn learn(knowledge: &mut Freshness, now: Instant, known: Option<Known>) {
     if let Some(Known { cursor, age_ms }) = known {
-        knowledge.learn(now, Cursor(cursor), Duration::from_millis(age_ms.into()));
+        knowledge.confirm(now, Cursor(cursor), Duration::from_millis(age_ms.into()));
     }
 }
 
@@ -50,7 +50,7 @@
                 organisation.share.told()
             },
         });
-        let flown = self.directory.endpoints().map(|endpoint| endpoint.flown(keeps));
+        let flown = self.directory.endpoints().map(|endpoint| endpoint.in_flight(keeps));
         let (zones, members) = self.members.names(now);
         let reading = self
             .services
@@ -89,7 +89,7 @@
             suspicions: self.quarantine.suspicions(now),
             rates: self.told_rates(now),
             rollouts: self.told_rollouts(now),
-            evidence: shared.book.evidence(),
+            evidence: shared.rollout_evidence.evidence(),
             zones,
             members,
         }
--- a/bergamotshift-forward/src/control/zone.rs
+++ b/bergamotshift-forward/src/control/zone.rs
@@ -47,7 +47,7 @@
         let mut sums: HashMap<u64, (u32, u64)> = HashMap::new();
         for (entry, state) in self.members.heard(now, FRESH) {
             let is_near = state.zone == shared.settings.zone;
-            let counts = !is_large || (state.stage == Stage::Keeps) != is_near && !ledger.tells(entry);
+            let counts = !is_large || (state.stage == Stage::Keeps) != is_near && !ledger.contains(entry);
             for flown in state.flown.iter().filter(|_| counts) {
                 let sum = sums.entry(flown.endpoint).or_default();
                 sum.0 += flown.running;
@@ -56,7 +56,7 @@
         }
         let silent = self.silent_zones(now, shared);
         for endpoint in self.directory.endpoints() {
-            ledger.sum(endpoint);
+            ledger.apply_to(endpoint);
             endpoint.set_silent(silent.contains(&endpoint.registration.zone));
             let (running, unread) = sums.get(&endpoint.hash).copied().unwrap_or_default();
             endpoint.others.set(running, unread);
--- a/bergamotshift-forward/src/daemon/server.rs
+++ b/bergamotshift-forward/src/daemon/server.rs
@@ -111,7 +111,7 @@
         })
         .map_err(Error::Server)?
         .config("metrics", SharedCfg::new("metrics").add(config()));
-    let exchange = control.exchange();
+    let exchange = control.query_sender();
     let granting = Arc::clone(shared);
     builder = builder
         .listen("peers", listeners.peers, async move |_| {
--- a/bergamotshift-forward/src/duty/rollouts.rs
+++ b/bergamotshift-forward/src/duty/rollouts.rs
@@ -61,12 +61,12 @@
         let (Some(directed), Some(number)) = (self.directors.get_mut(service), self.number) else {
             return;
         };
-        let step = directed.director.look(shared.clock.now(), &rollout.sight);
+        let step = directed.director.look(shared.clock.now(), &rollout.observation);
         if step.cause.is_some() || directed.step.is_multiple_of(STEPS_LOGGED) {
             note(&shared, rollout, &step);
         }
         let directive = directed.directive(number, step.phase, step.share);
-        self.control.direct(service, directive);
+        self.control.apply_directive(service, directive);
         if directed.told == Some(step.state) {
             return;
         }
@@ -75,11 +75,11 @@
             .lease
             .within(self.operators.tell(rollout.order.clone(), step.state))
             .await;
-        self.control.called("rollout", told.as_ref().err());
+        self.control.record_call("rollout", told.as_ref().err());
         let Ok(state) = told else { return };
         info!(shared.log.always(), "rollout told"; "service" => service.as_str(),
             "to" => rollout.order.to.as_str(), "order" => rollout.order.number, "state" => ?state,
-            "age_ms" => rollout.sight.age.as_millis() as u64);
+            "age_ms" => rollout.observation.age.as_millis() as u64);
         let Some(directed) = self.directors.get_mut(service) else {
             return;
         };
@@ -87,14 +87,14 @@
         if state.is_final() {
             directed.director.settled(state);
             let directive = directed.directive(number, state.into(), 0);
-            self.control.direct(service, directive);
+            self.control.apply_directive(service, directive);
         }
     }
 }
 
 /// Logs the evidence by which an order is directed.
 fn note(shared: &crate::view::Shared, rollout: &Rollout, step: &Step) {
-    let sight = &rollout.sight;
+    let sight = &rollout.observation;
     let (stable, canary) = (sight.evidence.total(false), sight.evidence.total(true));
     info!(shared.log.always(), "rollout directed"; "service" => rollout.order.service.as_str(),
         "to" => rollout.order.to.as_str(), "order" => rollout.order.number,
--- a/bergamotshift-forward/src/duty/task.rs
+++ b/bergamotshift-forward/src/duty/task.rs
@@ -141,7 +141,7 @@
         if self.holder().is_some() {
             self.order().await;
         }
-        if let Some(word) = self.control.take_word() {
+        if let Some(word) = self.control.take_lease_notice() {
             self.lease.heard(word).await;
         }
         // Who holds the duties says so to all; only when nobody does, the first ones look at the lease.
@@ -154,7 +154,7 @@
         self.hand_over().await;
         // Failure: a holder that cannot reach the store goes on saying that it holds the duties. Symptom: nobody takes
         // them over, and nothing is reported. It says so only as long as it may act.
-        self.control.hold(self.holder().is_some(), self.lease.word());
+        self.control.set_duties(self.holder().is_some(), self.lease.word());
         if self.holder().is_some() {
             self.roll_out().await;
         }
@@ -226,7 +226,7 @@
         let word = number
             .filter(|_| self.is_answered)
             .map(|number| Word::GaveUp { number });
-        self.control.hold(false, word);
+        self.control.set_duties(false, word);
         let Some(number) = number else {
             return;
         };
@@ -336,13 +336,13 @@
                     Market::Reclaimable => here.reclaimable += 1,
                 }
             }
-            for (zone, count) in self.control.foreign(&service.name) {
+            for (zone, count) in self.control.unstable_endpoints(&service.name) {
                 present.entry(zone).or_default().foreign = count;
             }
             let now = shared.clock.now();
             let planner = self.planners.entry(service.name.clone());
             let planner = planner.or_insert_with(|| Planner::new(shared.settings.capacity));
-            let reading = self.control.reading(&service.name);
+            let reading = self.control.prompt_demand(&service.name);
             let orders = planner.plan(now, &service.name, scale, &present, reading);
             for order in orders {
                 self.place(order).await;
--- a/bergamotshift-forward/src/endpoint/directory.rs
+++ b/bergamotshift-forward/src/endpoint/directory.rs
@@ -28,7 +28,7 @@
     /// It was taken away.
     Removed(SmolStr),
     /// What stands there is no registration; somebody else wrote it, and it names no endpoint.
-    Unread {
+    Unreadable {
         /// The identifier under which it stands.
         id: SmolStr,
         /// Why it cannot be read.
@@ -88,7 +88,7 @@
                 for change in changes {
                     match change {
                         Change::Written(registration) => self.written(registration, &mut leaving),
-                        Change::Removed(id) | Change::Unread { id, .. } => self.removed(now, &id, &mut leaving),
+                        Change::Removed(id) | Change::Unreadable { id, .. } => self.removed(now, &id, &mut leaving),
                     }
                 }
             }
@@ -152,7 +152,11 @@
             Some(Ordering::Greater) => return,
             Some(Ordering::Less) => {
                 let ended = self.known.remove(&registration.id);
-                leaving.extend(ended.map(|known| known.endpoint).filter(|endpoint| endpoint.leave()));
+                leaving.extend(
+                    ended
+                        .map(|known| known.endpoint)
+                        .filter(|endpoint| endpoint.mark_leaving()),
+                );
             }
             Some(Ordering::Equal) | None => {}
         }
@@ -165,12 +169,12 @@
         known.lapsed = None;
         known.said |= leaves;
         if known.said {
-            if known.endpoint.leave() {
+            if known.endpoint.mark_leaving() {
                 leaving.push(Arc::clone(&known.endpoint));
             }
         } else if known.gone.take().is_some() {
             // It was only missing, because it or the store was cut off.
-            known.endpoint = Arc::new(known.endpoint.again(registration));
+            known.endpoint = Arc::new(known.endpoint.reregistered(registration));
         }
     }
 
@@ -189,7 +193,7 @@
             return;
         }
         known.gone = Some(now);
-        if known.endpoint.leave() {
+        if known.endpoint.mark_leaving() {
             leaving.push(Arc::clone(&known.endpoint));
         }
     }
@@ -202,7 +206,7 @@
         for known in self.known.values_mut() {
             if calm && known.lapsed.take().is_some() {
                 known.gone = Some(now);
-                if known.endpoint.leave() {
+                if known.endpoint.mark_leaving() {
                     leaving.push(Arc::clone(&known.endpoint));
                 }
             }
--- a/bergamotshift-forward/src/endpoint/health.rs
+++ b/bergamotshift-forward/src/endpoint/health.rs
@@ -36,7 +36,7 @@
 
 impl Health {
     /// Notes an answer that an endpoint in order gives.
-    pub fn succeeded(&self) {
+    pub fn record_success(&self) {
         self.unreachable.store(0, Relaxed);
         self.paused.set(Instant::ZERO);
         self.trouble
@@ -44,14 +44,14 @@
     }
 
     /// Notes a failure of a request that the endpoint had.
-    pub fn failed(&self) {
+    pub fn record_failure(&self) {
         self.trouble
             .update(Relaxed, Relaxed, |trouble| trouble + (WHOLE - trouble) / RISE);
     }
 
     /// Notes that the endpoint could not be reached, or went silent.
-    pub fn lost(&self, now: Instant) {
-        self.failed();
+    pub fn record_unreachable(&self, now: Instant) {
+        self.record_failure();
         let before = self.unreachable.fetch_add(1, Relaxed).min(8);
         let pause = FIRST_PAUSE.saturating_mul(1 << before).min(LONGEST_PAUSE);
         self.paused.set(now + pause);
@@ -63,7 +63,7 @@
     }
 
     /// Returns its share of failures lately, between 0 and 1.
-    pub fn trouble(&self) -> f64 {
+    pub fn failure_rate(&self) -> f64 {
         f64::from(self.trouble.load(Relaxed)) / f64::from(WHOLE)
     }
 }
--- a/bergamotshift-forward/src/endpoint/ledger.rs
+++ b/bergamotshift-forward/src/endpoint/ledger.rs
@@ -31,7 +31,7 @@
 
 impl Ledger {
     /// Takes in all that an entry has under way; returns the endpoints whose sums changed.
-    pub fn told(&mut self, now: Instant, entry: &name::Entry, flown: &[Flown]) -> Vec<u64> {
+    pub fn update(&mut self, now: Instant, entry: &name::Entry, flown: &[Flown]) -> Vec<u64> {
         let flown = flown.iter().map(|one| (one.endpoint, *one)).collect();
         let told = self.entries.entry(entry.clone()).or_default();
         told.at = now;
@@ -40,7 +40,7 @@
     }
 
     /// Counts a request that this entry placed for another one.
-    pub fn placed(&mut self, entry: &name::Entry, endpoint: u64, unread: u64) {
+    pub fn record_placement(&mut self, entry: &name::Entry, endpoint: u64, unread: u64) {
         let told = self.entries.entry(entry.clone()).or_default();
         let flown = told.flown.entry(endpoint).or_insert(Flown::at(endpoint));
         flown.running += 1;
@@ -48,7 +48,7 @@
     }
 
     /// Sets what an endpoint has under way by this entry's choice.
-    pub fn sum(&self, endpoint: &Endpoint) {
+    pub fn apply_to(&self, endpoint: &Endpoint) {
         let here = self.entries.values().filter_map(|told| told.flown.get(&endpoint.hash));
         let (running, unread) = here.fold((0, 0), |(running, unread), flown| {
             (running + flown.running, unread + flown.unread)
@@ -57,7 +57,7 @@
     }
 
     /// Returns whether an entry told lately.
-    pub fn tells(&self, entry: &name::Entry) -> bool {
+    pub fn contains(&self, entry: &name::Entry) -> bool {
         self.entries.contains_key(entry)
     }
 
--- a/bergamotshift-forward/src/endpoint/mod.rs
+++ b/bergamotshift-forward/src/endpoint/mod.rs
@@ -24,7 +24,7 @@
 pub use self::directory::Event;
 pub use self::health::Health;
 pub use self::ledger::Ledger;
-pub use self::said::Said;
+pub use self::said::Signals;
 use crate::peers::Flown;
 use crate::rollouts::Witness;
 
@@ -89,7 +89,7 @@
     /// How it fared lately.
     pub health: Health,
     /// What it said of itself in its answers; outlives a time in which it is not registered.
-    pub said: Arc<Said>,
+    pub signals: Arc<Signals>,
     leaving: AtomicBool,
     /// Whether nothing was heard from its zone just now.
     silent: AtomicBool,
@@ -106,16 +106,16 @@
             others: Flight::default(),
             placed: Flight::default(),
             health: Health::default(),
-            said: Arc::default(),
+            signals: Arc::default(),
             silent: AtomicBool::new(false),
         }
     }
 
     /// Makes it anew for the same incarnation, which was not registered for a time; what it said of itself stands.
     #[must_use]
-    pub fn again(&self, registration: Registration) -> Self {
+    pub fn reregistered(&self, registration: Registration) -> Self {
         Self {
-            said: Arc::clone(&self.said),
+            signals: Arc::clone(&self.signals),
             ..Self::new(registration)
         }
     }
@@ -132,7 +132,7 @@
 
     /// Returns whether it takes no new work; once true, it stays true for this incarnation.
     pub fn is_leaving(&self) -> bool {
-        self.is_withdrawn() || self.said.leaves()
+        self.is_withdrawn() || self.signals.is_leaving()
     }
 
     /// Returns whether it takes no new work by what is registered, which all entries come to know alike.
@@ -142,11 +142,13 @@
 
     /// Returns until when this entry sends it nothing; `None` when it may be sent something.
     pub fn closed_until(&self, now: Instant) -> Option<Instant> {
-        self.said.paused_until(now).max(self.said.throttle.closed_until(now))
+        self.signals
+            .paused_until(now)
+            .max(self.signals.throttle.closed_until(now))
     }
 
     /// Marks it as leaving by what is registered, and returns whether that is news.
-    pub fn leave(&self) -> bool {
+    pub fn mark_leaving(&self) -> bool {
         !self.leaving.swap(true, Relaxed)
     }
 
@@ -163,7 +165,7 @@
     }
 
     /// Returns what this entry has under way there, with what it placed for its zone if that is to count.
-    pub fn flown(&self, with_placed: bool) -> Flown {
+    pub fn in_flight(&self, with_placed: bool) -> Flown {
         let counted = [Some(&self.own), Some(&self.placed).filter(|_| with_placed)];
         let flights = counted.into_iter().flatten();
         flights.fold(Flown::at(self.hash), |flown, flight| Flown {
@@ -176,14 +178,14 @@
 
 /// Counts one request as under way at an endpoint until it is dropped.
 #[derive(Debug)]
-pub struct Seat {
+pub struct RequestGuard {
     endpoint: Arc<Endpoint>,
     unread: u64,
     /// Sees what comes of the request while two versions are compared.
     witness: Option<Witness>,
 }
 
-impl Seat {
+impl RequestGuard {
     /// Takes a seat for a request of which `unread` prompt tokens are to be read.
     pub fn take(endpoint: Arc<Endpoint>, unread: u64) -> Self {
         endpoint.own.running.fetch_add(1, Relaxed);
@@ -197,31 +199,31 @@
 
     /// Has a witness see what comes of the request.
     #[must_use]
-    pub fn watched(mut self, witness: Option<Witness>) -> Self {
+    pub fn with_witness(mut self, witness: Option<Witness>) -> Self {
         self.witness = witness;
         self
     }
 
     /// Notes that the answer came whole and tells no failure.
-    pub fn succeeded(&self) {
-        self.endpoint.health.succeeded();
+    pub fn record_success(&self) {
+        self.endpoint.health.record_success();
     }
 
     /// Notes that the answer tells a failure, broke off or cannot be used.
-    pub fn failed(&mut self) {
-        self.endpoint.health.failed();
-        self.testify();
+    pub fn record_failure(&mut self) {
+        self.endpoint.health.record_failure();
+        self.record_version_failure();
     }
 
     /// Notes a failure where the endpoint's health is noted elsewhere.
-    pub fn testify(&mut self) {
+    pub fn record_version_failure(&mut self) {
         if let Some(witness) = &mut self.witness {
             witness.failed();
         }
     }
 
     /// Notes that the answer began.
-    pub fn began(&mut self) {
+    pub fn record_start(&mut self) {
         if let Some(witness) = &mut self.witness {
             witness.began();
         }
@@ -233,8 +235,8 @@
     }
 
     /// Notes that the prompt was read: the first event has come; returns whether that is news.
-    pub fn read(&mut self) -> bool {
-        self.began();
+    pub fn mark_prompt_read(&mut self) -> bool {
+        self.record_start();
         self.take_unread() > 0
     }
 
@@ -246,7 +248,7 @@
     }
 }
 
-impl Drop for Seat {
+impl Drop for RequestGuard {
     fn drop(&mut self) {
         self.take_unread();
         self.endpoint.own.running.fetch_sub(1, Relaxed);
--- a/bergamotshift-forward/src/endpoint/said.rs
+++ b/bergamotshift-forward/src/endpoint/said.rs
@@ -9,7 +9,7 @@
 
 /// What one incarnation of an endpoint said of itself; no registration takes any of it back.
 #[derive(Debug, Default)]
-pub struct Said {
+pub struct Signals {
     /// The rate that it names.
     pub throttle: Throttle,
     leaves: AtomicBool,
@@ -17,19 +17,19 @@
     paused: Until,
 }
 
-impl Said {
+impl Signals {
     /// Returns whether it said that it leaves.
-    pub fn leaves(&self) -> bool {
+    pub fn is_leaving(&self) -> bool {
         self.leaves.load(Relaxed)
     }
 
     /// Notes that it said that it leaves, and returns whether that is news.
-    pub fn leave(&self) -> bool {
+    pub fn mark_leaving(&self) -> bool {
         !self.leaves.swap(true, Relaxed)
     }
 
     /// Notes until when it wants nothing from this entry; an earlier time takes nothing back.
-    pub fn pause(&self, until: Instant) {
+    pub fn pause_until(&self, until: Instant) {
         self.paused.extend(until);
     }
 
--- a/bergamotshift-forward/src/follow/document.rs
+++ b/bergamotshift-forward/src/follow/document.rs
@@ -7,7 +7,7 @@
 use slog::info;
 use tokio::time::sleep;
 
-use super::knowledge::pause;
+use super::knowledge::scale_pause;
 use crate::control::Control;
 use crate::observe::Topic;
 use crate::outside::Gap;
@@ -153,11 +153,11 @@
             _ => self.operators.written().await.map_err(Gap::Failed),
         };
         self.anew = result.is_err();
-        control.called("document", result.as_ref().err().and_then(failure));
+        control.record_call("document", result.as_ref().err().and_then(failure));
         match result {
             Ok((written, next)) => control.read_document(written, next),
             Err(Gap::Forgotten) => {}
-            Err(Gap::Failed(_)) => return pause(PAUSE, control.members()),
+            Err(Gap::Failed(_)) => return scale_pause(PAUSE, control.members()),
         }
         Duration::ZERO
     }
--- a/bergamotshift-forward/src/follow/knowledge.rs
+++ b/bergamotshift-forward/src/follow/knowledge.rs
@@ -21,18 +21,18 @@
 /// Failure: the store is away, and dozens of entries ask four times a second whether it is back. Symptom: half of a day's
 /// calls are made while it is away, and every call is paid for. With more entries each waits longer, so that together
 /// they ask as often; whoever has an answer first tells the others.
-pub fn pause(pause: Duration, members: usize) -> Duration {
+pub fn scale_pause(pause: Duration, members: usize) -> Duration {
     pause * u32::try_from(members.div_ceil(CALLERS)).unwrap_or(u32::MAX)
 }
 
 /// What is known as of some moment.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Knowledge {
+pub struct Freshness {
     cursor: Cursor,
     confirmed: Option<Instant>,
 }
 
-impl Knowledge {
+impl Freshness {
     /// Returns up to which change it is known.
     pub const fn cursor(&self) -> Cursor {
         self.cursor
@@ -44,7 +44,7 @@
     }
 
     /// Notes what somebody knew `age` ago; what is older than what is known already is passed over.
-    pub fn learn(&mut self, now: Instant, cursor: Cursor, age: Duration) {
+    pub fn confirm(&mut self, now: Instant, cursor: Cursor, age: Duration) {
         let at = now - age;
         if cursor >= self.cursor {
             self.cursor = cursor;
--- a/bergamotshift-forward/src/follow/members.rs
+++ b/bergamotshift-forward/src/follow/members.rs
@@ -16,7 +16,7 @@
 use slog::info;
 use smol_str::SmolStr;
 
-use super::knowledge::pause;
+use super::knowledge::scale_pause;
 use crate::control::Control;
 use crate::peers::Listed;
 
@@ -75,9 +75,9 @@
         control.shared().metrics.called("entries", read && written);
         if read && written {
             round += 1;
-            tokio::time::sleep(pause(WRITE, control.members())).await;
+            tokio::time::sleep(scale_pause(WRITE, control.members())).await;
         } else {
-            tokio::time::sleep(pause(PAUSE, control.members())).await;
+            tokio::time::sleep(scale_pause(PAUSE, control.members())).await;
         }
     }
 }
@@ -90,7 +90,7 @@
         at: control.shared().tally.today().as_secs(),
         zone: settings.zone.clone(),
         core_share: control.core_share(),
-        every: pause(WRITE, control.members()).as_secs(),
+        every: scale_pause(WRITE, control.members()).as_secs(),
         busy: control.busy(),
     };
     let Ok(body) = postcard::to_stdvec(&row) else {
--- a/bergamotshift-forward/src/follow/mod.rs
+++ b/bergamotshift-forward/src/follow/mod.rs
@@ -7,8 +7,8 @@
 mod registrations;
 
 pub use self::document::document;
-pub use self::knowledge::Knowledge;
-pub use self::knowledge::pause;
+pub use self::knowledge::Freshness;
+pub use self::knowledge::scale_pause;
 pub use self::members::members;
 pub use self::notes::notes;
 pub use self::registrations::registrations;
--- a/bergamotshift-forward/src/follow/registrations.rs
+++ b/bergamotshift-forward/src/follow/registrations.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 
 use super::document::failure;
-use super::knowledge::pause;
+use super::knowledge::scale_pause;
 use crate::control::Control;
 use crate::endpoint::Change;
 use crate::endpoint::Event;
@@ -34,7 +34,7 @@
             _ => (true, registry.registrations().await.map_err(Gap::Failed)),
         };
         anew = result.is_err();
-        control.called("registrations", result.as_ref().err().and_then(failure));
+        control.record_call("registrations", result.as_ref().err().and_then(failure));
         match result {
             Ok((changes, next)) => {
                 control.unread(&changes);
@@ -43,7 +43,7 @@
             Err(Gap::Forgotten) => {}
             Err(Gap::Failed(_)) => {
                 control.registrations_lost();
-                tokio::time::sleep(pause(PAUSE, control.members())).await;
+                tokio::time::sleep(scale_pause(PAUSE, control.members())).await;
             }
         }
     }
@@ -56,7 +56,7 @@
     }
     let written = changes.into_iter().filter_map(|change| match change {
         Change::Written(registration) => Some(registration),
-        Change::Removed(_) | Change::Unread { .. } => None,
+        Change::Removed(_) | Change::Unreadable { .. } => None,
     });
     Event::Listed(written.collect())
 }
--- a/bergamotshift-forward/src/peers/keep.rs
+++ b/bergamotshift-forward/src/peers/keep.rs
@@ -51,9 +51,9 @@
     let answer = decide(permits, &view, &question).await;
     if let Some(placed) = answer.placement {
         let mut ledger = shared.ledger();
-        ledger.placed(&question.entry, placed.endpoint, placed.unread);
+        ledger.record_placement(&question.entry, placed.endpoint, placed.unread);
         if let Some(endpoint) = view.endpoint(placed.endpoint) {
-            ledger.sum(endpoint);
+            ledger.apply_to(endpoint);
         }
     }
     match postcard::to_stdvec(&answer) {
@@ -85,9 +85,9 @@
 /// Takes in what an entry of the zone has under way.
 fn told(shared: &Shared, view: &View, now: Instant, entry: &name::Entry, flown: &[Flown]) {
     let mut ledger = shared.ledger();
-    let changed = ledger.told(now, entry, flown);
+    let changed = ledger.update(now, entry, flown);
     for endpoint in changed.into_iter().filter_map(|hash| view.endpoint(hash)) {
-        ledger.sum(endpoint);
+        ledger.apply_to(endpoint);
     }
 }
 
@@ -100,8 +100,8 @@
     let Some(accounts) = view.accounts.get(&units.organisation) else {
         return Ok(());
     };
-    accounts.kept.take_over(now, units.before);
-    accounts.kept.take(now, units.count)
+    accounts.zone.take_over(now, units.before);
+    accounts.zone.take(now, units.count)
 }
 
 /// Chooses an endpoint for a generation, to which it is granted where the endpoint names a rate; `None` when none takes
@@ -109,7 +109,7 @@
 pub async fn place(permits: &Permits, view: &View, generation: &Generation) -> Option<Placement> {
     for _ in 0..PLACES {
         let choice = choose(permits.shared(), view, generation)?;
-        let is_limited = choice.endpoint.said.throttle.rate().is_some();
+        let is_limited = choice.endpoint.signals.throttle.rate().is_some();
         if is_limited && !permits.ask(&choice.endpoint, "").await {
             continue;
         }
@@ -145,7 +145,7 @@
         tried: &generation.avoided,
         sources: &[],
     };
-    let canary = service.canary_of(generation.is_canary);
+    let canary = service.canary_for(generation.is_canary);
     let recall = shared.recall();
     let weights = choice::Settings::default();
     choice::among(&weights, shared.clock.now(), service, canary, &request, &recall)
--- a/bergamotshift-forward/src/peers/message.rs
+++ b/bergamotshift-forward/src/peers/message.rs
@@ -97,7 +97,7 @@
 impl Rate {
     /// Makes one of what is known of an endpoint.
     pub fn of(endpoint: &Endpoint, now: Instant) -> Self {
-        Self::new(endpoint, endpoint.said.throttle.word(), now)
+        Self::new(endpoint, endpoint.signals.throttle.word(), now)
     }
 
     /// Makes one of a word of an endpoint.
--- a/bergamotshift-forward/src/peers/permit.rs
+++ b/bergamotshift-forward/src/peers/permit.rs
@@ -23,8 +23,8 @@
 use crate::exchange::Pool;
 use crate::limits::granter;
 use crate::observe::Topic;
+use crate::view::Origin;
 use crate::view::Shared;
-use crate::view::Source;
 
 /// The path at which a permit is asked for.
 pub const PATH: &str = "/permit";
@@ -83,7 +83,7 @@
 
     /// Returns whether a request may be sent to an endpoint now; one that may not is left alone until it may.
     pub async fn ask(&self, endpoint: &Endpoint, request: &str) -> bool {
-        let Some(rate) = endpoint.said.throttle.rate() else {
+        let Some(rate) = endpoint.signals.throttle.rate() else {
             return true;
         };
         let granters = Arc::clone(&self.shared.view.load().granters);
@@ -98,11 +98,11 @@
             if let Some(address) = candidate.address {
                 let from = address.to_string();
                 self.shared
-                    .hear_rate(now, endpoint, verdict.rate.word(now), Source::Entry(&from));
+                    .apply_rate(now, endpoint, verdict.rate.word(now), Origin::Entry(&from));
             }
             if let Some(millis) = verdict.wait_ms {
                 endpoint
-                    .said
+                    .signals
                     .throttle
                     .close(now + Duration::from_millis(millis).max(SHORTEST));
             }
@@ -115,7 +115,7 @@
         } else {
             granter::PAUSE
         };
-        endpoint.said.throttle.close(now + pause);
+        endpoint.signals.throttle.close(now + pause);
         if let Some((logger, left_out)) = self.shared.log.room(now, Topic::Limit) {
             info!(logger, "nobody grants a permit"; "request" => request, "rate" => rate,
                 "endpoint" => endpoint.registration.id.as_str(), "entries" => granters.len(),
@@ -173,7 +173,7 @@
 
 /// Grants a request to an endpoint, or says when one can be granted.
 fn grant(now: Instant, endpoint: &Endpoint, cost: u64) -> Verdict {
-    let granted = endpoint.said.throttle.grant(now, cost);
+    let granted = endpoint.signals.throttle.grant(now, cost);
     Verdict {
         rate: Rate::of(endpoint, now),
         wait_ms: granted.err().map(|wait| wait.as_millis() as u64 + 1),
@@ -191,7 +191,7 @@
         return Response::new(StatusCode::CONFLICT);
     };
     let now = shared.clock.now();
-    shared.hear_rate(now, endpoint, rate.word(now), Source::Entry(entry.as_str()));
+    shared.apply_rate(now, endpoint, rate.word(now), Origin::Entry(entry.as_str()));
     match postcard::to_stdvec(&grant(now, endpoint, cost)) {
         Ok(bytes) => Response::build(StatusCode::OK).body(bytes),
         Err(_) => Response::new(StatusCode::INTERNAL_SERVER_ERROR),
--- a/bergamotshift-forward/src/peers/task.rs
+++ b/bergamotshift-forward/src/peers/task.rs
@@ -22,7 +22,7 @@
 use super::question::question;
 use super::rounds::Rounds;
 use crate::control::Control;
-use crate::control::Question;
+use crate::control::Query;
 use crate::exchange;
 use crate::exchange::Connection;
 use crate::exchange::Failure;
@@ -59,7 +59,7 @@
 /// Asks other entries for as long as the process lives.
 pub async fn run(control: Control) {
     let connections = RefCell::new(HashMap::new());
-    let Some(mut inbox) = control.take_inbox() else {
+    let Some(mut inbox) = control.take_queries() else {
         return;
     };
     let answering = control.clone();
@@ -67,8 +67,8 @@
         // Whoever asked may have gone meanwhile.
         while let Some(question) = inbox.recv().await {
             match question {
-                Question::Exchange { state, reply } => drop(reply.send(answering.asked(*state))),
-                Question::Document { version, reply } => drop(reply.send(answering.offer(version))),
+                Query::Exchange { state, reply } => drop(reply.send(answering.handle_state(*state))),
+                Query::Document { version, reply } => drop(reply.send(answering.offer(version))),
             }
         }
     });
@@ -79,7 +79,7 @@
         tokio::time::sleep(round.pause).await;
         control.tick();
         let mut due: Vec<(Option<name::Entry>, SocketAddr)> = control
-            .due(ASKED)
+            .due_peers(ASKED)
             .into_iter()
             .map(|(entry, address)| (Some(entry), address))
             .collect();
@@ -118,7 +118,7 @@
     let now = control.shared().clock.now();
     let took = now.since(began);
     match asked {
-        Ok(reply) => control.answered(reply),
+        Ok(reply) => control.handle_reply(reply),
         Err(error) => {
             if let Some((logger, left_out)) = control.shared().log.room(now, Topic::Peers) {
                 info!(logger, "entry not reached"; "address" => %address, "cause" => %error,
@@ -159,7 +159,7 @@
 }
 
 /// Answers another entry's question.
-pub async fn answer(control: &mpsc::UnboundedSender<Question>, mut request: Request) -> Response {
+pub async fn answer(control: &mpsc::UnboundedSender<Query>, mut request: Request) -> Response {
     if request.path() != PATH {
         return Response::new(StatusCode::NOT_FOUND);
     }
@@ -169,7 +169,7 @@
     };
     let (reply, answer) = oneshot::channel();
     let state = Box::new(state);
-    if control.send(Question::Exchange { state, reply }).is_err() {
+    if control.send(Query::Exchange { state, reply }).is_err() {
         return Response::new(StatusCode::SERVICE_UNAVAILABLE);
     }
     let Some(bytes) = answer.await.ok().and_then(|reply| postcard::to_stdvec(&reply).ok()) else {
--- a/bergamotshift-forward/src/peers/update.rs
+++ b/bergamotshift-forward/src/peers/update.rs
@@ -25,7 +25,7 @@
 
 use super::message::Known;
 use super::question::question;
-use crate::control::Question;
+use crate::control::Query;
 use crate::document::Difference;
 use crate::document::Document;
 use crate::document::Mismatch;
@@ -169,14 +169,14 @@
 }
 
 /// Answers an entry that lacks the newest document.
-pub async fn give(control: &mpsc::UnboundedSender<Question>, mut request: Request) -> Response {
+pub async fn give(control: &mpsc::UnboundedSender<Query>, mut request: Request) -> Response {
     let ask = match question::<Ask>(&mut request, LARGEST).await {
         Ok(ask) => ask,
         Err(status) => return Response::new(status),
     };
     let (reply, answer) = oneshot::channel();
     let version = ask.version;
-    if control.send(Question::Document { version, reply }).is_err() {
+    if control.send(Query::Document { version, reply }).is_err() {
         return Response::new(StatusCode::SERVICE_UNAVAILABLE);
     }
     match answer.await {
--- a/bergamotshift-forward/src/serve/active.rs
+++ b/bergamotshift-forward/src/serve/active.rs
@@ -30,6 +30,6 @@
     fn drop(&mut self) {
         self.shared.active.fetch_sub(1, Ordering::AcqRel);
         self.shared.metrics.active.dec();
-        self.shared.flown.notify_one();
+        self.shared.in_flight_changed.notify_one();
     }
 }
--- a/bergamotshift-forward/src/serve/attempt.rs
+++ b/bergamotshift-forward/src/serve/attempt.rs
@@ -20,7 +20,7 @@
 use crate::dialect::Envelope;
 use crate::dialect::Notice;
 use crate::document::Kind;
-use crate::endpoint::Seat;
+use crate::endpoint::RequestGuard;
 use crate::exchange;
 use crate::exchange::Answer;
 use crate::exchange::Connection;
@@ -96,7 +96,7 @@
 pub(super) struct Open {
     pub(super) answer: Answer,
     pub(super) connection: Connection,
-    pub(super) seat: Seat,
+    pub(super) seat: RequestGuard,
 }
 
 /// How one send ended, as long as no answer was taken.
@@ -189,7 +189,7 @@
         let endpoint = &choice.endpoint;
         let address = endpoint.registration.address;
         let expected = Sent::new(choice);
-        let mut seat = Seat::take(Arc::clone(endpoint), choice.unread);
+        let mut seat = RequestGuard::take(Arc::clone(endpoint), choice.unread);
         history.tried.push(endpoint.hash);
         let now = self.shared.clock.now();
         let idle = self.pool.borrow_mut().take(now, address);
@@ -206,14 +206,14 @@
         if left < SHORTEST {
             return Err(Missed::Unreachable);
         }
-        if endpoint.is_leaving() || endpoint.said.paused_until(now).is_some() {
+        if endpoint.is_leaving() || endpoint.signals.paused_until(now).is_some() {
             return Err(Missed::Withdrawn);
         }
         history.sends += 1;
         history.sent = Some(expected);
         self.shared.metrics.sends.inc();
         self.shared.recall().note(now, endpoint.hash, &job.ask.parts);
-        seat = seat.watched(self.witness(job, choice));
+        seat = seat.with_witness(self.witness(job, choice));
         let envelope = Envelope {
             expected: &endpoint.registration.id,
             organisation: job.organisation.as_ref(),
@@ -236,7 +236,7 @@
         let answer = match exchanged {
             Ok(answer) => answer,
             Err(failure) => {
-                seat.testify();
+                seat.record_version_failure();
                 return Err(Missed::Lost(failure));
             }
         };
@@ -270,7 +270,13 @@
             job.route.objective.as_secs_f64() * 1e3 * PLAIN
         };
         let route = xxh3_64(job.route.name.as_bytes()) as u32;
-        let witness = Witness::new(&self.shared.book, self.shared.clock, &job.service, canary.order, route);
+        let witness = Witness::new(
+            &self.shared.rollout_evidence,
+            self.shared.clock,
+            &job.service,
+            canary.order,
+            route,
+        );
         Some(witness.of(group, expected))
     }
 
@@ -282,24 +288,24 @@
         let Answer { status, headers, .. } = &open.answer;
         if *status == StatusCode::MISDIRECTED_REQUEST {
             // Another incarnation has the address, so this one is gone.
-            open.seat.endpoint().leave();
+            open.seat.endpoint().mark_leaving();
             return Err(Missed::Unrun);
         }
         if self.shared.dialect.says_not_run(headers) {
             if turned_away {
                 return Err(Missed::TurnedAway);
             }
-            open.seat.testify();
+            open.seat.record_version_failure();
             return Err(Missed::Unrun);
         }
         let sealed = self.shared.dialect.is_sealed(headers);
         if status.is_success() && (!sealed || headers.contains_key(header::CONTENT_ENCODING)) {
-            open.seat.testify();
+            open.seat.record_version_failure();
             return Err(Missed::Lost(Failure::Malformed("a success bears no seal")));
         }
         if status.is_server_error() {
             if !turned_away {
-                open.seat.failed();
+                open.seat.record_failure();
             }
             if job.route.kind == Kind::Idempotent {
                 return Err(Missed::Failed(Box::new(open)));
@@ -316,7 +322,7 @@
         let cause = match missed {
             Missed::Unrun => {
                 history.unrun += 1;
-                endpoint.health.failed();
+                endpoint.health.record_failure();
                 "the endpoint refused it unrun".to_owned()
             }
             Missed::TurnedAway => {
@@ -329,7 +335,7 @@
             }
             Missed::Unreachable => {
                 history.unreachable += 1;
-                endpoint.health.lost(now);
+                endpoint.health.record_unreachable(now);
                 "the endpoint cannot be reached".to_owned()
             }
             Missed::Failed(open) => {
@@ -338,7 +344,7 @@
                 cause
             }
             Missed::Lost(failure) => {
-                endpoint.health.failed();
+                endpoint.health.record_failure();
                 if matches!(failure, Failure::Broken(_)) {
                     let _ = self.shared.notes.send(Note::Broke {
                         endpoint: endpoint.hash,
--- a/bergamotshift-forward/src/serve/charge.rs
+++ b/bergamotshift-forward/src/serve/charge.rs
@@ -72,7 +72,7 @@
                 .map(|()| from(&accounts.own, units.count)),
             (Keeper::Own, accounts) => {
                 let granted = accounts.map_or(Ok(Admission::default()), |(accounts, units)| {
-                    peers::keep::grant(view, now, &units).map(|()| from(&accounts.kept, units.count))
+                    peers::keep::grant(view, now, &units).map(|()| from(&accounts.zone, units.count))
                 });
                 match (granted, generation()) {
                     (Ok(admission), Some(generation)) => Ok(Admission {
@@ -106,11 +106,11 @@
         return Vec::new();
     };
     let wants_nothing = |endpoint: &&Arc<Endpoint>| {
-        let is_told = endpoint.said.leaves() || endpoint.said.paused_until(now).is_some();
+        let is_told = endpoint.signals.is_leaving() || endpoint.signals.paused_until(now).is_some();
         is_told && !endpoint.is_withdrawn()
     };
     service
-        .all()
+        .all_endpoints()
         .filter(wants_nothing)
         .map(|endpoint| endpoint.hash)
         .collect()
--- a/bergamotshift-forward/src/serve/choose.rs
+++ b/bergamotshift-forward/src/serve/choose.rs
@@ -43,7 +43,9 @@
 /// Returns the endpoint that the zone's keeper chose, for the first try and as long as this entry knows nothing against it.
 fn placed(job: &Job, service: &Service, history: &History, now: Instant) -> Option<Candidate> {
     let placement = job.placement.filter(|_| history.tried.is_empty())?;
-    let endpoint = service.all().find(|endpoint| endpoint.hash == placement.endpoint)?;
+    let endpoint = service
+        .all_endpoints()
+        .find(|endpoint| endpoint.hash == placement.endpoint)?;
     if endpoint.is_leaving() || endpoint.health.is_paused(now) {
         return None;
     }
@@ -87,14 +89,14 @@
             let Candidate { choice, is_granted } = candidate;
             if is_granted || self.permits.ask(&choice.endpoint, &job.ask.id).await {
                 if history.tried.is_empty() {
-                    service.asked.fetch_add(choice.unread, Relaxed);
+                    service.requested_tokens.fetch_add(choice.unread, Relaxed);
                 }
                 return Ok(choice);
             }
             refused += 1;
             if refused == PERMITS {
                 let limited = self.staying(service);
-                let limited = limited.filter(|endpoint| endpoint.said.throttle.rate().is_some());
+                let limited = limited.filter(|endpoint| endpoint.signals.throttle.rate().is_some());
                 avoided.extend(limited.map(|endpoint| endpoint.hash));
             }
         }
@@ -105,7 +107,7 @@
         let is_stranded = self.shared.is_stranded();
         let zone = &self.shared.settings.zone;
         let reached = service
-            .all()
+            .all_endpoints()
             .filter(move |endpoint| !is_stranded || endpoint.registration.zone == *zone);
         reached.filter(|endpoint| !endpoint.is_leaving())
     }
@@ -122,7 +124,7 @@
     /// the first one may take more.
     fn closed(&self, now: Instant, service: &Service, history: &History) -> Refusal {
         let opens = |endpoint: &Arc<Endpoint>| {
-            let is_limited = endpoint.said.throttle.rate().is_some();
+            let is_limited = endpoint.signals.throttle.rate().is_some();
             endpoint.closed_until(now).or_else(|| is_limited.then_some(now))
         };
         let all_closed: Option<Vec<Instant>> = self.staying(service).map(opens).collect();
@@ -161,7 +163,7 @@
         }
         let placed = placed(job, service, history, now);
         // A repeat goes to the version in force.
-        let canary = service.canary_of(job.is_canary && history.tried.is_empty());
+        let canary = service.canary_for(job.is_canary && history.tried.is_empty());
         let candidate = placed.or_else(|| {
             let recall = self.shared.recall();
             let choice = choice::among(&self.weights, now, service, canary, &request, &recall)?;
--- a/bergamotshift-forward/src/serve/forwarder.rs
+++ b/bergamotshift-forward/src/serve/forwarder.rs
@@ -161,10 +161,10 @@
         let prompt = ask.size.map(|size| size.prompt);
         let picture = view.services.get(&service);
         if let (Some(picture), Some(prompt)) = (picture, prompt) {
-            picture.note_prompt(prompt);
+            picture.record_prompt(prompt);
         }
         let canary = picture.and_then(|service| service.canary.as_ref());
-        let is_canary = canary.is_some_and(|canary| canary.takes(&ask.id, prompt));
+        let is_canary = canary.is_some_and(|canary| canary.accepts(&ask.id, prompt));
         let admission = self
             .charge(&view, organisation, &service, &ask, is_canary, arrived)
             .await
@@ -203,7 +203,7 @@
     /// time. An entry that cannot read it refuses at once when the time to start is over. The same holds for the list of
     /// entries, which says what organisations may use at once: until then all bursts count as used up.
     async fn known(&self, ask: &Ask) -> Arc<View> {
-        let wakes = self.shared.known.notified();
+        let wakes = self.shared.view_ready.notified();
         let view = self.shared.view.load_full();
         if view.is_complete() {
             return view;
@@ -214,7 +214,7 @@
         let complete = async {
             wakes.await;
             while !self.shared.view.load().is_complete() {
-                self.shared.known.notified().await;
+                self.shared.view_ready.notified().await;
             }
         };
         // Whatever comes first, what is known by then decides.
@@ -239,7 +239,7 @@
         let bound = ask.time_left.unwrap_or(USUAL_TIME).mul_f64(WAITING_USED);
         let newer = async {
             loop {
-                let wakes = self.shared.known.notified();
+                let wakes = self.shared.view_ready.notified();
                 let view = self.shared.view.load_full();
                 if !is_refused(&view) {
                     return view;
--- a/bergamotshift-forward/src/serve/hear.rs
+++ b/bergamotshift-forward/src/serve/hear.rs
@@ -11,7 +11,7 @@
 use crate::dialect::Notice;
 use crate::exchange::Answer;
 use crate::observe::Topic;
-use crate::view::Source;
+use crate::view::Origin;
 
 impl Forwarder {
     /// Takes in what an answer to a request that was sent at `sent` says of its endpoint, and returns it.
@@ -25,12 +25,12 @@
         let is_own = self.shared.dialect.is_sealed(&answer.headers);
         let lifted = is_own.then(|| Word::lifted(sent));
         if let Some(word) = notice.rate.map(|rate| Word::named(rate, now)).or(lifted) {
-            let source = Source::Answer(&job.ask.id);
-            self.shared.hear_rate(now, &choice.endpoint, word, source);
+            let source = Origin::Answer(&job.ask.id);
+            self.shared.apply_rate(now, &choice.endpoint, word, source);
         }
-        let is_news = notice.leaves && choice.endpoint.said.leave();
+        let is_news = notice.leaves && choice.endpoint.signals.mark_leaving();
         if let Some(pause) = notice.pause {
-            choice.endpoint.said.pause(now + pause);
+            choice.endpoint.signals.pause_until(now + pause);
         }
         if is_news || notice.pause.is_some() {
             self.log_notice(now, job, choice, answer.status, notice);
--- a/bergamotshift-forward/src/serve/keeper.rs
+++ b/bergamotshift-forward/src/serve/keeper.rs
@@ -119,7 +119,7 @@
     /// Tells the keeper what work is under way, soon after it changed, for as long as the process lives.
     pub async fn tell(self: Rc<Self>) {
         loop {
-            self.shared.flown.notified().await;
+            self.shared.in_flight_changed.notified().await;
             let changed = self.shared.clock.now();
             tokio::time::sleep(GATHER).await;
             // A question that was asked meanwhile told it.
@@ -153,7 +153,7 @@
     /// Returns this entry's own work under way.
     fn flown(&self) -> Vec<peers::Flown> {
         let view = self.shared.view.load();
-        let flown = view.by_hash.values().map(|endpoint| endpoint.flown(false));
+        let flown = view.by_hash.values().map(|endpoint| endpoint.in_flight(false));
         flown.filter(|flown| flown.running > 0).collect()
     }
 
--- a/bergamotshift-forward/src/serve/stream.rs
+++ b/bergamotshift-forward/src/serve/stream.rs
@@ -26,7 +26,7 @@
 use super::job::Job;
 use super::refusal::Reason;
 use super::refusal::Refusal;
-use crate::endpoint::Seat;
+use crate::endpoint::RequestGuard;
 use crate::exchange;
 use crate::exchange::Connection;
 use crate::exchange::Events;
@@ -48,7 +48,7 @@
     connection: Option<Connection>,
     framing: exchange::Body,
     answer: HeaderMap,
-    seat: Seat,
+    seat: RequestGuard,
     events: Events,
     /// Counts the request as under way until the flow ends.
     _active: Active,
@@ -109,8 +109,8 @@
         loop {
             let failure = match self.receive().await {
                 Ok(Some(events)) => {
-                    if self.seat.read() {
-                        self.forwarder.shared.flown.notify_one();
+                    if self.seat.mark_prompt_read() {
+                        self.forwarder.shared.in_flight_changed.notify_one();
                     }
                     self.history.pace.note(self.forwarder.shared.clock.now());
                     return Ok(Some(events));
@@ -122,7 +122,7 @@
                 Ok(None) => Failure::Broken("it ended within an event".to_owned()),
                 Err(failure) => failure,
             };
-            self.seat.failed();
+            self.seat.record_failure();
             self.resume(failure).await?;
         }
     }
@@ -182,7 +182,7 @@
 
     /// Gives the connection back after a whole stream.
     fn ended(&mut self) {
-        self.seat.succeeded();
+        self.seat.record_success();
         let endpoint = self.seat.endpoint();
         if let Some(connection) = self.connection.take() {
             let address = endpoint.registration.address;
--- a/bergamotshift-forward/src/serve/whole.rs
+++ b/bergamotshift-forward/src/serve/whole.rs
@@ -88,9 +88,9 @@
         let read = timeout(left, reading).await.unwrap_or(Err(Failure::Silent));
         match read {
             Ok(()) => {
-                seat.began();
+                seat.record_start();
                 if !answer.status.is_server_error() {
-                    seat.succeeded();
+                    seat.record_success();
                 }
                 let address = seat.endpoint().registration.address;
                 let now = self.shared.clock.now();
@@ -102,7 +102,7 @@
                 })
             }
             Err(failure) => {
-                seat.failed();
+                seat.record_failure();
                 Err(failure)
             }
         }
--- a/bergamotshift-forward/src/view/mod.rs
+++ b/bergamotshift-forward/src/view/mod.rs
@@ -21,7 +21,7 @@
 use tokio::sync::mpsc::UnboundedSender;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-pub use self::rates::Source;
+pub use self::rates::Origin;
 use crate::choice::Recall;
 use crate::dialect::Dialect;
 use crate::document::Engine;
@@ -51,25 +51,25 @@
     /// Bounds repeated sends; outlives pictures.
     pub budget: Arc<Budget>,
     /// Prompt tokens that callers asked to have read; outlives pictures.
-    pub asked: Arc<AtomicU64>,
+    pub requested_tokens: Arc<AtomicU64>,
     /// Tokens of a usual prompt; outlives pictures.
-    pub usual_prompt: Arc<AtomicU64>,
+    pub typical_prompt: Arc<AtomicU64>,
 }
 
 impl Service {
     /// Returns the endpoints of all versions that take requests, leaving ones included.
-    pub fn all(&self) -> impl Iterator<Item = &Arc<Endpoint>> {
+    pub fn all_endpoints(&self) -> impl Iterator<Item = &Arc<Endpoint>> {
         let canary = self.canary.iter().flat_map(|canary| canary.endpoints.iter());
         self.endpoints.iter().chain(canary)
     }
 
     /// Returns the new version that a request goes to, if it belongs to its share or all requests go there.
-    pub fn canary_of(&self, is_canary: bool) -> Option<&Canary> {
+    pub fn canary_for(&self, is_canary: bool) -> Option<&Canary> {
         self.canary.as_ref().filter(|canary| is_canary || canary.is_whole())
     }
 
     /// Notes the size of a prompt.
-    pub fn note_prompt(&self, tokens: u32) {
+    pub fn record_prompt(&self, tokens: u32) {
         /// The part of the way to the newest size that the usual one goes.
         const PART: i64 = 16;
         let tokens = i64::from(tokens);
@@ -77,7 +77,7 @@
             let usual = usual as i64;
             (usual + (tokens - usual) / PART) as u64
         };
-        self.usual_prompt.update(Ordering::Relaxed, Ordering::Relaxed, turn);
+        self.typical_prompt.update(Ordering::Relaxed, Ordering::Relaxed, turn);
     }
 }
 
@@ -96,7 +96,7 @@
 
 impl Canary {
     /// Returns whether a request belongs to its share, whose prompt has so many tokens.
-    pub fn takes(&self, id: &str, prompt: Option<u32>) -> bool {
+    pub fn accepts(&self, id: &str, prompt: Option<u32>) -> bool {
         let place = xxh3_64_with_seed(id.as_bytes(), self.order) % u64::from(WHOLE);
         let is_small = self
             .largest
@@ -116,7 +116,7 @@
     /// This entry's share.
     pub own: Arc<Account>,
     /// What this entry grants to its zone, when it keeps that.
-    pub kept: Arc<Account>,
+    pub zone: Arc<Account>,
 }
 
 /// The immutable picture that requests are served from.
@@ -175,7 +175,7 @@
     /// The current picture.
     pub view: ArcSwap<View>,
     /// Wakes whoever waits for the first picture that requests can be served from.
-    pub known: Notify,
+    pub view_ready: Notify,
     /// When the process started.
     pub started: Instant,
     /// The clock.
@@ -191,9 +191,9 @@
     /// What the entries of the zone told this one as their keeper. Threads hold it for microseconds.
     pub ledger: Mutex<Ledger>,
     /// What this entry saw of the answers of two versions.
-    pub book: Arc<Book>,
+    pub rollout_evidence: Arc<Book>,
     /// Wakes whoever tells the keeper that work under way began or ended.
-    pub flown: Notify,
+    pub in_flight_changed: Notify,
     /// What requests tell the control thread.
     pub notes: UnboundedSender<Note>,
     /// Whether the entry is about to end.
@@ -205,7 +205,7 @@
     /// Whether the entry is cut off from endpoints that its callers need.
     pub stranded: AtomicBool,
     /// The newest version of the document that any entry is known to have.
-    pub newest: AtomicU64,
+    pub newest_document: AtomicU64,
     /// Whether this entry has lacked that for too long.
     pub late: AtomicBool,
     /// Requests under way.
@@ -239,7 +239,7 @@
     /// Returns whether another entry has a newer document than a picture.
     pub fn is_behind(&self, view: &View) -> bool {
         let version = view.table.as_ref().map_or(0, |table| table.document().version);
-        version < self.newest.load(Ordering::Acquire)
+        version < self.newest_document.load(Ordering::Acquire)
     }
 
     /// Returns whether this entry has lacked the newest document for too long.
--- a/bergamotshift-forward/src/view/rates.rs
+++ b/bergamotshift-forward/src/view/rates.rs
@@ -10,7 +10,7 @@
 
 /// Whose word it is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Source<'a> {
+pub enum Origin<'a> {
     /// The endpoint's own, in the answer to this request.
     Answer(&'a str),
     /// That of another entry, by its name or address.
@@ -19,15 +19,15 @@
 
 impl Shared {
     /// Takes in a word of an endpoint's rate, and logs it when it is news.
-    pub fn hear_rate(&self, now: Instant, endpoint: &Endpoint, word: Word, source: Source<'_>) {
-        let before = endpoint.said.throttle.rate();
-        let is_first_hand = matches!(source, Source::Answer(_));
-        if !endpoint.said.throttle.hear(word, is_first_hand) {
+    pub fn apply_rate(&self, now: Instant, endpoint: &Endpoint, word: Word, source: Origin<'_>) {
+        let before = endpoint.signals.throttle.rate();
+        let is_first_hand = matches!(source, Origin::Answer(_));
+        if !endpoint.signals.throttle.hear(word, is_first_hand) {
             return;
         }
         let (request, entry) = match source {
-            Source::Answer(request) => (Some(request), None),
-            Source::Entry(entry) => (None, Some(entry)),
+            Origin::Answer(request) => (Some(request), None),
+            Origin::Entry(entry) => (None, Some(entry)),
         };
         if let Some((logger, left_out)) = self.log.room(now, Topic::Belief) {
             info!(logger, "endpoint names its rate"; "endpoint" => endpoint.registration.id.as_str(),
--- a/bergamotshift-forward/tests/kernel/choice.rs
+++ b/bergamotshift-forward/tests/kernel/choice.rs
@@ -13,7 +13,7 @@
 use bergamotshift_forward::dialect::Size;
 use bergamotshift_forward::document::Engine;
 use bergamotshift_forward::endpoint::Endpoint;
-use bergamotshift_forward::endpoint::Seat;
+use bergamotshift_forward::endpoint::RequestGuard;
 
 use crate::support::at;
 use crate::support::registration;
@@ -82,7 +82,7 @@
     let endpoints = endpoints(8);
     let mut recall = Recall::default();
     recall.note(at(0), endpoints[5].hash, &ask().parts[..1]);
-    let _busy = Seat::take(Arc::clone(&endpoints[5]), 60_000);
+    let _busy = RequestGuard::take(Arc::clone(&endpoints[5]), 60_000);
     let choice = chosen(&endpoints, Some(ENGINE), &recall, &[]).expect("one of them");
     assert_ne!(choice.endpoint.hash, endpoints[5].hash);
     assert_eq!(choice.source, Some(endpoints[5].registration.address));
@@ -100,7 +100,7 @@
     let endpoints = endpoints(3);
     let mut recall = Recall::default();
     recall.note(at(0), endpoints[1].hash, &ask().parts[..1]);
-    endpoints[1].leave();
+    endpoints[1].mark_leaving();
     let choice = chosen(&endpoints, Some(ENGINE), &recall, &[]).expect("one of the others");
     assert_ne!(choice.endpoint.hash, endpoints[1].hash);
     assert_eq!(choice.source, Some(endpoints[1].registration.address));
@@ -109,7 +109,7 @@
 #[test]
 fn an_endpoint_that_was_lost_is_taken_only_when_no_other_is_left() {
     let endpoints = endpoints(2);
-    endpoints[0].health.lost(at(1_000));
+    endpoints[0].health.record_unreachable(at(1_000));
     let first = chosen(&endpoints, None, &Recall::default(), &[]).expect("the other one");
     assert_eq!(first.endpoint.hash, endpoints[1].hash);
     let second = chosen(&endpoints, None, &Recall::default(), &[endpoints[1].hash]).expect("the lost one");
@@ -121,12 +121,14 @@
     let endpoints = endpoints(2);
     for turn in 0..20 {
         if turn % 5 < 2 {
-            endpoints[0].health.failed();
+            endpoints[0].health.record_failure();
         } else {
-            endpoints[0].health.succeeded();
+            endpoints[0].health.record_success();
         }
     }
-    let _work: Vec<_> = (0..4).map(|_| Seat::take(Arc::clone(&endpoints[1]), 0)).collect();
+    let _work: Vec<_> = (0..4)
+        .map(|_| RequestGuard::take(Arc::clone(&endpoints[1]), 0))
+        .collect();
     let choice = chosen(&endpoints, None, &Recall::default(), &[]).expect("one of them");
     assert_eq!(choice.endpoint.hash, endpoints[1].hash);
 }
@@ -135,7 +137,7 @@
 fn nothing_is_chosen_when_all_leave() {
     let endpoints = endpoints(2);
     for endpoint in &endpoints {
-        endpoint.leave();
+        endpoint.mark_leaving();
     }
     assert!(chosen(&endpoints, None, &Recall::default(), &[]).is_none());
 }
@@ -197,7 +199,10 @@
     let recall = Recall::default();
     let chosen_first = chosen(&all, Some(ENGINE), &recall, &[]).expect("a near one");
     assert_ne!(chosen_first.endpoint.hash, far.hash);
-    let _busy: Vec<_> = near.iter().map(|one| Seat::take(Arc::clone(one), 100_000)).collect();
+    let _busy: Vec<_> = near
+        .iter()
+        .map(|one| RequestGuard::take(Arc::clone(one), 100_000))
+        .collect();
     let chosen_then = chosen(&all, Some(ENGINE), &recall, &[]).expect("the far one");
     assert_eq!(chosen_then.endpoint.hash, far.hash);
 }
--- a/bergamotshift-forward/tests/kernel/directory.rs
+++ b/bergamotshift-forward/tests/kernel/directory.rs
@@ -179,7 +179,7 @@
 #[test]
 fn what_cannot_be_read_names_no_endpoint() {
     let mut directory = directory(at(0));
-    let unread = Change::Unread {
+    let unread = Change::Unreadable {
         id: "a".into(),
         cause: Error::Unknown("no registration".to_owned()),
     };
@@ -190,7 +190,7 @@
 fn say_leaving(directory: &Directory, id: &str) {
     let mut endpoints = directory.endpoints();
     let endpoint = endpoints.find(|endpoint| endpoint.registration.id == id);
-    assert!(endpoint.expect("it is registered").said.leave());
+    assert!(endpoint.expect("it is registered").signals.mark_leaving());
 }
 
 /// Guards against a registration that is missing, returns as ready and undoes what the endpoint's answer said.
--- a/bergamotshift-forward/tests/kernel/growing.rs
+++ b/bergamotshift-forward/tests/kernel/growing.rs
@@ -40,7 +40,7 @@
         kept.set(at(0), Some(whole(KEEPER_USED)));
         let accounts = Accounts {
             own: Account::default().into(),
-            kept: kept.into(),
+            zone: kept.into(),
         };
         let own = (0..ENTRIES).map(|_| {
             let account = Account::default();
--- a/bergamotshift-forward/tests/kernel/ledger.rs
+++ b/bergamotshift-forward/tests/kernel/ledger.rs
@@ -32,7 +32,7 @@
 }
 
 fn sum(ledger: &Ledger, endpoint: &Endpoint) -> (u32, u64) {
-    ledger.sum(endpoint);
+    ledger.apply_to(endpoint);
     (endpoint.running(), endpoint.unread())
 }
 
@@ -43,15 +43,15 @@
     let endpoint = endpoint();
     let (one, two) = (name::Entry::new("entry-1"), name::Entry::new("entry-2"));
     let mut ledger = Ledger::default();
-    ledger.told(at(0), &one, &[]);
-    ledger.placed(&one, endpoint.hash, 900);
-    ledger.told(at(0), &two, &[flown(&endpoint, 1, 100)]);
-    ledger.placed(&two, endpoint.hash, 50);
+    ledger.update(at(0), &one, &[]);
+    ledger.record_placement(&one, endpoint.hash, 900);
+    ledger.update(at(0), &two, &[flown(&endpoint, 1, 100)]);
+    ledger.record_placement(&two, endpoint.hash, 50);
     assert_eq!(sum(&ledger, &endpoint), (3, 1_050));
-    let changed = ledger.told(at(100), &one, &[flown(&endpoint, 1, 0)]);
+    let changed = ledger.update(at(100), &one, &[flown(&endpoint, 1, 0)]);
     assert_eq!(changed, [endpoint.hash, endpoint.hash]);
     assert_eq!(sum(&ledger, &endpoint), (3, 150));
-    ledger.told(at(200), &two, &[]);
+    ledger.update(at(200), &two, &[]);
     assert_eq!(sum(&ledger, &endpoint), (1, 0));
 }
 
@@ -61,11 +61,11 @@
     let endpoint = endpoint();
     let entry = name::Entry::new("entry-1");
     let mut ledger = Ledger::default();
-    ledger.told(at(0), &entry, &[flown(&endpoint, 2, 5_000)]);
+    ledger.update(at(0), &entry, &[flown(&endpoint, 2, 5_000)]);
     ledger.expire(at(2_000));
-    assert!(ledger.tells(&entry));
+    assert!(ledger.contains(&entry));
     assert_eq!(sum(&ledger, &endpoint), (2, 5_000));
     ledger.expire(at(4_000));
-    assert!(!ledger.tells(&entry));
+    assert!(!ledger.contains(&entry));
     assert_eq!(sum(&ledger, &endpoint), (0, 0));
 }
