--- a/bergamotshift-forward/src/control/inner.rs
+++ b/bergamotshift-forward/src/control/inner.rs
@@ -27,7 +27,7 @@
 use crate::endpoint::Directory;
 use crate::endpoint::Endpoint;
 use crate::endpoint::Event;
-use crate::follow::Freshness;
+use crate::follow::Checkpoint;
 use crate::limits::Demand;
 use crate::limits::Keepers;
 use crate::limits::SharePolicy;
@@ -77,13 +77,13 @@
 #[derive(Debug)]
 pub(super) struct Inner {
     pub(super) document: Arc<Document>,
-    pub(super) document_known: Freshness,
+    pub(super) document_known: Checkpoint,
     /// Since when another entry has been known to have a newer document; `None` when none has.
     pub(super) behind: Option<Instant>,
     /// What others are given of the document.
     pub(super) copies: Copies,
     pub(super) directory: Directory,
-    pub(super) registrations_known: Freshness,
+    pub(super) registrations_known: Checkpoint,
     pub(super) organisations: BTreeMap<name::Organisation, Organisation>,
     pub(super) services: BTreeMap<name::Service, Lasting>,
     pub(super) members: Members,
@@ -129,11 +129,11 @@
         members.set_started(now);
         Self {
             document: Arc::default(),
-            document_known: Freshness::default(),
+            document_known: Checkpoint::default(),
             behind: None,
             copies: Copies::default(),
             directory: Directory::default(),
-            registrations_known: Freshness::default(),
+            registrations_known: Checkpoint::default(),
             organisations: BTreeMap::new(),
             services: BTreeMap::new(),
             members,
--- a/bergamotshift-forward/src/control/mod.rs
+++ b/bergamotshift-forward/src/control/mod.rs
@@ -278,7 +278,9 @@
         let now = self.now();
         let mut inner = self.inner.borrow_mut();
         let holder = inner.holder.as_ref().map(|holder| holder.entry.clone());
-        inner.members.set_urgent(self.shared.rollout_evidence.take_canary_failed());
+        inner
+            .members
+            .set_urgent(self.shared.rollout_evidence.take_canary_failed());
         inner.members.due(now, limit, holder.as_ref())
     }
 
--- a/bergamotshift-forward/src/control/talk.rs
+++ b/bergamotshift-forward/src/control/talk.rs
@@ -9,7 +9,7 @@
 use super::inner::Inner;
 use super::inner::core_share;
 use crate::endpoint::Event;
-use crate::follow::Freshness;
+use crate::follow::Checkpoint;
 use crate::limits::Keeper;
 use crate::observe::Topic;
 use crate::outside::Cursor;
@@ -21,7 +21,7 @@
 use crate::view::Shared;
 
 /// Returns how fresh something is known, in the form in which it is told.
-pub(super) fn told(knowledge: &Freshness, now: Instant) -> Option<Freshness> {
+pub(super) fn told(knowledge: &Checkpoint, now: Instant) -> Option<Freshness> {
     knowledge.age(now).map(|age| Freshness {
         cursor: knowledge.cursor().0,
         age_ms: u32::try_from(age.as_millis()).unwrap_or(u32::MAX),
@@ -29,7 +29,7 @@
 }
 
 /// Takes in how fresh another entry knows something that it has in the same state.
-pub(super) fn learn(knowledge: &mut Freshness, now: Instant, known: Option<Freshness>) {
+pub(super) fn learn(knowledge: &mut Checkpoint, now: Instant, known: Option<Freshness>) {
     if let Some(Freshness { cursor, age_ms }) = known {
         knowledge.confirm(now, Cursor(cursor), Duration::from_millis(age_ms.into()));
     }
--- a/bergamotshift-forward/src/follow/knowledge.rs
+++ b/bergamotshift-forward/src/follow/knowledge.rs
@@ -27,12 +27,12 @@
 
 /// What is known as of some moment.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Freshness {
+pub struct Checkpoint {
     cursor: Cursor,
     confirmed: Option<Instant>,
 }
 
-impl Freshness {
+impl Checkpoint {
     /// Returns up to which change it is known.
     pub const fn cursor(&self) -> Cursor {
         self.cursor
--- a/bergamotshift-forward/src/follow/mod.rs
+++ b/bergamotshift-forward/src/follow/mod.rs
@@ -7,7 +7,7 @@
 mod registrations;
 
 pub use self::document::document;
-pub use self::knowledge::Freshness;
+pub use self::knowledge::Checkpoint;
 pub use self::knowledge::scale_pause;
 pub use self::members::members;
 pub use self::notes::notes;
--- a/bergamotshift-forward/tests/kernel/knowledge.rs
+++ b/bergamotshift-forward/tests/kernel/knowledge.rs
@@ -2,7 +2,7 @@
 
 use core::time::Duration;
 
-use bergamotshift_forward::follow::Freshness;
+use bergamotshift_forward::follow::Checkpoint;
 use bergamotshift_forward::follow::scale_pause;
 use bergamotshift_forward::outside::Cursor;
 
@@ -12,12 +12,12 @@
 
 #[test]
 fn who_knows_nothing_asks_at_once() {
-    assert_eq!(Freshness::default().due(at(0), LOOK, 3), Duration::ZERO);
+    assert_eq!(Checkpoint::default().due(at(0), LOOK, 3), Duration::ZERO);
 }
 
 #[test]
 fn the_first_in_rank_asks_before_the_others() {
-    let mut knowledge = Freshness::default();
+    let mut knowledge = Checkpoint::default();
     knowledge.confirm(at(0), Cursor(7), Duration::ZERO);
     assert_eq!(knowledge.due(at(0), LOOK, 0), LOOK);
     assert!(knowledge.due(at(0), LOOK, 1) > LOOK);
@@ -28,7 +28,7 @@
 /// well inside the two seconds within which a change has to be in force.
 #[test]
 fn no_entry_waits_longer_than_a_second_and_a_half() {
-    let mut knowledge = Freshness::default();
+    let mut knowledge = Checkpoint::default();
     knowledge.confirm(at(0), Cursor(7), Duration::ZERO);
     let document = Duration::from_millis(800);
     assert!(knowledge.due(at(0), document, usize::MAX) <= Duration::from_millis(1_500));
@@ -36,7 +36,7 @@
 
 #[test]
 fn older_news_change_nothing() {
-    let mut knowledge = Freshness::default();
+    let mut knowledge = Checkpoint::default();
     knowledge.confirm(at(1_000), Cursor(7), Duration::ZERO);
     knowledge.confirm(at(1_000), Cursor(6), Duration::ZERO);
     knowledge.confirm(at(1_000), Cursor(7), Duration::from_millis(900));
