--- a/bergamotshift-rollout/src/detector.rs
+++ b/bergamotshift-rollout/src/detector.rs
@@ -1,9 +1,10 @@
-//! Tells a bad version from a sound one by what both answered over the same time.
+//! Detection of bad versions by comparing the answers of both versions over the same time.
 //!
 //! Each route has two sequential tests, one for failures and one for slow answers, and so have all routes together. A test
-//! adds up how much more likely each answer of the new version is if that is bad, and never falls below zero, so that a
-//! version that turns bad late is found as fast as one that is bad at once. What counts as usual is measured at the
-//! version in force over the same time and route: a fault from which both suffer condemns neither.
+//! accumulates the log-likelihood ratio between a bad and a good version over the answers of the new version. The sum never
+//! falls below zero (CUSUM), so that a version that turns bad late is found as fast as one that is bad from the start. The
+//! baseline is measured at the version in force over the same time and route, so that a fault that affects both versions
+//! does not count against the new one.
 
 use std::collections::BTreeMap;
 
@@ -12,149 +13,153 @@
 use crate::evidence::LATENCY_CLASSES;
 use crate::evidence::Tally;
 
-/// How much more likely what was seen has to be of a bad version than of a sound one, as a logarithm.
-const ODDS: f64 = 7.5;
+/// Log-likelihood ratio between a bad and a good version from which a version is rejected.
+const THRESHOLD: f64 = 7.5;
 
-/// What the answers of the version in force count for after each further look, and the newest of them.
-const FADE: f64 = 0.92;
-const FADE_NEWEST: f64 = 0.6;
+/// Factor by which the weight of older answers of the version in force decays at each update.
+const DECAY: f64 = 0.92;
 
-/// Answers of the version in force that are assumed before any was seen.
-const ASSUMED: f64 = 8.0;
+/// Decay factor for the estimate of the current failure rate.
+const RECENT_DECAY: f64 = 0.6;
 
-/// The failures that are assumed among those.
-const ASSUMED_BAD: f64 = 0.2;
+/// Number of answers of the version in force that are assumed in advance.
+const PRIOR_ANSWERS: f64 = 8.0;
 
-/// The part of failures that a sound version may have beyond those of the version in force.
-const FAILURES_SPARED: f64 = 0.03;
+/// Number of failures among the assumed answers.
+const PRIOR_FAILURES: f64 = 0.2;
 
-/// The part of all answers that a bad version fails at least, of those that the one in force does not fail.
-const FAILURES_BAD: f64 = 0.22;
+/// Failure rate tolerated in a good version beyond that of the version in force.
+const FAILURE_TOLERANCE: f64 = 0.03;
 
-/// The part of slow answers of a sound version, beyond those of the version in force; its caches are cold.
-const SLOW_SPARED: f64 = 0.15;
+/// Minimum failure rate of a bad version among the answers that a good version does not fail.
+const FAILURE_INCREASE: f64 = 0.22;
 
-/// The part of slow answers of a bad version.
-const SLOW_BAD: f64 = 0.6;
+/// Rate of slow answers tolerated in a good version beyond that of the version in force, because its caches are cold.
+const SLOW_TOLERANCE: f64 = 0.15;
 
-/// How many classes of pace an answer is slow beyond what nearly all answers of the version in force reach: twice as long.
-const SLOWER: usize = 2;
+/// Minimum rate of slow answers of a bad version.
+const SLOW_RATE: f64 = 0.6;
 
-/// The part of the answers of the version in force that are no slower than usual.
-const USUAL: f64 = 0.8;
+/// Number of latency classes above the baseline quantile from which an answer is slow, which is about twice the time.
+const SLOW_CLASSES: usize = 2;
 
-/// The part of the endpoints with answers that have to be bad: one endpoint that fails is no bad version.
-const WITNESSES: f64 = 0.5;
+/// Quantile of the latency of the version in force that serves as the baseline.
+const BASELINE_QUANTILE: f64 = 0.8;
 
-/// Answers of one endpoint from which on it counts as a witness.
-const HEARD: u32 = 4;
+/// Minimum fraction of the endpoints with answers that have to be bad, because one failing endpoint is not a bad version.
+const MIN_BAD_FRACTION: f64 = 0.5;
 
-/// What a version was found bad by.
+/// Number of answers from which an endpoint is taken into account.
+const MIN_ANSWERS: u32 = 4;
+
+/// Symptom by which a version was found bad.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Sign {
-    /// It fails more often.
+    /// The version fails more often.
     Failures,
-    /// It answers later.
+    /// The version answers more slowly.
     Slow,
 }
 
-/// Why a version was found bad.
+/// Cause of the rejection of a version.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Cause {
-    /// The sign.
+    /// Symptom of the fault.
     pub sign: Sign,
-    /// The route, by its hash; `None` for all together.
+    /// Hash of the route; `None` for all routes together.
     pub route: Option<u32>,
-    /// Answers of the new version that counted.
+    /// Number of answers of the new version in the test.
     pub answers: u32,
-    /// Those among them that were bad.
+    /// Number of bad answers among them.
     pub bad: u32,
-    /// The part that is usual at the version in force.
+    /// Rate of bad answers at the version in force.
     pub usual: f64,
 }
 
-/// A sequential test.
+/// Sequential test of the new version.
 #[derive(Clone, Copy, Debug, Default)]
 struct Test {
-    odds: f64,
+    /// Sum of the log-likelihood ratios.
+    log_likelihood_ratio: f64,
     answers: u32,
     bad: u32,
 }
 
 impl Test {
-    /// Takes answers in; `sound` and `faulty` are the parts of bad answers that the two kinds of versions give.
-    fn take(&mut self, good: u32, bad: u32, sound: f64, faulty: f64) {
-        self.odds += f64::from(bad) * (faulty / sound).ln();
-        self.odds += f64::from(good) * ((1.0 - faulty) / (1.0 - sound)).ln();
+    /// Adds answers; `sound` and `faulty` are the rates of bad answers of a good and of a bad version.
+    fn update(&mut self, good: u32, bad: u32, sound: f64, faulty: f64) {
+        self.log_likelihood_ratio += f64::from(bad) * (faulty / sound).ln();
+        self.log_likelihood_ratio += f64::from(good) * ((1.0 - faulty) / (1.0 - sound)).ln();
         self.answers += good + bad;
         self.bad += bad;
-        if self.odds <= 0.0 {
+        if self.log_likelihood_ratio <= 0.0 {
             *self = Self::default();
         }
     }
 }
 
-/// What is usual at the version in force, with the older answers faded.
+/// Answers of the version in force, with decaying weights.
 #[derive(Clone, Copy, Debug, Default)]
-struct Usual {
+struct Baseline {
     ended: f64,
     bad: f64,
     latencies: [f64; LATENCY_CLASSES],
-    /// The newest answers alone, and the failures among them.
-    newest: f64,
-    newest_bad: f64,
+    /// Answers with the faster decay, and the failures among them.
+    recent: f64,
+    recent_bad: f64,
 }
 
-impl Usual {
-    fn take(&mut self, seen: &Tally) {
-        self.ended = self.ended * FADE + f64::from(seen.ended());
-        self.bad = self.bad * FADE + f64::from(seen.bad);
-        self.newest = self.newest * FADE_NEWEST + f64::from(seen.ended());
-        self.newest_bad = self.newest_bad * FADE_NEWEST + f64::from(seen.bad);
-        for (own, seen) in self.latencies.iter_mut().zip(seen.latencies) {
-            *own = *own * FADE + f64::from(seen);
+impl Baseline {
+    /// Adds the answers since the last update.
+    fn update(&mut self, answers: &Tally) {
+        self.ended = self.ended * DECAY + f64::from(answers.ended());
+        self.bad = self.bad * DECAY + f64::from(answers.bad);
+        self.recent = self.recent * RECENT_DECAY + f64::from(answers.ended());
+        self.recent_bad = self.recent_bad * RECENT_DECAY + f64::from(answers.bad);
+        for (own, added) in self.latencies.iter_mut().zip(answers.latencies) {
+            *own = *own * DECAY + f64::from(added);
         }
     }
 
-    /// Returns the part of its answers that fail, lately or just now.
+    /// Returns the failure rate: the greater of the rate over the last seconds and the current rate.
     ///
-    /// Failure: both versions begin to fail, and what was usual in the last seconds stands for what is usual now. Symptom: a
-    /// sound version is condemned for a fault from which both suffer.
+    /// When both versions begin to fail, the rate over the last seconds is too low, and a good version would be rejected for
+    /// a fault that affects both.
     fn failures(&self) -> f64 {
-        let lately = (self.bad + ASSUMED_BAD) / (self.ended + ASSUMED);
-        let now = (self.newest_bad + ASSUMED_BAD) / (self.newest + ASSUMED);
-        lately.max(now)
+        let average = (self.bad + PRIOR_FAILURES) / (self.ended + PRIOR_ANSWERS);
+        let current = (self.recent_bad + PRIOR_FAILURES) / (self.recent + PRIOR_ANSWERS);
+        average.max(current)
     }
 
-    /// Returns the first class of pace that is slow; `None` before enough answers were seen.
+    /// Returns the first latency class that is slow; `None` before there are enough answers.
     fn slow_from(&self) -> Option<usize> {
         let total: f64 = self.latencies.iter().sum();
-        if total < ASSUMED {
+        if total < PRIOR_ANSWERS {
             return None;
         }
         let mut sum = 0.0;
-        let usual = self.latencies.iter().position(|count| {
+        let baseline = self.latencies.iter().position(|count| {
             sum += count;
-            sum >= total * USUAL
+            sum >= total * BASELINE_QUANTILE
         });
-        usual.map(|usual| usual + SLOWER)
+        baseline.map(|class| class + SLOW_CLASSES)
     }
 
-    /// Returns the part of its answers that are in a class or a slower one.
-    fn beyond(&self, class: usize) -> f64 {
+    /// Returns the fraction of the answers in a latency class or a slower one.
+    fn slow_rate(&self, class: usize) -> f64 {
         let slow: f64 = self.latencies.iter().skip(class).sum();
         slow / self.latencies.iter().sum::<f64>().max(1.0)
     }
 }
 
-/// What came since the last look.
+/// Answers since the last update.
 #[derive(Clone, Debug, Default)]
-struct News {
+struct Increment {
     stable: Tally,
     canary: BTreeMap<u8, Tally>,
 }
 
-impl News {
+impl Increment {
     fn add(&mut self, group: Group, tally: &Tally) {
         match group {
             Group::Stable => self.stable.add(tally),
@@ -163,65 +168,71 @@
     }
 }
 
-/// What is kept of a route, or of all together.
+/// Comparison of both versions on one route, or on all routes together.
 #[derive(Clone, Debug, Default)]
-struct Track {
-    usual: Usual,
+struct Comparison {
+    baseline: Baseline,
     failures: Test,
     slow: Test,
-    /// The answers of each group of endpoints of the new version that count in the tests now.
+    /// Answers in the current tests, by group of endpoints of the new version.
     endpoints: BTreeMap<u8, Tally>,
 }
 
-impl Track {
-    fn take(&mut self, route: Option<u32>, news: &News) -> Option<Cause> {
-        self.usual.take(&news.stable);
+impl Comparison {
+    /// Adds the answers since the last update and returns why the new version is bad, if it is.
+    fn update(&mut self, route: Option<u32>, answers: &Increment) -> Option<Cause> {
+        self.baseline.update(&answers.stable);
         let mut total = Tally::default();
-        for (group, tally) in &news.canary {
+        for (group, tally) in &answers.canary {
             self.endpoints.entry(*group).or_default().add(tally);
             total.add(tally);
         }
-        let found = self.failing(route, &total).or_else(|| self.slowing(route, &total));
-        self.settle();
+        let found = self
+            .test_failures(route, &total)
+            .or_else(|| self.test_latencies(route, &total));
+        self.clear_unsuspected();
         found
     }
 
-    fn failing(&mut self, route: Option<u32>, seen: &Tally) -> Option<Cause> {
-        let usual = self.usual.failures();
-        let sound = (usual * 1.5 + FAILURES_SPARED).min(0.6);
-        let faulty = sound + (1.0 - sound) * FAILURES_BAD;
-        self.failures.take(seen.good, seen.bad, sound, faulty);
-        let is_witness = |tally: &Tally| f64::from(tally.bad) > f64::from(tally.ended()) * sound;
-        let heard = |tally: &Tally| tally.ended() >= HEARD || tally.bad > 1;
-        let found = self.failures.odds >= ODDS && self.agree(heard, is_witness);
+    /// Tests whether the new version fails too often.
+    fn test_failures(&mut self, route: Option<u32>, answers: &Tally) -> Option<Cause> {
+        let usual = self.baseline.failures();
+        let sound = (usual * 1.5 + FAILURE_TOLERANCE).min(0.6);
+        let faulty = sound + (1.0 - sound) * FAILURE_INCREASE;
+        self.failures.update(answers.good, answers.bad, sound, faulty);
+        let is_bad = |tally: &Tally| f64::from(tally.bad) > f64::from(tally.ended()) * sound;
+        let is_known = |tally: &Tally| tally.ended() >= MIN_ANSWERS || tally.bad > 1;
+        let found = self.failures.log_likelihood_ratio >= THRESHOLD && self.has_enough_bad(is_known, is_bad);
         found.then(|| cause(Sign::Failures, route, self.failures, usual))
     }
 
-    fn slowing(&mut self, route: Option<u32>, seen: &Tally) -> Option<Cause> {
-        let from = self.usual.slow_from()?;
-        let usual = self.usual.beyond(from);
-        let sound = (usual * 1.5 + SLOW_SPARED).min(0.5);
-        let faulty = SLOW_BAD.max(sound + 0.2);
-        let (quick, slow) = seen.latencies.split_at(from.min(LATENCY_CLASSES));
-        self.slow.take(quick.iter().sum(), slow.iter().sum(), sound, faulty);
+    /// Tests whether the new version answers too slowly.
+    fn test_latencies(&mut self, route: Option<u32>, answers: &Tally) -> Option<Cause> {
+        let from = self.baseline.slow_from()?;
+        let usual = self.baseline.slow_rate(from);
+        let sound = (usual * 1.5 + SLOW_TOLERANCE).min(0.5);
+        let faulty = SLOW_RATE.max(sound + 0.2);
+        let (quick, slow) = answers.latencies.split_at(from.min(LATENCY_CLASSES));
+        self.slow.update(quick.iter().sum(), slow.iter().sum(), sound, faulty);
         let began = |tally: &Tally| tally.latencies.iter().sum::<u32>();
         let late = |tally: &Tally| tally.latencies.iter().skip(from).sum::<u32>();
-        let is_witness = |tally: &Tally| f64::from(late(tally)) > f64::from(began(tally)) * sound;
-        let found = self.slow.odds >= ODDS && self.agree(|tally| began(tally) >= HEARD, is_witness);
+        let is_bad = |tally: &Tally| f64::from(late(tally)) > f64::from(began(tally)) * sound;
+        let found = self.slow.log_likelihood_ratio >= THRESHOLD
+            && self.has_enough_bad(|tally| began(tally) >= MIN_ANSWERS, is_bad);
         found.then(|| cause(Sign::Slow, route, self.slow, usual))
     }
 
-    /// Returns whether enough of the endpoints with answers are bad.
-    fn agree(&self, heard: impl Fn(&Tally) -> bool, is_witness: impl Fn(&Tally) -> bool) -> bool {
-        let heard = || self.endpoints.values().filter(|tally| heard(tally));
-        let all = heard().count();
-        let bad = heard().filter(|tally| is_witness(tally)).count();
-        all > 0 && bad as f64 >= all as f64 * WITNESSES && (bad > 1 || all == 1)
+    /// Returns whether enough of the known groups of endpoints are bad.
+    fn has_enough_bad(&self, is_known: impl Fn(&Tally) -> bool, is_bad: impl Fn(&Tally) -> bool) -> bool {
+        let known = || self.endpoints.values().filter(|tally| is_known(tally));
+        let all = known().count();
+        let bad = known().filter(|tally| is_bad(tally)).count();
+        all > 0 && bad as f64 >= all as f64 * MIN_BAD_FRACTION && (bad > 1 || all == 1)
     }
 
-    /// Forgets which endpoints answered while no test suspects the version.
-    fn settle(&mut self) {
-        if self.failures.odds <= 0.0 && self.slow.odds <= 0.0 {
+    /// Clears the answers by endpoint if no test suspects the version.
+    fn clear_unsuspected(&mut self) {
+        if self.failures.log_likelihood_ratio <= 0.0 && self.slow.log_likelihood_ratio <= 0.0 {
             self.endpoints.clear();
         }
     }
@@ -237,40 +248,44 @@
     }
 }
 
-/// Tells a bad version from a sound one.
+/// Detector of bad versions, updated with all evidence so far.
 #[derive(Clone, Debug, Default)]
 pub struct Detector {
-    seen: Evidence,
-    routes: BTreeMap<u32, Track>,
-    all: Track,
+    /// Evidence at the last update.
+    previous: Evidence,
+    routes: BTreeMap<u32, Comparison>,
+    /// Comparison over all routes.
+    all: Comparison,
 }
 
 impl Detector {
-    /// Forgets who answered so far, since other endpoints are looked at from now on.
+    /// Restarts the tests, because other endpoints are tested from now on; the baselines stay.
     pub fn reset_tests(&mut self) {
-        for track in self.routes.values_mut().chain([&mut self.all]) {
-            track.failures = Test::default();
-            track.slow = Test::default();
-            track.endpoints.clear();
+        for comparison in self.routes.values_mut().chain([&mut self.all]) {
+            comparison.failures = Test::default();
+            comparison.slow = Test::default();
+            comparison.endpoints.clear();
         }
     }
 
-    /// Takes in all evidence so far, of which it has seen a part before; returns why the new version is bad, if it is.
+    /// Adds the evidence since the last update and returns why the new version is bad, if it is.
+    ///
+    /// `evidence` is all the evidence so far.
     pub fn update(&mut self, evidence: &Evidence) -> Option<Cause> {
-        let mut routes: BTreeMap<u32, News> = BTreeMap::new();
-        let mut all = News::default();
+        let mut routes: BTreeMap<u32, Increment> = BTreeMap::new();
+        let mut all = Increment::default();
         for (&(route, group), tally) in &evidence.tallies {
-            let before = self.seen.tallies.get(&(route, group)).copied().unwrap_or_default();
-            let news = tally.since(&before);
-            routes.entry(route).or_default().add(group, &news);
-            all.add(group, &news);
+            let before = self.previous.tallies.get(&(route, group)).copied().unwrap_or_default();
+            let added = tally.since(&before);
+            routes.entry(route).or_default().add(group, &added);
+            all.add(group, &added);
         }
-        self.seen = evidence.clone();
+        self.previous = evidence.clone();
         let mut found = None;
-        for (route, news) in &routes {
-            let track = self.routes.entry(*route).or_default();
-            found = found.or(track.take(Some(*route), news));
+        for (route, answers) in &routes {
+            let comparison = self.routes.entry(*route).or_default();
+            found = found.or(comparison.update(Some(*route), answers));
         }
-        found.or(self.all.take(None, &all))
+        found.or(self.all.update(None, &all))
     }
 }
--- a/bergamotshift-rollout/src/directive.rs
+++ b/bergamotshift-rollout/src/directive.rs
@@ -1,33 +1,33 @@
-//! What the holder of the duties tells all entries of an order.
+//! Directives of the duty holder to all entries.
 
 use serde::Deserialize;
 use serde::Serialize;
 
 use crate::order::State;
 
-/// A whole share, in thousandths.
+/// Share of all requests, in thousandths.
 pub const FULL_SHARE: u16 = 1_000;
 
-/// What happens to the requests of a service while an order stands.
+/// Phase of a rollout, which determines where the requests of a service go.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub enum Phase {
-    /// A bounded share goes to the new version, and both versions' answers are compared.
+    /// A bounded share of the requests goes to the new version, and the answers of both versions are compared.
     Canary,
-    /// One endpoint of the new version is loaded, by a share of the small requests, up to half of its places and more.
+    /// A share of the small requests loads one endpoint of the new version to more than half of its slots.
     Stress,
-    /// The new version is taken for sound, and requests move to it.
+    /// The new version is accepted, and requests move to it in steps.
     Shifting,
-    /// The new version is taken for bad and gets nothing; the operators have not been told yet.
+    /// The new version is rejected and gets no requests; this has not been reported to the operators yet.
     Halted,
-    /// The operators were told that the order is completed.
+    /// The order is completed, and this has been reported to the operators.
     Completed,
-    /// The operators were told that the order is rolled back.
+    /// The order is rolled back, and this has been reported to the operators.
     RolledBack,
 }
 
 impl Phase {
-    /// Returns whether the phase never changes again.
+    /// Returns whether the phase is final.
     pub const fn is_final(self) -> bool {
         matches!(self, Self::Completed | Self::RolledBack)
     }
@@ -43,26 +43,26 @@
     }
 }
 
-/// What the holder of the duties tells all entries of an order.
+/// Directive of the duty holder to all entries about one order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Directive {
-    /// The number of the order.
+    /// Number of the order.
     pub order: u64,
-    /// The fencing number under which the holder holds the duties; 0 for what was read from the operators' status.
+    /// Fencing number of the duty holder; 0 for a state read from the operators' status.
     pub term: u64,
-    /// Grows with each directive of a holder.
+    /// Sequence number, which increases with each directive of a duty holder.
     pub step: u64,
-    /// What happens to the requests.
+    /// Phase of the rollout.
     pub phase: Phase,
-    /// The part of the requests that goes to the new version, in thousandths.
+    /// Share of the requests that goes to the new version, in thousandths.
     pub share: u16,
 }
 
 impl Directive {
-    /// Returns whether this one takes the place of another.
+    /// Returns whether this directive replaces another one.
     pub fn replaces(&self, other: &Self) -> bool {
-        let key = |one: &Self| (one.order, one.phase.is_final(), one.term, one.step);
-        key(self) > key(other)
+        let rank = |one: &Self| (one.order, one.phase.is_final(), one.term, one.step);
+        rank(self) > rank(other)
     }
 }
--- a/bergamotshift-rollout/src/evidence.rs
+++ b/bergamotshift-rollout/src/evidence.rs
@@ -1,82 +1,82 @@
-//! What the endpoints of two versions answered.
+//! Counts of the answers of both versions.
 
 use std::collections::BTreeMap;
 
 use serde::Deserialize;
 use serde::Serialize;
 
-/// How many classes of pace are told apart.
+/// Number of latency classes.
 pub const LATENCY_CLASSES: usize = 12;
 
-/// How many groups the endpoints of a new version are counted in.
-const CANARIES: u64 = 16;
+/// Number of groups in which the endpoints of a new version are counted.
+const CANARY_GROUPS: u64 = 16;
 
-/// Each class of pace reaches this many times as far as the one before.
-const STEP: f64 = 1.5;
+/// Ratio between the upper bounds of two successive latency classes.
+const CLASS_RATIO: f64 = 1.5;
 
-/// Where the first class ends, in times of what was expected.
-const FIRST: f64 = 0.25;
+/// Upper bound of the first latency class, as a multiple of the expected time.
+const FIRST_CLASS_BOUND: f64 = 0.25;
 
-/// Whose answers are counted together.
+/// Group of endpoints whose answers are counted together.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 #[derive(Serialize, Deserialize)]
 pub enum Group {
     /// All endpoints of the version in force.
     Stable,
-    /// A few endpoints of the new version, by a part of their hashes.
+    /// Some endpoints of the new version, by hash.
     Canary(u8),
 }
 
 impl Group {
     /// Returns the group of an endpoint of the new version.
     ///
-    /// Failure: each endpoint is counted by itself, and entries tell each other thousands of figures once all requests move.
-    /// Symptom: what they tell fills the links of small VMs. A canary has few endpoints, so few share a group.
+    /// If each endpoint were counted separately, entries would exchange thousands of figures once all requests move, which
+    /// would fill the links of small VMs. A canary has few endpoints, so few of them share a group.
     pub const fn canary(hash: u64) -> Self {
-        Self::Canary((hash % CANARIES) as u8)
+        Self::Canary((hash % CANARY_GROUPS) as u8)
     }
 }
 
-/// Something that was seen of an answer.
+/// Observation about an answer.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Answer {
-    /// It came whole, and tells no failure.
+    /// The answer was complete and reported no failure.
     Good,
-    /// It tells a failure, broke off or cannot be used.
+    /// The answer reported a failure, was incomplete or was unusable.
     Bad,
-    /// It began after this many times the expected time.
+    /// The answer began after this multiple of the expected time.
     Latency(f64),
 }
 
-/// Answers by what was seen of them.
+/// Counts of answers by observation.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Tally {
-    /// Answers that came whole.
+    /// Complete answers without a failure.
     pub good: u32,
-    /// Failures.
+    /// Failed, incomplete or unusable answers.
     pub bad: u32,
-    /// Answers that began, by their class of pace.
+    /// Answers that began, by latency class.
     #[serde(rename = "paces")]
     pub latencies: [u32; LATENCY_CLASSES],
 }
 
 impl Tally {
-    /// Counts an answer.
+    /// Counts an observation.
     pub fn record(&mut self, answer: Answer) {
         match answer {
             Answer::Good => self.good += 1,
             Answer::Bad => self.bad += 1,
-            Answer::Latency(times) => self.latencies[class(times)] += 1,
+            Answer::Latency(ratio) => self.latencies[latency_class(ratio)] += 1,
         }
     }
 
-    /// Returns how many answers ended.
+    /// Returns the number of answers that ended.
     pub const fn ended(&self) -> u32 {
         self.good + self.bad
     }
 
-    /// Returns how many answers began, or failed before.
+    /// Returns the number of answers that began or failed before they began.
     pub fn began(&self) -> u32 {
         let began: u32 = self.latencies.iter().sum();
         began.max(self.ended())
@@ -91,7 +91,7 @@
         }
     }
 
-    /// Returns what came since an earlier tally.
+    /// Returns the answers since an earlier tally.
     #[must_use]
     pub fn since(&self, before: &Self) -> Self {
         Self {
@@ -102,24 +102,24 @@
     }
 }
 
-/// Returns the class of an answer that began after so many times the expected time.
-fn class(times: f64) -> usize {
-    let steps = (times / FIRST).max(1.0).ln() / STEP.ln();
+/// Returns the latency class of an answer that began after a multiple of the expected time.
+fn latency_class(ratio: f64) -> usize {
+    let steps = (ratio / FIRST_CLASS_BOUND).max(1.0).ln() / CLASS_RATIO.ln();
     (steps.ceil() as usize).min(LATENCY_CLASSES - 1)
 }
 
-/// What one entry, or all together, saw of the answers since an order was given.
+/// Answers observed by one entry, or by all together, since an order was given.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Evidence {
-    /// The number of the order.
+    /// Number of the order.
     pub order: u64,
-    /// The answers by route, named by a hash, and by who gave them.
+    /// Answers by the hash of the route and by the group of endpoints.
     pub tallies: BTreeMap<(u32, Group), Tally>,
 }
 
 impl Evidence {
-    /// Makes evidence of no answers yet.
+    /// Creates evidence without answers.
     pub const fn new(order: u64) -> Self {
         Self {
             order,
@@ -127,12 +127,12 @@
         }
     }
 
-    /// Counts an answer.
+    /// Counts an observation of an answer.
     pub fn record(&mut self, route: u32, group: Group, answer: Answer) {
         self.tallies.entry((route, group)).or_default().record(answer);
     }
 
-    /// Adds what another entry saw of the same order.
+    /// Adds the evidence of another entry if it belongs to the same order.
     pub fn add(&mut self, other: &Self) {
         if other.order != self.order {
             return;
@@ -142,7 +142,7 @@
         }
     }
 
-    /// Returns all answers of the version in force, or of the new one.
+    /// Returns all answers of the new version if `is_canary` is set, otherwise those of the version in force.
     pub fn total(&self, is_canary: bool) -> Tally {
         let mut total = Tally::default();
         for ((_, group), tally) in &self.tallies {
--- a/bergamotshift-rollout/src/lib.rs
+++ b/bergamotshift-rollout/src/lib.rs
@@ -1,10 +1,10 @@
-//! Decides how a new version of a service is rolled out, without I/O.
+//! Rollout decisions for new versions of a service, without I/O.
 //!
-//! An operator's [`Order`] names the version that a service is to run. The endpoints of that version first take a small,
-//! bounded share of the requests as a canary. What both versions answered over the same time is the [`Evidence`]; the
-//! [`Detector`] compares them, and the [`Director`] of the one entry that holds the duties turns that into
-//! [`Directive`]s: how large the share is, and when the order is completed or rolled back. Every entry keeps a
-//! [`Tracker`] of each service, which says which versions may take work.
+//! An operator's [`Order`] names the version that a service is to run. The endpoints of that version first get a small,
+//! bounded share of the requests as a canary. The [`Evidence`] counts the answers of both versions over the same time, and
+//! the [`Detector`] compares them. The [`Director`], at the entry that holds the duties, issues [`Directive`]s: the share
+//! of the new version, and whether the order is completed or rolled back. Every entry keeps a [`Tracker`] for each service,
+//! which tells which versions may take requests.
 //!
 //! ```
 //! use core::time::Duration;
@@ -22,7 +22,7 @@
 //! };
 //! tracker.apply_order(Instant::from_secs(1), order, Duration::ZERO);
 //! assert_eq!(tracker.admission("v2"), Admission::Canary);
-//! assert_eq!(tracker.share(Instant::from_secs(1)), 0, "nobody has directed a share yet");
+//! assert_eq!(tracker.share(Instant::from_secs(1)), 0, "no directive has set a share yet");
 //! ```
 
 pub mod detector;
--- a/bergamotshift-rollout/src/order.rs
+++ b/bergamotshift-rollout/src/order.rs
@@ -1,4 +1,4 @@
-//! What operators order, and what they are told of it.
+//! Rollout orders of operators and their reported state.
 
 use core::time::Duration;
 
@@ -7,33 +7,33 @@
 use serde::Serialize;
 use smol_str::SmolStr;
 
-/// An operator's order to run a service in another version.
+/// Operator's order to run another version of a service.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Order {
-    /// The service.
+    /// Service that the order applies to.
     pub service: name::Service,
-    /// The version that it is to run.
+    /// Version that the service is to run.
     pub to: SmolStr,
-    /// The time within which the order is to be completed or rolled back.
+    /// Time limit within which the order has to be completed or rolled back.
     pub duration: Duration,
-    /// Grows with each order of a service, so that a later one takes the place of the one before.
+    /// Number of the order, which increases with each order for a service; a later order replaces the earlier one.
     pub number: u64,
 }
 
-/// How far an order is, as operators are told.
+/// State of an order, as reported to operators.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum State {
-    /// The new version is tried.
+    /// The new version is being evaluated or requests are moving to it.
     Running,
-    /// All requests go to the new version, and the endpoints of the one before may stop.
+    /// All requests go to the new version; the endpoints of the previous version may stop.
     Completed,
-    /// No request goes to the new version.
+    /// No requests go to the new version.
     RolledBack,
 }
 
 impl State {
-    /// Returns whether the state never changes again.
+    /// Returns whether the state is final.
     pub const fn is_final(self) -> bool {
         matches!(self, Self::Completed | Self::RolledBack)
     }
--- a/bergamotshift-rollout/src/prelude.rs
+++ b/bergamotshift-rollout/src/prelude.rs
@@ -1,4 +1,4 @@
-//! The types that users of the crate need most.
+//! Commonly used types of the crate.
 
 pub use crate::detector::Detector;
 pub use crate::directive::Directive;
--- a/bergamotshift-rollout/src/settings.rs
+++ b/bergamotshift-rollout/src/settings.rs
@@ -1,32 +1,32 @@
-//! What bounds a rollout.
+//! Limits of a rollout.
 
 use core::time::Duration;
 
 use serde::Deserialize;
 use thiserror::Error as ThisError;
 
-/// Why settings cannot be used.
+/// Error in the settings of a rollout.
 #[derive(Clone, Copy, Debug, PartialEq)]
 #[derive(ThisError)]
 pub enum Error {
-    /// The share is none.
-    #[error("expose_share is {0}, and has to lie between 0 and 1")]
+    /// The share is not between 0 and 1.
+    #[error("expose_share is {0}, but must be between 0 and 1")]
     Share(f64),
-    /// The number of requests is none.
-    #[error("expose_slack is {0}, and must not be negative")]
+    /// The number of requests is negative or not a number.
+    #[error("expose_slack is {0}, but must not be negative")]
     Slack(f64),
 }
 
-/// What bounds a rollout.
+/// Limits of a rollout.
 #[derive(Clone, Copy, Debug, PartialEq)]
 #[derive(Deserialize)]
 #[serde(default)]
 pub struct Settings {
-    /// The largest part of a service's requests that a bad version may get between the order and its time limit.
+    /// Maximum share of a service's requests that a bad version may get until the time limit of the order, from 0 to 1.
     pub expose_share: f64,
-    /// Requests that it may get beyond that.
+    /// Number of requests that a bad version may get in addition to that share.
     pub expose_slack: f64,
-    /// Milliseconds from the 50th bad answer of a version to the last request that it may get.
+    /// Maximum time from the 50th bad answer of a version to its last request, in milliseconds.
     pub rollback_ms: u64,
 }
 
@@ -41,11 +41,11 @@
 }
 
 impl Settings {
-    /// Checks that the figures can be met.
+    /// Checks that the settings are in range.
     ///
     /// # Errors
     ///
-    /// Returns the figure that cannot.
+    /// Returns an error for the first setting that is out of range.
     pub fn check(&self) -> Result<(), Error> {
         if !(0.0..=1.0).contains(&self.expose_share) {
             return Err(Error::Share(self.expose_share));
@@ -56,9 +56,9 @@
         Ok(())
     }
 
-    /// Returns how old a holder's word may be until a canary gets nothing any more.
+    /// Returns the time after which a directive is stale and the canary gets no more requests.
     ///
-    /// An entry that is cut off does not hear that a version was rolled back.
+    /// An entry that is cut off does not learn that a version was rolled back.
     pub fn directive_timeout(&self) -> Duration {
         Duration::from_millis(self.rollback_ms).mul_f64(0.5)
     }
--- a/bergamotshift-rollout/src/tracker.rs
+++ b/bergamotshift-rollout/src/tracker.rs
@@ -1,4 +1,4 @@
-//! Which versions of a service may take work, as one entry knows it.
+//! Rollout state of a service at one entry.
 
 use core::time::Duration;
 
@@ -10,85 +10,86 @@
 use crate::order::Order;
 use crate::settings::Settings;
 
-/// The most versions that are remembered as refused.
-const MOST_REFUSED: usize = 16;
+/// Maximum number of refused versions that are remembered.
+const MAX_REFUSED: usize = 16;
 
-/// What an endpoint of a version may get.
+/// Requests that the endpoints of a version may get.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
     /// All requests.
     Stable,
-    /// The requests of the canary's share.
+    /// Requests of the canary's share.
     Canary,
-    /// None.
+    /// No requests.
     Excluded,
 }
 
-/// Which versions of a service may take work.
+/// Rollout state of a service, which determines the versions that may take requests.
 ///
-/// That follows from the operators' orders and what came of them alone. An endpoint of the ordered version gets nothing
-/// until a directive says how much, and nothing once the directive is stale: entries that are cut off fall back to the
-/// version that was in force.
+/// The state depends only on the operators' orders and on the directives about them. Endpoints of the ordered version get
+/// no requests before a directive sets their share, nor once the directive is stale: an entry that is cut off falls back
+/// to the version that was in force.
 #[derive(Clone, Debug, Default)]
 pub struct Tracker {
     order: Option<Order>,
-    /// When the order was given, as far as this entry knows.
-    since: Instant,
+    /// Earliest known time of the order.
+    ordered_at: Instant,
     directive: Option<Directive>,
-    /// When a directive was last news.
+    /// Time at which the last new directive was received.
     directive_received: Instant,
-    /// The version of the last order that was completed.
+    /// Version of the last completed order.
     current: Option<SmolStr>,
-    /// The versions of orders that were rolled back or given up for another.
+    /// Versions of orders that were rolled back or replaced before they were completed.
     refused: Vec<SmolStr>,
-    timeout: Option<Duration>,
+    /// Time after which a directive is stale; `None` for never.
+    directive_timeout: Option<Duration>,
 }
 
 impl Tracker {
-    /// Makes a standing that knows of no order.
+    /// Creates a tracker without an order.
     pub fn new(settings: &Settings) -> Self {
         Self {
-            timeout: Some(settings.directive_timeout()),
+            directive_timeout: Some(settings.directive_timeout()),
             ..Self::default()
         }
     }
 
-    /// Notes an order that was given `age` ago; returns whether that is news.
+    /// Applies an order that was given `age` ago; returns whether it is new.
     pub fn apply_order(&mut self, now: Instant, order: Order, age: Duration) -> bool {
-        let given = now - age;
+        let ordered_at = now - age;
         match &self.order {
             Some(before) if before.number > order.number => return false,
             Some(before) if before.number == order.number => {
-                self.since = self.since.min(given);
+                self.ordered_at = self.ordered_at.min(ordered_at);
                 return false;
             }
-            Some(_) => self.close(),
+            Some(_) => self.finish_order(),
             None => {}
         }
         self.refused.retain(|version| *version != order.to);
-        self.since = given;
+        self.ordered_at = ordered_at;
         self.order = Some(order);
         self.directive = None;
         true
     }
 
-    /// Puts what came of the last order into force, since another one takes its place.
-    fn close(&mut self) {
+    /// Records the result of the last order when another one replaces it.
+    fn finish_order(&mut self) {
         let Some(order) = self.order.take() else { return };
         if self.phase() == Some(Phase::Completed) {
             self.current = Some(order.to);
         } else if self.current.as_ref() != Some(&order.to) {
             self.refused.push(order.to);
-            let spare = self.refused.len().saturating_sub(MOST_REFUSED);
-            self.refused.drain(..spare);
+            let excess = self.refused.len().saturating_sub(MAX_REFUSED);
+            self.refused.drain(..excess);
         }
     }
 
-    /// Notes what a holder of the duties directs; returns whether that is news.
+    /// Applies a directive of a duty holder; returns whether it is new.
     pub fn apply_directive(&mut self, now: Instant, directive: Directive) -> bool {
         let is_known = self.order.as_ref().is_some_and(|order| order.number == directive.order);
-        let is_news = self.directive.is_none_or(|before| directive.replaces(&before));
-        if !is_known || !is_news {
+        let is_new = self.directive.is_none_or(|before| directive.replaces(&before));
+        if !is_known || !is_new {
             return false;
         }
         self.directive = Some(directive);
@@ -101,32 +102,32 @@
         self.order.as_ref()
     }
 
-    /// Returns the last directive of that order.
+    /// Returns the last directive about the last order.
     pub const fn directive(&self) -> Option<&Directive> {
         self.directive.as_ref()
     }
 
-    /// Returns how long ago the last order was given.
+    /// Returns the age of the last order.
     pub fn age(&self, now: Instant) -> Duration {
-        now.since(self.since)
+        now.since(self.ordered_at)
     }
 
     fn phase(&self) -> Option<Phase> {
         self.directive.map(|directive| directive.phase)
     }
 
-    /// Returns whether an order stands that is neither completed nor rolled back.
+    /// Returns whether there is an order that is neither completed nor rolled back.
     pub fn is_open(&self) -> bool {
         self.order.is_some() && !self.phase().is_some_and(Phase::is_final)
     }
 
-    /// Returns what endpoints of a version may get.
+    /// Returns the requests that the endpoints of a version may get.
     pub fn admission(&self, version: &str) -> Admission {
         if let Some(order) = self.order.as_ref().filter(|order| order.to == version) {
             return match self.phase() {
                 Some(Phase::Completed) => Admission::Stable,
                 Some(Phase::RolledBack) => Admission::Excluded,
-                // An order of the version in force changes nothing.
+                // An order for the version already in force changes nothing.
                 _ if self.current.as_ref() == Some(&order.to) => Admission::Stable,
                 _ => Admission::Canary,
             };
@@ -139,17 +140,17 @@
         Admission::Stable
     }
 
-    /// Returns the part of the requests that goes to the canary now, in thousandths.
+    /// Returns the share of the requests that goes to the canary now, in thousandths.
     pub fn share(&self, now: Instant) -> u16 {
         let Some(directive) = &self.directive else {
             return 0;
         };
         let is_stale = self
-            .timeout
+            .directive_timeout
             .is_some_and(|timeout| now.since(self.directive_received) >= timeout);
         match directive.phase {
             Phase::Canary | Phase::Stress if !is_stale => directive.share,
-            // The endpoints of the version before may have stopped already where this entry is cut off.
+            // A stale directive still applies: the endpoints of the previous version may have stopped already.
             Phase::Shifting => directive.share,
             Phase::Canary | Phase::Stress | Phase::Halted | Phase::Completed | Phase::RolledBack => 0,
         }
--- a/bergamotshift-rollout/tests/rollout/director.rs
+++ b/bergamotshift-rollout/tests/rollout/director.rs
@@ -1,4 +1,4 @@
-//! One order from its first canary to its end.
+//! Control of one order from the first canary to the final state.
 
 use core::time::Duration;
 
@@ -15,7 +15,7 @@
     }
 }
 
-fn look(director: &mut Director, millis: u64, stable: usize, canary: usize, busy: u32) -> Step {
+fn observe(director: &mut Director, millis: u64, stable: usize, canary: usize, busy: u32) -> Step {
     let observation = Observation {
         age: Duration::from_millis(millis),
         evidence: Evidence::new(3),
@@ -32,23 +32,23 @@
 }
 
 #[test]
-fn a_version_without_endpoints_gets_nothing() {
-    let step = look(&mut director(), 250, 4, 0, 9);
+fn a_version_without_endpoints_gets_no_requests() {
+    let step = observe(&mut director(), 250, 4, 0, 9);
     assert_eq!((step.phase, step.share, step.state), (Phase::Canary, 0, State::Running));
 }
 
-/// Guards against streams that are cut, since the old endpoints stop at once when the order is completed.
+/// Guards against cutting streams, because the old endpoints stop at once when the order is completed.
 #[test]
 fn an_order_is_completed_once_nothing_is_under_way_at_the_old_endpoints() {
     let mut director = director();
-    let mut whole = None;
+    let mut full_share_at = None;
     for millis in (250..12_000).step_by(250) {
         let busy = if millis < 10_500 { 7 } else { 0 };
-        let step = look(&mut director, millis, 4, 4, busy);
-        whole = whole.or((step.share == 1_000).then_some(millis));
+        let step = observe(&mut director, millis, 4, 4, busy);
+        full_share_at = full_share_at.or((step.share == 1_000).then_some(millis));
         if step.state == State::Completed {
             assert_eq!(millis, 10_500);
-            assert!(whole.is_some_and(|whole| whole < millis));
+            assert!(full_share_at.is_some_and(|at| at < millis));
             return;
         }
     }
@@ -56,10 +56,10 @@
 }
 
 #[test]
-fn an_order_is_completed_before_its_limit_whatever_is_under_way() {
+fn an_order_is_completed_before_its_time_limit_despite_requests_in_flight() {
     let mut director = director();
     let ends = (250..12_000).step_by(250);
-    let mut ends = ends.map(|millis| (millis, look(&mut director, millis, 4, 4, 3).state));
+    let mut ends = ends.map(|millis| (millis, observe(&mut director, millis, 4, 4, 3).state));
     let end = ends.find(|(_, state)| *state == State::Completed);
     assert!(
         end.is_some_and(|(millis, _)| millis > 11_000 && millis < 12_000),
@@ -68,18 +68,18 @@
 }
 
 #[test]
-fn a_version_that_is_in_force_already_completes_at_once() {
+fn an_order_for_the_version_in_force_completes_at_once() {
     let mut director = director();
-    let mut looks = (250..12_000)
+    let mut steps = (250..12_000)
         .step_by(250)
-        .map(|millis| look(&mut director, millis, 0, 4, 0));
-    let completed = looks.position(|step| step.state == State::Completed);
+        .map(|millis| observe(&mut director, millis, 0, 4, 0));
+    let completed = steps.position(|step| step.state == State::Completed);
     assert!(completed.is_some_and(|looks| looks <= 10), "{completed:?}");
 }
 
-/// Guards against a holder that is killed after it halted a version and before the operators were told.
+/// Guards against losing a rejection when the duty holder is killed before it reports to the operators.
 #[test]
-fn a_successor_goes_on_where_the_holder_ended() {
+fn a_successor_continues_from_the_last_directive() {
     let halted = Directive {
         order: 3,
         term: 1,
@@ -88,11 +88,11 @@
         share: 0,
     };
     let mut successor = Director::new(Settings::default(), order(), Some(&halted));
-    let step = look(&mut successor, 5_000, 4, 4, 0);
+    let step = observe(&mut successor, 5_000, 4, 4, 0);
     assert_eq!((step.share, step.state), (0, State::RolledBack));
 }
 
-/// Guards against a holder that takes over while requests move, and completes the order before all entries know.
+/// Guards against a new duty holder that completes the order before all entries have moved their requests.
 #[test]
 fn a_successor_moves_requests_step_by_step() {
     let moving = Directive {
@@ -103,21 +103,21 @@
         share: 250,
     };
     let mut successor = Director::new(Settings::default(), order(), Some(&moving));
-    let first = look(&mut successor, 8_000, 4, 4, 0);
+    let first = observe(&mut successor, 8_000, 4, 4, 0);
     assert_eq!((first.share, first.state), (250, State::Running));
-    let last = look(&mut successor, 11_000, 4, 4, 0);
+    let last = observe(&mut successor, 11_000, 4, 4, 0);
     assert_eq!((last.share, last.state), (1_000, State::Completed));
 }
 
-/// Guards against an order that is completed although the endpoints of the new version have gone: nobody would be left.
+/// Guards against completing an order after all endpoints of the new version are gone, which would leave no endpoints.
 #[test]
 fn an_order_is_not_completed_without_endpoints() {
     let mut director = director();
     for millis in (250..9_000).step_by(250) {
-        look(&mut director, millis, 4, 4, 7);
+        observe(&mut director, millis, 4, 4, 7);
     }
     let ends = (9_000..14_000)
         .step_by(250)
-        .map(|millis| look(&mut director, millis, 4, 0, 0).state);
+        .map(|millis| observe(&mut director, millis, 4, 0, 0).state);
     assert!(ends.into_iter().all(|state| state == State::Running));
 }
--- a/bergamotshift-rollout/tests/rollout/main.rs
+++ b/bergamotshift-rollout/tests/rollout/main.rs
@@ -1,4 +1,4 @@
-//! Decisions about new versions, in virtual time.
+//! Rollout decisions in virtual time.
 
 mod director;
 mod sim;
--- a/bergamotshift-rollout/tests/rollout/standing.rs
+++ b/bergamotshift-rollout/tests/rollout/standing.rs
@@ -1,4 +1,4 @@
-//! Which versions may take work.
+//! Versions that may take requests.
 
 use core::time::Duration;
 
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn an_ordered_version_gets_nothing_before_it_is_directed() {
+fn an_ordered_version_gets_no_requests_before_a_directive() {
     let tracker = tracker();
     assert_eq!(tracker.admission("v2"), Admission::Canary);
     assert_eq!(tracker.admission("v1"), Admission::Stable);
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn a_version_that_was_rolled_back_gets_nothing_any_more() {
+fn a_version_that_was_rolled_back_stays_excluded() {
     let mut tracker = tracker();
     assert!(tracker.apply_directive(AT, directive(5, 1, 1, Phase::RolledBack)));
     assert_eq!(tracker.admission("v2"), Admission::Excluded);
@@ -83,7 +83,7 @@
     );
 }
 
-/// Guards against a canary that goes on at an entry that is cut off while the version is rolled back everywhere else.
+/// Guards against a canary that continues at a cut-off entry while the version is rolled back everywhere else.
 #[test]
 fn an_entry_that_hears_nothing_falls_back() {
     let mut tracker = tracker();
@@ -95,27 +95,27 @@
     assert_eq!(tracker.share(AT + timeout), 50);
 }
 
-/// Guards against a verdict that is taken back by a holder that was suspended and wakes.
+/// Guards against a duty holder that was suspended and revokes a final state when it resumes.
 #[test]
-fn a_verdict_is_final() {
+fn a_final_state_is_not_revoked() {
     let mut tracker = tracker();
     tracker.apply_directive(AT, directive(5, 2, 1, Phase::RolledBack));
     assert!(!tracker.apply_directive(AT, directive(5, 3, 9, Phase::Canary)));
     assert_eq!(tracker.admission("v2"), Admission::Excluded);
 }
 
-/// Guards against an old holder's directive that arrives after its successor's.
+/// Guards against a directive of a previous duty holder that arrives after one of its successor.
 #[test]
-fn a_successor_prevails() {
+fn a_directive_of_a_previous_holder_is_ignored() {
     let mut tracker = tracker();
     assert!(tracker.apply_directive(AT, directive(5, 2, 1, Phase::Halted)));
     assert!(!tracker.apply_directive(AT, directive(5, 1, 7, Phase::Canary)));
     assert_eq!(tracker.share(AT), 0);
 }
 
-/// Guards against an order that entries tell each other younger than it is.
+/// Guards against the age of an order shrinking when other entries report it as younger than it is.
 #[test]
-fn an_order_is_as_old_as_the_oldest_word_of_it() {
+fn the_greatest_reported_age_of_an_order_counts() {
     let mut tracker = tracker();
     assert!(!tracker.apply_order(AT, order(5, "v2"), Duration::from_secs(3)));
     assert_eq!(tracker.age(AT), Duration::from_secs(3));
--- a/bergamotshift-rollout/tests/rollout/verdicts.rs
+++ b/bergamotshift-rollout/tests/rollout/verdicts.rs
@@ -1,15 +1,15 @@
-//! How often the verdict is right, over many seeds and sizes.
+//! Correctness of the verdicts over many seeds and service sizes.
 
 use bergamotshift_rollout::prelude::*;
 
-use crate::sim::Ending;
 use crate::sim::Fault;
-use crate::sim::Scene;
-use crate::sim::play;
+use crate::sim::Scenario;
+use crate::sim::Summary;
+use crate::sim::run;
 
 const SEEDS: u64 = 200;
 
-/// Requests a second, endpoints and places of each, from the smallest to the largest service.
+/// Requests per second, number of endpoints and slots of each, from the smallest to the largest service.
 const SIZES: [(f64, usize, u32); 5] = [
     (5.0, 4, 6),
     (30.0, 4, 16),
@@ -26,66 +26,66 @@
     Fault::UnderLoad,
 ];
 
-fn scenes(fault: Fault, seeds: u64) -> impl Iterator<Item = Scene> {
+fn scenarios(fault: Fault, seeds: u64) -> impl Iterator<Item = Scenario> {
     let sizes = SIZES.into_iter();
     sizes.flat_map(move |(rate, endpoints, slots)| {
-        (0..seeds).map(move |seed| Scene {
+        (0..seeds).map(move |seed| Scenario {
             seed,
             rate,
             endpoints,
             slots,
             fault,
-            ..Scene::default()
+            ..Scenario::default()
         })
     })
 }
 
-fn is_within(ending: &Ending, settings: &Settings) -> bool {
-    let allowed = settings.expose_share * f64::from(ending.requests) + settings.expose_slack;
-    let in_time = ending
+fn is_within(summary: &Summary, settings: &Settings) -> bool {
+    let allowed = settings.expose_share * f64::from(summary.requests) + settings.expose_slack;
+    let in_time = summary
         .fiftieth
-        .is_none_or(|fiftieth| ending.last.as_millis() <= fiftieth.as_millis() + u128::from(settings.rollback_ms));
-    f64::from(ending.exposed) <= allowed && in_time
+        .is_none_or(|fiftieth| summary.last.as_millis() <= fiftieth.as_millis() + u128::from(settings.rollback_ms));
+    f64::from(summary.exposed) <= allowed && in_time
 }
 
-/// Guards against a bad version that gets more requests than operators allow, or that is completed.
+/// Guards against a bad version that gets more requests than the operators allow, or that is completed.
 #[test]
 fn a_bad_version_is_rolled_back_within_the_bounds() {
     let settings = Settings::default();
     for fault in BAD {
-        // Of 30 requests a second, fewer reach the new version than it takes to tell each time; see the table.
-        let least = if fault == Fault::Slow { 30.0 } else { 150.0 };
-        for scene in scenes(fault, SEEDS / 4).filter(|scene| scene.rate >= least) {
-            let ending = play(scene);
-            assert!(is_within(&ending, &settings), "{scene:?}: {ending:?}");
-            assert_eq!(ending.state, Some(State::RolledBack), "{scene:?}: {ending:?}");
+        // At 30 requests per second, the new version gets too few to be rejected every time; see the table.
+        let min_rate = if fault == Fault::Slow { 30.0 } else { 150.0 };
+        for scenario in scenarios(fault, SEEDS / 4).filter(|scenario| scenario.rate >= min_rate) {
+            let summary = run(scenario);
+            assert!(is_within(&summary, &settings), "{scenario:?}: {summary:?}");
+            assert_eq!(summary.state, Some(State::RolledBack), "{scenario:?}: {summary:?}");
         }
     }
 }
 
-/// Guards against a sound version that is condemned by chance.
+/// Guards against rejecting a good version by chance.
 #[test]
 fn a_sound_version_completes_in_time() {
-    for scene in scenes(Fault::None, SEEDS) {
-        let ending = play(scene);
-        assert_eq!(ending.state, Some(State::Completed), "{scene:?}: {ending:?}");
-        assert!(ending.after.as_secs() < scene.seconds);
+    for scenario in scenarios(Fault::None, SEEDS) {
+        let summary = run(scenario);
+        assert_eq!(summary.state, Some(State::Completed), "{scenario:?}: {summary:?}");
+        assert!(summary.after.as_secs() < scenario.seconds);
     }
 }
 
-/// Guards against a wave of failures at both versions, for which the new one is condemned.
+/// Guards against rejecting a new version for failures that affect both versions.
 #[test]
 fn a_fault_of_both_versions_condemns_neither() {
-    for scene in scenes(Fault::None, SEEDS / 4) {
-        let scene = Scene { wave: 0.3, ..scene };
-        let ending = play(scene);
-        assert_eq!(ending.state, Some(State::Completed), "{scene:?}: {ending:?}");
+    for scenario in scenarios(Fault::None, SEEDS / 4) {
+        let scenario = Scenario { wave: 0.3, ..scenario };
+        let summary = run(scenario);
+        assert_eq!(summary.state, Some(State::Completed), "{scenario:?}: {summary:?}");
     }
 }
 
-/// Prints how often each verdict comes, and what it costs, by size and fault.
+/// Prints the frequency and the cost of each verdict, by size and fault.
 #[test]
-fn the_table_of_verdicts_is_whole() {
+fn the_table_of_verdicts_is_complete() {
     println!(
         "| requests a second | endpoints | fault | rolled back | most exposed, of what is allowed | median time |"
     );
@@ -98,9 +98,9 @@
     let mut rows = 0;
     for (fault, wave, grey) in cases.chain(sound) {
         for (rate, endpoints, slots) in SIZES {
-            let mut endings = Vec::new();
+            let mut summaries = Vec::new();
             for seed in 0..SEEDS / 4 {
-                let scene = Scene {
+                let scenario = Scenario {
                     seed,
                     rate,
                     endpoints,
@@ -108,23 +108,23 @@
                     fault,
                     wave,
                     grey,
-                    ..Scene::default()
+                    ..Scenario::default()
                 };
-                endings.push(play(scene));
+                summaries.push(run(scenario));
             }
-            let back = endings
+            let rolled_back = summaries
                 .iter()
-                .filter(|ending| ending.state == Some(State::RolledBack))
+                .filter(|summary| summary.state == Some(State::RolledBack))
                 .count();
-            let exposed = endings
+            let exposed = summaries
                 .iter()
-                .map(|ending| f64::from(ending.exposed) / (0.1 * f64::from(ending.requests) + 50.0));
+                .map(|summary| f64::from(summary.exposed) / (0.1 * f64::from(summary.requests) + 50.0));
             let exposed = exposed.fold(0.0, f64::max);
-            endings.sort_by_key(|ending| ending.after);
-            let median = endings[endings.len() / 2].after;
+            summaries.sort_by_key(|summary| summary.after);
+            let median = summaries[summaries.len() / 2].after;
             println!(
-                "| {rate} | {endpoints} | {fault:?}, wave {wave}, grey {grey} | {back} of {} | {exposed:.2} | {median:?} |",
-                endings.len()
+                "| {rate} | {endpoints} | {fault:?}, wave {wave}, grey {grey} | {rolled_back} of {} | {exposed:.2} | {median:?} |",
+                summaries.len()
             );
             rows += 1;
         }
