--- a/bergamotshift-core/src/attempt.rs
+++ b/bergamotshift-core/src/attempt.rs
@@ -1,4 +1,4 @@
-//! Attempt identifiers: one for each time a request is sent towards an endpoint.
+//! Identifiers of attempts; each sending of a request to an endpoint is one attempt.
 
 use core::fmt;
 use core::str::FromStr;
@@ -7,21 +7,21 @@
 use serde::Serialize;
 use thiserror::Error;
 
-/// Identifies one attempt of one request, across the whole fleet.
+/// Identifier of one attempt of one request, unique across the fleet.
 ///
-/// The shell draws it at random. It goes with every call to an endpoint and is matched on the answer, so that a late
-/// answer to an abandoned attempt reaches nobody.
+/// The I/O layer draws it at random. It is sent with every call to an endpoint and compared with the one in
+/// the answer, so that a late answer to an abandoned attempt is not delivered.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Serialize, Deserialize)]
 pub struct Id(u128);
 
 impl Id {
-    /// Makes an identifier from 128 random bits.
+    /// Creates an identifier from 128 random bits.
     pub const fn new(bits: u128) -> Self {
         Self(bits)
     }
 
-    /// Returns the bits.
+    /// Returns the bits of the identifier.
     pub const fn get(self) -> u128 {
         self.0
     }
@@ -33,10 +33,10 @@
     }
 }
 
-/// The text is not 32 hexadecimal digits.
+/// Error of parsing a text that is not 32 hexadecimal digits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Error)]
-#[error("an attempt id is 32 hexadecimal digits")]
+#[error("an attempt ID must be 32 hexadecimal digits")]
 pub struct ParseError;
 
 impl FromStr for Id {
--- a/bergamotshift-core/src/clock.rs
+++ b/bergamotshift-core/src/clock.rs
@@ -1,7 +1,7 @@
-//! Kernel time: microseconds since an epoch that the shell chooses.
+//! Kernel time in microseconds since an epoch that the process chooses.
 //!
-//! The kernel never reads a clock. Every event carries an [`Instant`], so a test or a replay can run a day in a
-//! second and always sees the same order.
+//! The kernel never reads a clock. Every event carries an [`Instant`], so a test or a replay can simulate a day in a second
+//! and always processes events in the same order.
 
 use core::fmt;
 use core::ops::Add;
@@ -13,29 +13,29 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// A point in kernel time, in microseconds since the process's epoch.
+/// Point in kernel time, in microseconds since the process's epoch.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Serialize, Deserialize)]
 pub struct Instant(u64);
 
 impl Instant {
-    /// The epoch.
+    /// Epoch of kernel time.
     pub const ZERO: Self = Self(0);
 
-    /// An instant that no event reaches.
+    /// Latest representable instant, which no event reaches.
     pub const MAX: Self = Self(u64::MAX);
 
-    /// Makes an instant from microseconds since the epoch.
+    /// Creates an instant from microseconds since the epoch.
     pub const fn from_micros(micros: u64) -> Self {
         Self(micros)
     }
 
-    /// Makes an instant from milliseconds since the epoch.
+    /// Creates an instant from milliseconds since the epoch.
     pub const fn from_millis(millis: u64) -> Self {
         Self(millis.saturating_mul(1_000))
     }
 
-    /// Makes an instant from seconds since the epoch.
+    /// Creates an instant from seconds since the epoch.
     pub const fn from_secs(secs: u64) -> Self {
         Self(secs.saturating_mul(1_000_000))
     }
@@ -45,13 +45,13 @@
         self.0
     }
 
-    /// Returns the time since `earlier`, or zero when `earlier` lies in the future.
+    /// Returns the time since `earlier`, or zero if `earlier` is later than this instant.
     pub const fn since(self, earlier: Self) -> Duration {
         Duration::from_micros(self.0.saturating_sub(earlier.0))
     }
 }
 
-/// A time until which something holds, which any thread may set.
+/// Expiry time of a temporary state, which any thread may set.
 ///
 /// ```
 /// use bergamotshift_core::prelude::*;
@@ -67,17 +67,17 @@
 pub struct Expiry(AtomicU64);
 
 impl Expiry {
-    /// Sets the time.
+    /// Sets the expiry time.
     pub fn set(&self, at: Instant) {
         self.0.store(at.0, Relaxed);
     }
 
-    /// Sets the time if it is later than the one before.
+    /// Sets the expiry time if it is later than the current one.
     pub fn extend(&self, at: Instant) {
         self.0.fetch_max(at.0, Relaxed);
     }
 
-    /// Returns the time if it lies after `now`; `None` when it is over.
+    /// Returns the expiry time if it is after `now`, otherwise `None`.
     pub fn after(&self, now: Instant) -> Option<Instant> {
         Some(Instant(self.0.load(Relaxed))).filter(|at| *at > now)
     }
--- a/bergamotshift-core/src/fingerprint.rs
+++ b/bergamotshift-core/src/fingerprint.rs
@@ -1,23 +1,23 @@
-//! Content fingerprints, by which a request's re-sends are recognised.
+//! Content fingerprints, which identify requests that a caller sends again.
 
 use serde::Deserialize;
 use serde::Serialize;
 use xxhash_rust::xxh3::Xxh3;
 
-/// A 128-bit hash of what a request asks for, equal for a caller's re-sends.
+/// 128-bit hash of the content of a request, equal each time a caller sends the same request.
 ///
-/// It is not a security boundary: idempotency compares SHA-256 digests instead.
+/// It is not cryptographically secure: idempotency compares SHA-256 digests instead.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Serialize, Deserialize)]
 pub struct Fingerprint(u128);
 
 impl Fingerprint {
-    /// Makes a fingerprint from its bits.
+    /// Creates a fingerprint from its bits.
     pub const fn new(bits: u128) -> Self {
         Self(bits)
     }
 
-    /// Returns the bits.
+    /// Returns the bits of the fingerprint.
     pub const fn get(self) -> u128 {
         self.0
     }
@@ -26,7 +26,7 @@
     pub fn of(service: &str, method: &str, path: &str, body: &[u8]) -> Self {
         let mut hasher = Xxh3::new();
         for part in [service.as_bytes(), method.as_bytes(), path.as_bytes(), body] {
-            // Lengths keep ("ab", "c") and ("a", "bc") apart.
+            // The length distinguishes ("ab", "c") from ("a", "bc").
             hasher.update(&(part.len() as u64).to_le_bytes());
             hasher.update(part);
         }
--- a/bergamotshift-core/src/key.rs
+++ b/bergamotshift-core/src/key.rs
@@ -1,23 +1,23 @@
-//! Keys into arenas: small `Copy` handles that stay valid only inside one process.
+//! Arena keys: small `Copy` handles that are valid only within one process.
 //!
-//! A key carries a generation, so a key of a removed entity never finds the entity that took its place. Names, not
-//! keys, go over the wire.
+//! A key contains a generation, so the key of a removed entity never refers to the entity that replaced it. Names, not
+//! keys, are sent over the wire.
 
 use slotmap::new_key_type;
 
 new_key_type! {
-    /// Finds an availability zone in its arena.
+    /// Key of an availability zone.
     pub struct Zone;
 
-    /// Finds a service in its arena.
+    /// Key of a service.
     pub struct Service;
 
-    /// Finds an organisation in its arena.
+    /// Key of an organisation.
     pub struct Organisation;
 
-    /// Finds an endpoint in its arena.
+    /// Key of an endpoint.
     pub struct Endpoint;
 
-    /// Finds an entry (one daemon of the fleet) in its arena.
+    /// Key of an entry, one daemon of the fleet.
     pub struct Entry;
 }
--- a/bergamotshift-core/src/load.rs
+++ b/bergamotshift-core/src/load.rs
@@ -1,46 +1,46 @@
-//! Load reports of endpoints, which reach an entry late.
+//! Load reports of endpoints, which reach an entry with a delay.
 
 use serde::Deserialize;
 use serde::Serialize;
 
-/// What an endpoint says of its own load.
+/// Load reported by an endpoint.
 ///
-/// Every field is a reading at some earlier moment: whoever uses a report adds what was sent since.
+/// All values are from an earlier time, so the user of a report has to add the requests sent since.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Report {
-    /// Counts the endpoint's reports; a lower number than one already seen is stale.
+    /// Sequence number of the report; a report with a lower number than a known one is stale.
     pub sequence: u64,
-    /// Requests in the running batch.
+    /// Number of requests in the running batch.
     pub running: u32,
-    /// Requests that wait for a slot.
+    /// Number of requests that wait for a slot.
     pub waiting: u32,
-    /// Slots in the running batch when it is full.
+    /// Number of slots of a full batch.
     pub slots: u32,
-    /// Prompt tokens not yet computed, of all accepted requests.
+    /// Number of prompt tokens of all accepted requests that are not computed yet.
     pub prefill_backlog: u32,
-    /// Tokens generated per second at the moment, over all running requests.
+    /// Tokens generated per second over all running requests.
     pub decode_rate: u32,
     /// Share of the KV cache in use, in thousandths.
     pub cache_permille: u16,
-    /// Whether the endpoint says that it is leaving.
+    /// Whether the endpoint announces that it is leaving.
     pub leaving: bool,
 }
 
-/// The largest count of requests that a report is believed.
-const MOST_REQUESTS: u32 = 1 << 20;
+/// Upper bound of the numbers of requests in a report.
+const MAX_REQUESTS: u32 = 1 << 20;
 
-/// The largest count of tokens that a report is believed.
-const MOST_TOKENS: u32 = 1 << 30;
+/// Upper bound of the numbers of tokens in a report.
+const MAX_TOKENS: u32 = 1 << 30;
 
-/// A whole, in thousandths.
-const WHOLE_PERMILLE: u16 = 1_000;
+/// Upper bound of a share, in thousandths.
+const MAX_PERMILLE: u16 = 1_000;
 
 impl Report {
-    /// Returns the report with every reading brought within what an endpoint can mean.
+    /// Returns the report with all values limited to plausible bounds.
     ///
-    /// Failure: a faulty endpoint reports the largest number that there is. Symptom: a sum with it overflows and the
-    /// thread that serves callers dies. Sums of readings within these bounds stay far below any overflow.
+    /// A faulty endpoint may report the largest representable number, with which a sum would overflow and crash the thread
+    /// that serves callers. Sums of values within these bounds stay far below any overflow.
     ///
     /// ```
     /// use bergamotshift_core::load::Report;
@@ -53,12 +53,12 @@
     #[must_use]
     pub fn bounded(self) -> Self {
         Self {
-            running: self.running.min(MOST_REQUESTS),
-            waiting: self.waiting.min(MOST_REQUESTS),
-            slots: self.slots.min(MOST_REQUESTS),
-            prefill_backlog: self.prefill_backlog.min(MOST_TOKENS),
-            decode_rate: self.decode_rate.min(MOST_TOKENS),
-            cache_permille: self.cache_permille.min(WHOLE_PERMILLE),
+            running: self.running.min(MAX_REQUESTS),
+            waiting: self.waiting.min(MAX_REQUESTS),
+            slots: self.slots.min(MAX_REQUESTS),
+            prefill_backlog: self.prefill_backlog.min(MAX_TOKENS),
+            decode_rate: self.decode_rate.min(MAX_TOKENS),
+            cache_permille: self.cache_permille.min(MAX_PERMILLE),
             ..self
         }
     }
--- a/bergamotshift-core/src/name.rs
+++ b/bergamotshift-core/src/name.rs
@@ -1,4 +1,6 @@
-//! Names that operators give: stable across processes and restarts, and the only identifiers on the wire.
+//! Names given by operators.
+//!
+//! Names are stable across processes and restarts and are the only identifiers of these entities on the wire.
 
 use core::borrow::Borrow;
 use core::fmt;
@@ -16,12 +18,12 @@
         pub struct $name(SmolStr);
 
         impl $name {
-            /// Makes a name from text.
+            /// Creates a name from text.
             pub fn new(text: impl AsRef<str>) -> Self {
                 Self(SmolStr::new(text))
             }
 
-            /// Makes a name from static text.
+            /// Creates a name from static text.
             pub const fn new_static(text: &'static str) -> Self {
                 Self(SmolStr::new_static(text))
             }
@@ -59,41 +61,41 @@
 }
 
 name! {
-    /// Names a region, which holds several availability zones.
+    /// Name of a region, which contains several availability zones.
     Region
 }
 
 name! {
-    /// Names an availability zone.
+    /// Name of an availability zone.
     Zone
 }
 
 name! {
-    /// Names a service that operators offer to callers.
+    /// Name of a service that operators offer to callers.
     Service
 }
 
 name! {
-    /// Names an organisation, whose callers share its keys, limits and rules.
+    /// Name of an organisation, whose callers share its keys, limits and rules.
     Organisation
 }
 
 name! {
-    /// Names a model as callers ask for it.
+    /// Name of a model as requested by callers.
     Model
 }
 
 name! {
-    /// Names a VM as the platform lists it.
+    /// Name of a VM in the platform's list.
     Vm
 }
 
 name! {
-    /// Names a machine class, such as an accelerator type, with one price per market.
+    /// Name of a machine class, such as an accelerator type, with one price per market.
     Class
 }
 
 name! {
-    /// Names an entry (one daemon of the fleet).
+    /// Name of an entry, one daemon of the fleet.
     Entry
 }
--- a/bergamotshift-core/src/outcome.rs
+++ b/bergamotshift-core/src/outcome.rs
@@ -1,14 +1,14 @@
-//! What is known about a request that failed: whether it ran.
+//! Outcome of a failed request: whether it ran.
 
 use core::fmt;
 
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Whether a failed request ran at an endpoint.
+/// Knowledge of whether a failed request ran at an endpoint.
 ///
-/// `NotRun` is a promise: no byte of the request went towards an endpoint, or the endpoint proved that it refused it
-/// before any work, and no attempt can still start.
+/// `NotRun` is a guarantee: either no byte of the request was sent to an endpoint, or the endpoint proved that it refused
+/// the request before doing any work; and no attempt can start any more.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
@@ -22,7 +22,7 @@
 }
 
 impl Outcome {
-    /// Returns the text used in headers and bodies.
+    /// Returns the text of the outcome in headers and bodies.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::NotRun => "not-run",
@@ -31,7 +31,7 @@
         }
     }
 
-    /// Returns whether a caller may send a non-repeatable request again under a new key.
+    /// Returns whether a caller may send a non-repeatable request again with a new idempotency key.
     pub const fn may_repeat(self) -> bool {
         matches!(self, Self::NotRun)
     }
--- a/bergamotshift-core/src/plugin.rs
+++ b/bergamotshift-core/src/plugin.rs
@@ -1,8 +1,8 @@
-//! Plug-ins that register themselves.
+//! Registry of plug-ins that register themselves.
 //!
-//! A kind of plug-in is a `static`-friendly descriptor type, collected with [`inventory`]. The crate that defines the
-//! trait names the kind once; each implementation submits a descriptor; whoever needs one looks it up by name. The
-//! kernel names no plug-in.
+//! Each kind of plug-in has a descriptor type that can be stored in a `static` and is collected with [`inventory`]. The
+//! crate that defines the plug-in trait declares the collection, and each implementation submits a descriptor. Users look
+//! up a plug-in by name; the kernel does not name any.
 //!
 //! ```
 //! use bergamotshift_core::plugin::{self, Named};
@@ -34,19 +34,19 @@
 //!
 //! plugin::inventory::submit! { Kind { name: "plain", build: || Box::new(Plain) } }
 //!
-//! let kind = plugin::find::<Kind>("plain").expect("it registered itself");
+//! let kind = plugin::find::<Kind>("plain").expect("the plug-in is registered");
 //! assert_eq!((kind.build)().greet(), "hello");
 //! ```
 
 pub use inventory;
 
-/// A plug-in's descriptor, found by its name.
+/// Descriptor of a plug-in that is found by its name.
 pub trait Named {
-    /// Returns the name by which settings choose the plug-in.
+    /// Returns the name that selects the plug-in in the settings.
     fn name(&self) -> &'static str;
 }
 
-/// Finds the registered plug-in of kind `K` with this name.
+/// Returns the registered plug-in of kind `K` with this name.
 pub fn find<K>(name: &str) -> Option<&'static K>
 where
     K: Named + inventory::Collect,
@@ -54,7 +54,7 @@
     inventory::iter::<K>.into_iter().find(|kind| kind.name() == name)
 }
 
-/// Returns the names of all registered plug-ins of kind `K`, sorted.
+/// Returns the sorted names of all registered plug-ins of kind `K`.
 pub fn names<K>() -> Vec<&'static str>
 where
     K: Named + inventory::Collect,
--- a/bergamotshift-core/src/prelude.rs
+++ b/bergamotshift-core/src/prelude.rs
@@ -1,4 +1,4 @@
-//! The types that most modules need.
+//! Commonly used types of the crate.
 
 pub use crate::clock::Instant;
 pub use crate::fingerprint::Fingerprint;
--- a/bergamotshift-core/src/price.rs
+++ b/bergamotshift-core/src/price.rs
@@ -1,4 +1,4 @@
-//! Prices in whole units, so that bills add up exactly.
+//! Prices as integers, so that sums are exact.
 
 use core::iter::Sum;
 use core::ops::Add;
@@ -7,17 +7,17 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// An amount of money in millionths of the deployment's currency unit.
+/// Amount of money in millionths of the deployment's currency unit.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Price(u64);
 
 impl Price {
-    /// Nothing to pay.
+    /// Price of zero.
     pub const ZERO: Self = Self(0);
 
-    /// Makes a price from millionths of a currency unit.
+    /// Creates a price from millionths of a currency unit.
     pub const fn from_micros(micros: u64) -> Self {
         Self(micros)
     }
@@ -27,9 +27,9 @@
         self.0
     }
 
-    /// Returns the cost of `span` at this price per hour, rounded down to a millionth.
+    /// Returns the cost of `span` at this price per hour, rounded down to a millionth of a currency unit.
     #[must_use]
-    pub const fn per_hour_for(self, span: Duration) -> Self {
+    pub const fn cost_of(self, span: Duration) -> Self {
         const MICROS_PER_HOUR: u128 = 3_600_000_000;
         let cost = self.0 as u128 * span.as_micros() / MICROS_PER_HOUR;
         Self(cost as u64)
--- a/bergamotshift-core/src/table.rs
+++ b/bergamotshift-core/src/table.rs
@@ -1,24 +1,24 @@
-//! Rows, conditions and writes of the platform's transactional table service, as the kernel sees them.
+//! Rows, conditions and writes of the platform's transactional table service, as used by the kernel.
 //!
-//! The kernel turns decisions into [`Write`]s and reads [`Row`]s back; an adapter of the platform crate carries them.
-//! A row is an opaque body under a version number, which is all that a compare-and-set protocol needs.
+//! The kernel turns decisions into [`Write`]s and reads [`Row`]s; an adapter in the platform crate executes them. A row is
+//! an opaque body with a version number, which is all that a compare-and-set protocol needs.
 
 use serde::Deserialize;
 use serde::Serialize;
 use smol_str::SmolStr;
 
-/// Finds a row: rows of one partition are listed together, in the order of their sort key.
+/// Key of a row. Rows of one partition are listed together, in the order of their sort keys.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Serialize, Deserialize)]
 pub struct Key {
-    /// The partition, such as `claim/ORGANISATION`.
+    /// Partition, such as `claim/ORGANISATION`.
     pub partition: SmolStr,
-    /// The place inside the partition.
+    /// Sort key within the partition.
     pub sort: SmolStr,
 }
 
 impl Key {
-    /// Makes a key from its two parts.
+    /// Creates a key from its two parts.
     pub fn new(partition: impl AsRef<str>, sort: impl AsRef<str>) -> Self {
         Self {
             partition: SmolStr::new(partition),
@@ -27,17 +27,17 @@
     }
 }
 
-/// A row as it was read.
+/// Row as read from the table.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 #[derive(Serialize, Deserialize)]
 pub struct Row {
-    /// Counts the row's writes; the first write makes it 1.
+    /// Version number, which is 1 after the first write and increases with each write.
     pub version: u64,
-    /// The content, opaque to the table.
+    /// Content, opaque to the table.
     pub body: Vec<u8>,
 }
 
-/// What must hold of a row for the whole transaction to take effect.
+/// Condition on a row without which the whole transaction has no effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 #[derive(Serialize, Deserialize)]
 pub enum Condition {
@@ -45,44 +45,44 @@
     Absent,
     /// The row exists at exactly this version.
     Version(u64),
-    /// Nothing.
+    /// No condition.
     Any,
 }
 
-/// What becomes of a row when the transaction takes effect.
+/// Change of a row when the transaction takes effect.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 #[derive(Serialize, Deserialize)]
 pub enum Change {
-    /// The row holds this body, at the version after the one in the condition.
+    /// Stores this body with the next version number.
     Put(Vec<u8>),
-    /// The row is gone.
+    /// Deletes the row.
     Delete,
-    /// The row stays as it is; only the condition counts.
+    /// Leaves the row unchanged and only checks the condition.
     Check,
 }
 
-/// One row's part in a transaction.
+/// Write to one row as part of a transaction.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 #[derive(Serialize, Deserialize)]
 pub struct Write {
-    /// The row.
+    /// Key of the row.
     pub key: Key,
-    /// What must hold beforehand.
+    /// Condition that has to hold before the write.
     pub condition: Condition,
-    /// What holds afterwards.
+    /// Change of the row.
     pub change: Change,
 }
 
-/// How a transaction ended, as far as its sender can know.
+/// Result of a transaction, as far as its sender can know.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 #[derive(Serialize, Deserialize)]
 pub enum Ending {
-    /// It took effect.
+    /// The transaction took effect.
     Applied,
-    /// It did not take effect: the conditions of the writes at these places did not hold.
+    /// The transaction had no effect: the conditions of the writes with these indices did not hold.
     Conflict(Vec<usize>),
-    /// It did not take effect and never will: the service refused it, or no byte of it left.
+    /// The transaction has no effect and never will: the service refused it, or no byte of it was sent.
     Refused,
-    /// Its answer was lost; it may have taken effect. Reading the rows back settles it.
+    /// The answer was lost; the transaction may have taken effect. Reading the rows shows whether it did.
     Unknown,
 }
--- a/bergamotshift-core/src/throughput.rs
+++ b/bergamotshift-core/src/throughput.rs
@@ -1,8 +1,8 @@
-//! How fast something long has to move over a link.
+//! Minimum throughput of long transfers.
 //!
-//! Failure: a limit in time on the whole of something that grows. Symptom: once it takes longer than that over the narrowest
-//! link, it is given up each time and begun anew, for good, and the link is full of what is thrown away. A pace asks only
-//! that it moves: what is silent is given up as soon as ever, and what keeps coming is let come, however long it is.
+//! A timeout on a whole transfer fails when the data grows: once a transfer takes longer than the timeout over the slowest
+//! link, it is aborted and restarted forever, and the link is filled with discarded data. A minimum throughput aborts a
+//! stalled transfer just as early, but lets a transfer of any size finish while it makes progress.
 //!
 //! ```
 //! use bergamotshift_core::throughput::Throughput;
@@ -10,24 +10,24 @@
 //!
 //! let minimum = Throughput { bytes: 1_000, within: Duration::from_millis(500) };
 //! let mut monitor = minimum.monitor();
-//! assert!(monitor.is_sustained(1_000), "enough came in the first half second");
-//! assert!(monitor.is_sustained(2_500), "and in the next one");
-//! assert!(!monitor.is_sustained(3_000), "it hardly moves any more");
+//! assert!(monitor.is_sustained(1_000), "enough bytes in the first half second");
+//! assert!(monitor.is_sustained(2_500), "and in the second one");
+//! assert!(!monitor.is_sustained(3_000), "too few bytes in the third one");
 //! ```
 
 use core::time::Duration;
 
-/// How fast something long has to move.
+/// Minimum throughput of a transfer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Throughput {
-    /// So many bytes.
+    /// Minimum number of bytes per interval.
     pub bytes: usize,
-    /// Within each such time.
+    /// Length of the interval.
     pub within: Duration,
 }
 
 impl Throughput {
-    /// Begins to watch over one transfer, of which nothing has moved yet.
+    /// Creates a monitor for a transfer that has not moved any bytes yet.
     pub const fn monitor(self) -> Monitor {
         Monitor {
             bytes: self.bytes,
@@ -36,19 +36,21 @@
     }
 }
 
-/// Watches over one transfer.
+/// Monitor of the throughput of one transfer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Monitor {
     bytes: usize,
-    /// How much must have moved by the end of this time.
+    /// Total number of bytes due by the end of the current interval.
     due: usize,
 }
 
 impl Monitor {
-    /// Returns, at the end of each time, whether enough moved within it; `moved` is all that moved so far, in bytes.
+    /// Returns whether enough bytes moved in the interval that ends now; call it at the end of each interval.
+    ///
+    /// `moved` is the total number of bytes moved so far.
     pub const fn is_sustained(&mut self, moved: usize) -> bool {
-        let keeps = moved >= self.due;
+        let is_sustained = moved >= self.due;
         self.due = moved.saturating_add(self.bytes);
-        keeps
+        is_sustained
     }
 }
--- a/bergamotshift-core/src/urgency.rs
+++ b/bergamotshift-core/src/urgency.rs
@@ -1,20 +1,20 @@
-//! How soon an answer is needed.
+//! Urgency of requests.
 
 use serde::Deserialize;
 use serde::Serialize;
 
-/// How soon a request's answer is needed, from the service's rules or the caller's header.
+/// Urgency of a request, from the service's rules or the caller's header.
 ///
-/// The order is by precedence: `Urgent` sorts first.
+/// The order is by priority: `Urgent` sorts first.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Urgency {
-    /// A person waits for the answer; the service's latency target binds.
+    /// A person waits for the answer; the service's latency target is enforced.
     Urgent,
-    /// The answer is wanted soon; the target guides and does not bind.
+    /// The answer is needed soon; the latency target is a guideline and is not enforced.
     #[default]
     Normal,
-    /// The answer may wait for cheap room until its deadline.
+    /// The answer may wait for cheap capacity until its deadline.
     Deferrable,
 }
--- a/bergamotshift-core/src/vm.rs
+++ b/bergamotshift-core/src/vm.rs
@@ -1,4 +1,4 @@
-//! VMs as the platform sells and lists them.
+//! VMs as sold and listed by the platform.
 
 use core::net::SocketAddr;
 
@@ -7,89 +7,89 @@
 
 use crate::name;
 
-/// The market a VM was bought on.
+/// Market on which a VM was bought.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Market {
-    /// Cheap; the platform may reclaim it on seconds of notice.
+    /// Low price; the platform may reclaim the VM with a notice of seconds.
     #[default]
     Reclaimable,
-    /// Dear; the platform does not reclaim it.
+    /// High price; the platform does not reclaim the VM.
     OnDemand,
 }
 
-/// Tells one life of a VM, process or endpoint from the next at the same name or address.
+/// Incarnation of a VM, process or endpoint, which distinguishes it from others with the same name or address.
 ///
-/// A higher incarnation is a later life. A mark set on one incarnation never touches another, so a lagging list
-/// cannot bring a leaving VM back and an old mark cannot condemn its successor.
+/// A higher number is a later incarnation. A mark on one incarnation does not affect another one, so a lagging list cannot
+/// bring back a VM that is leaving, and an old mark does not apply to its successor.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Incarnation(u64);
 
 impl Incarnation {
-    /// Makes an incarnation from its number.
+    /// Creates an incarnation from its number.
     pub const fn new(number: u64) -> Self {
         Self(number)
     }
 
-    /// Returns the number.
+    /// Returns the number of the incarnation.
     pub const fn get(self) -> u64 {
         self.0
     }
 
-    /// Returns the incarnation after this one.
+    /// Returns the next incarnation.
     #[must_use]
     pub const fn next(self) -> Self {
         Self(self.0 + 1)
     }
 }
 
-/// What a VM is for.
+/// Role of a VM.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Role {
-    /// It runs an entry of the fleet.
+    /// The VM runs an entry of the fleet.
     Entry,
-    /// It runs an endpoint of this service.
+    /// The VM runs an endpoint of this service.
     Endpoint(name::Service),
 }
 
-/// Where a VM stands in its life, as the platform last said.
+/// Life cycle state of a VM, as last reported by the platform.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum State {
-    /// It runs, or starts.
+    /// The VM is running or starting.
     #[default]
     Live,
-    /// It was given notice and is gone after this many milliseconds from the listing.
+    /// The VM was given notice and is reclaimed when the notice ends.
     Leaving {
-        /// What is left of the notice, in milliseconds.
+        /// Remaining time of the notice when the VM was listed, in milliseconds.
         notice_ms: u64,
     },
 }
 
-/// One VM in the platform's list, which lags behind the truth.
+/// VM in the platform's list, which lags behind the actual state.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Listing {
-    /// The VM's name.
+    /// Name of the VM.
     pub name: name::Vm,
-    /// Which life of that name.
+    /// Incarnation of the VM of that name.
     pub incarnation: Incarnation,
-    /// Where its process listens.
+    /// Address on which its process listens.
     pub address: SocketAddr,
-    /// The availability zone.
+    /// Availability zone of the VM.
     pub zone: name::Zone,
-    /// The machine class.
+    /// Machine class of the VM.
     pub class: name::Class,
-    /// The market it was bought on.
+    /// Market on which the VM was bought.
     pub market: Market,
-    /// What it is for.
+    /// Role of the VM.
     pub role: Role,
-    /// Where it stands in its life.
+    /// Life cycle state of the VM.
     pub state: State,
 }
--- a/bergamotshift-core/tests/values.rs
+++ b/bergamotshift-core/tests/values.rs
@@ -1,4 +1,4 @@
-//! The value types' arithmetic at its edges.
+//! Arithmetic and parsing of the value types at their limits.
 
 use core::time::Duration;
 
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn time_saturates_at_its_ends() {
+fn time_saturates_at_its_limits() {
     assert_eq!(Instant::MAX + Duration::from_secs(1), Instant::MAX);
     assert_eq!(Instant::ZERO - Duration::from_secs(1), Instant::ZERO);
 }
@@ -21,19 +21,19 @@
 #[test]
 fn an_hour_costs_the_hourly_price() {
     let price = Price::from_micros(1_250_000);
-    assert_eq!(price.per_hour_for(Duration::from_hours(1)), price);
-    assert_eq!(price.per_hour_for(Duration::from_mins(30)), Price::from_micros(625_000));
+    assert_eq!(price.cost_of(Duration::from_hours(1)), price);
+    assert_eq!(price.cost_of(Duration::from_mins(30)), Price::from_micros(625_000));
 }
 
 #[test]
-fn fingerprints_keep_part_borders() {
+fn fingerprints_depend_on_part_boundaries() {
     let left = Fingerprint::of("ab", "c", "", b"");
     let right = Fingerprint::of("a", "bc", "", b"");
     assert_ne!(left, right);
 }
 
 #[test]
-fn attempt_ids_refuse_other_text() {
+fn attempt_ids_reject_invalid_text() {
     for text in [
         "",
         "12",
@@ -45,7 +45,7 @@
 }
 
 quickcheck! {
-    fn attempt_ids_survive_text(bits: u128) -> bool {
+    fn attempt_ids_round_trip_through_text(bits: u128) -> bool {
         let id = attempt::Id::new(bits);
         id.to_string().parse() == Ok(id)
     }
