--- a/bergamotshift-limit/src/admission/forecast.rs
+++ b/bergamotshift-limit/src/admission/forecast.rs
@@ -1,4 +1,4 @@
-//! Present waits of a service, computed from delayed load reports.
+//! Current waits of a service, computed from delayed load reports.
 
 use core::time::Duration;
 use std::collections::VecDeque;
--- a/bergamotshift-limit/src/admission/gate.rs
+++ b/bergamotshift-limit/src/admission/gate.rs
@@ -14,9 +14,9 @@
 /// Admission parameters of a service.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Settings {
-    /// Wait, as a part of the latency target, above which a service is contended and shares are enforced.
+    /// Wait, as a fraction of the latency target, above which a service is contended and shares are enforced.
     pub contention: f64,
-    /// Part of the latency target reserved for prediction errors.
+    /// Fraction of the latency target reserved for prediction errors.
     pub margin: f64,
     /// Shortest retry time given to a refused caller.
     pub min_retry: Duration,
@@ -64,7 +64,7 @@
         }
     }
 
-    /// Sets the service's capacity and its present waits; [`super::Forecast`] computes these from delayed reports.
+    /// Sets the service's capacity and its current waits; [`super::Forecast`] computes these from delayed reports.
     ///
     /// `capacity` is that of the whole service, in units of work per second. `waits` are ordered by [`Urgency`]. Each wait
     /// includes more urgent work and the concurrent work that [`Gate::set_concurrency`] subtracts. `portion` is this entry's
--- a/bergamotshift-limit/src/admission/mod.rs
+++ b/bergamotshift-limit/src/admission/mod.rs
@@ -86,7 +86,7 @@
 ///
 /// The decision takes a few atomic operations and does not depend on other organisations.
 ///
-/// If all refused callers got the same retry time, they would come back together and be refused again. A random part of
+/// If all refused callers got the same retry time, they would retry together and be refused again. A random part of
 /// up to half of the time is therefore added to it.
 pub fn decide(
     now: Instant,
--- a/bergamotshift-limit/src/defer.rs
+++ b/bergamotshift-limit/src/defer.rs
@@ -34,7 +34,7 @@
 pub struct Settings {
     /// Longest wait of deferrable work at which a service counts as having spare capacity.
     pub max_wait: Duration,
-    /// Reserve before the deadline, as a part of the expected run time.
+    /// Reserve before the deadline, as a fraction of the expected run time.
     pub margin: f64,
     /// Longest time until a job is checked again.
     pub recheck: Duration,
--- a/bergamotshift-limit/src/demand.rs
+++ b/bergamotshift-limit/src/demand.rs
@@ -38,7 +38,7 @@
     pub fresh: Duration,
     /// Age from which an origin's last report has no weight.
     pub horizon: Duration,
-    /// Part of every portion that does not depend on demand, so that new demand can be admitted at once.
+    /// Fraction of every portion that does not depend on demand, so that new demand can be admitted at once.
     pub floor: f64,
     /// Time constant of the demand average.
     pub window: Duration,
@@ -178,7 +178,7 @@
         }
     }
 
-    /// Sums the reports of one level; members that did not report count by `other_members` alone.
+    /// Sums the reports of one level; `other_members` also counts the members that did not report.
     fn level<'a>(
         &self,
         now: Instant,
@@ -232,7 +232,7 @@
     ///
     /// The portions of silent zones and entries stay in reserve, so that all portions never add up to much more than one.
     pub fn portion(&self, organisation: &name::Organisation) -> f64 {
-        let zone = self.zones.portion_among_reporting(organisation, self.floor) * self.zones.reporting_part();
+        let zone = self.zones.portion_among_reporting(organisation, self.floor) * self.zones.reporting_fraction();
         zone * self.within_zone(organisation)
     }
 
@@ -259,7 +259,7 @@
 
     /// Returns this entry's portion within its zone.
     fn within_zone(&self, organisation: &name::Organisation) -> f64 {
-        self.entries.portion_among_reporting(organisation, self.floor) * self.entries.reporting_part()
+        self.entries.portion_among_reporting(organisation, self.floor) * self.entries.reporting_fraction()
     }
 }
 
@@ -277,8 +277,8 @@
 }
 
 impl Level<'_> {
-    /// Returns the part of the allowance that is not reserved for silent members.
-    fn reporting_part(&self) -> f64 {
+    /// Returns the fraction of the allowance that is not reserved for silent members.
+    fn reporting_fraction(&self) -> f64 {
         self.reporting / self.members
     }
 
--- a/bergamotshift-limit/src/hedge.rs
+++ b/bergamotshift-limit/src/hedge.rs
@@ -56,7 +56,7 @@
     wait: AtomicU64,
 }
 
-/// Largest part of the wait by which one answer moves it.
+/// Maximum fraction of the wait by which one answer moves it.
 const STEP: f64 = 1.0 / 16.0;
 
 impl Hedge {
--- a/bergamotshift-limit/src/limiter/mod.rs
+++ b/bergamotshift-limit/src/limiter/mod.rs
@@ -59,7 +59,7 @@
     pub share: share::Settings,
     /// Admission to services.
     pub gate: admission::Settings,
-    /// Age at which a load report counts as at most; older reports are treated as this old.
+    /// Maximum age of a load report; older reports are treated as this old.
     pub max_report_age: Duration,
 }
 
--- a/bergamotshift-limit/src/quarantine/mod.rs
+++ b/bergamotshift-limit/src/quarantine/mod.rs
@@ -234,7 +234,7 @@
     /// Returns the recent deaths that appear correlated so far.
     ///
     /// When a zone is lost without notice, each request there is involved in one death, or in two if it was moved within
-    /// the zone, and would be refused without fault. Endpoints that ran no suspected request cannot all have died because
+    /// the zone, and would be refused although it is harmless. Endpoints that ran no suspected request cannot all have died because
     /// of one request, so two such deaths in a window indicate another cause. Two crashing requests that start in the same
     /// window look alike; `max_forgiven` bounds the number of endpoints that they crash.
     ///
--- a/bergamotshift-limit/src/quarantine/record.rs
+++ b/bergamotshift-limit/src/quarantine/record.rs
@@ -12,7 +12,8 @@
 
 /// Attribution of a death to the requests that were running there.
 ///
-/// On a merge, the higher attribution wins, so a death that does not count reaches every entry in any order of messages.
+/// On a merge, the higher attribution wins, so the decision not to count a death reaches all entries in any order of
+/// messages.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 #[derive(Serialize, Deserialize)]
 pub enum Attribution {
--- a/bergamotshift-limit/src/share/pool.rs
+++ b/bergamotshift-limit/src/share/pool.rs
@@ -14,7 +14,7 @@
 /// Parameters for the division of capacity.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Settings {
-    /// Wait, as a part of the latency target, from which the divided capacity is reduced.
+    /// Wait, as a fraction of the latency target, from which the divided capacity is reduced.
     pub contention: f64,
     /// Burst of an organisation, as time at the rate of its share.
     ///
@@ -31,7 +31,7 @@
     }
 }
 
-/// Present capacity and wait of a service.
+/// Current capacity and wait of a service.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Supply {
     /// Units of work per second, over all endpoints that can be reached from here.
@@ -45,8 +45,8 @@
 impl Supply {
     /// Returns the capacity to divide, which is reduced while the wait is too long.
     ///
-    /// If the shares added up to the whole capacity, a queue would never shrink: it would grow up to the target, and small
-    /// organisations would be refused within their share. The divided capacity falls with the wait, down to half at
+    /// If the shares added up to the whole capacity, a queue that has grown would never shrink: its length would drift up
+    /// to the target, and small organisations would be refused within their share. The divided capacity falls with the wait, down to half at
     /// `contention` plus half a target, so that the queue settles where contention begins.
     fn divisible(&self, contention: f64) -> f64 {
         const MAX_REDUCTION: f64 = 0.5;
--- a/bergamotshift-limit/tests/quota.rs
+++ b/bergamotshift-limit/tests/quota.rs
@@ -267,7 +267,7 @@
 
 quickcheck! {
     fn portions_of_equal_views_add_up_to_one(rates: Vec<u16>) -> bool {
-        // Each entry of a zone knows the present rates of the others.
+        // Each entry of a zone knows the current rates of the others.
         let now = Instant::from_secs(100);
         let count = rates.len();
         let announced = |index: usize| demand::Rates::from([(HOTEL, f64::from(rates[index]))]);
