--- a/bergamotshift-core/src/clock.rs
+++ b/bergamotshift-core/src/clock.rs
@@ -1,7 +1,7 @@
 //! Kernel time in microseconds since an epoch that the process chooses.
 //!
-//! The kernel never reads a clock. Every event carries an [`Instant`], so a test or a replay can simulate a day in a second
-//! and always processes events in the same order.
+//! The kernel never reads a clock. Every event carries an [`Instant`], so a test or a replay can simulate a day in a
+//! second and always processes events in the same order.
 
 use core::fmt;
 use core::ops::Add;
--- a/bergamotshift-core/src/lib.rs
+++ b/bergamotshift-core/src/lib.rs
@@ -1,8 +1,8 @@
 //! Value types shared by all bergamotshift crates.
 //!
-//! The crate contains small types such as kernel time, arena keys, names, outcomes, VM listings and prices. Nothing here
-//! reads a clock, opens a socket or draws a random number, so the kernel crates that use it can be replayed in virtual
-//! time.
+//! The crate contains small types such as kernel time, arena keys, names, outcomes, VM listings and prices. Nothing
+//! here reads a clock, opens a socket or draws a random number, so the kernel crates that use it can be replayed in
+//! virtual time.
 //!
 //! ```
 //! use bergamotshift_core::prelude::*;
--- a/bergamotshift-core/src/load.rs
+++ b/bergamotshift-core/src/load.rs
@@ -39,8 +39,8 @@
 impl Report {
     /// Returns the report with all values limited to plausible bounds.
     ///
-    /// A faulty endpoint may report the largest representable number, with which a sum would overflow and crash the thread
-    /// that serves callers. Sums of values within these bounds stay far below any overflow.
+    /// A faulty endpoint may report the largest representable number, with which a sum would overflow and crash the
+    /// thread that serves callers. Sums of values within these bounds stay far below any overflow.
     ///
     /// ```
     /// use bergamotshift_core::load::Report;
--- a/bergamotshift-core/src/outcome.rs
+++ b/bergamotshift-core/src/outcome.rs
@@ -7,8 +7,8 @@
 
 /// Knowledge of whether a failed request ran at an endpoint.
 ///
-/// `NotRun` is a guarantee: either no byte of the request was sent to an endpoint, or the endpoint proved that it refused
-/// the request before doing any work; and no attempt can start any more.
+/// `NotRun` is a guarantee: either no byte of the request was sent to an endpoint, or the endpoint proved that it
+/// refused the request before doing any work; and no attempt can start any more.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
--- a/bergamotshift-core/src/plugin.rs
+++ b/bergamotshift-core/src/plugin.rs
@@ -1,8 +1,8 @@
 //! Registry of plug-ins that register themselves.
 //!
 //! Each kind of plug-in has a descriptor type that can be stored in a `static` and is collected with [`inventory`]. The
-//! crate that defines the plug-in trait declares the collection, and each implementation submits a descriptor. Users look
-//! up a plug-in by name; the kernel does not name any.
+//! crate that defines the plug-in trait declares the collection, and each implementation submits a descriptor. Users
+//! look up a plug-in by name; the kernel does not name any.
 //!
 //! ```
 //! use bergamotshift_core::plugin::{self, Named};
--- a/bergamotshift-core/src/table.rs
+++ b/bergamotshift-core/src/table.rs
@@ -1,7 +1,7 @@
 //! Rows, conditions and writes of the platform's transactional table service, as used by the kernel.
 //!
-//! The kernel turns decisions into [`Write`]s and reads [`Row`]s; an adapter in the platform crate executes them. A row is
-//! an opaque body with a version number, which is all that a compare-and-set protocol needs.
+//! The kernel turns decisions into [`Write`]s and reads [`Row`]s; an adapter in the platform crate executes them. A row
+//! is an opaque body with a version number, which is all that a compare-and-set protocol needs.
 
 use serde::Deserialize;
 use serde::Serialize;
--- a/bergamotshift-core/src/throughput.rs
+++ b/bergamotshift-core/src/throughput.rs
@@ -1,8 +1,8 @@
 //! Minimum throughput of long transfers.
 //!
-//! A timeout on a whole transfer fails when the data grows: once a transfer takes longer than the timeout over the slowest
-//! link, it is aborted and restarted forever, and the link is filled with discarded data. A minimum throughput aborts a
-//! stalled transfer just as early, but lets a transfer of any size finish while it makes progress.
+//! A timeout on a whole transfer fails when the data grows: once a transfer takes longer than the timeout over the
+//! slowest link, it is aborted and restarted forever, and the link is filled with discarded data. A minimum throughput
+//! aborts a stalled transfer just as early, but lets a transfer of any size finish while it makes progress.
 //!
 //! ```
 //! use bergamotshift_core::throughput::Throughput;
--- a/bergamotshift-core/src/vm.rs
+++ b/bergamotshift-core/src/vm.rs
@@ -21,8 +21,8 @@
 
 /// Incarnation of a VM, process or endpoint, which distinguishes it from others with the same name or address.
 ///
-/// A higher number is a later incarnation. A mark on one incarnation does not affect another one, so a lagging list cannot
-/// bring back a VM that is leaving, and an old mark does not apply to its successor.
+/// A higher number is a later incarnation. A mark on one incarnation does not affect another one, so a lagging list
+/// cannot bring back a VM that is leaving, and an old mark does not apply to its successor.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Serialize, Deserialize)]
 #[serde(transparent)]
--- a/bergamotshift-limit/src/admission/forecast.rs
+++ b/bergamotshift-limit/src/admission/forecast.rs
@@ -63,8 +63,8 @@
 
     /// Updates the gate from a reading and from the work admitted since.
     ///
-    /// Call it at each tick of the control thread, even if the reading is not new: it also samples the work admitted until
-    /// now.
+    /// Call it at each tick of the control thread, even if the reading is not new: it also samples the work admitted
+    /// until now.
     pub fn tick(&mut self, now: Instant, reading: Reading) {
         let admitted = self.gate.admitted();
         self.samples.push_back(Sample { at: now, admitted });
--- a/bergamotshift-limit/src/admission/gate.rs
+++ b/bergamotshift-limit/src/admission/gate.rs
@@ -66,9 +66,9 @@
 
     /// Sets the service's capacity and its current waits; [`super::Forecast`] computes these from delayed reports.
     ///
-    /// `capacity` is that of the whole service, in units of work per second. `waits` are ordered by [`Urgency`]. Each wait
-    /// includes more urgent work and the concurrent work that [`Gate::set_concurrency`] subtracts. `portion` is this entry's
-    /// share of the demand; the other entries are assumed to admit work in proportion to this one.
+    /// `capacity` is that of the whole service, in units of work per second. `waits` are ordered by [`Urgency`]. Each
+    /// wait includes more urgent work and the concurrent work that [`Gate::set_concurrency`] subtracts. `portion` is
+    /// this entry's share of the demand; the other entries are assumed to admit work in proportion to this one.
     pub fn set(&self, now: Instant, capacity: f64, waits: [Duration; CLASSES], portion: f64) {
         let rate = capacity * portion.clamp(f64::MIN_POSITIVE, 1.0);
         for (backlog, wait) in self.backlogs.iter().zip(waits) {
@@ -79,8 +79,8 @@
 
     /// Sets the amount of work that runs concurrently, as the time that it takes at full capacity.
     ///
-    /// An engine runs a full batch of requests in parallel. If that work counted as a queue, requests would be refused while
-    /// slots are free; only work beyond the slots waits.
+    /// An engine runs a full batch of requests in parallel. If that work counted as a queue, requests would be refused
+    /// while slots are free; only work beyond the slots waits.
     pub fn set_concurrency(&self, concurrency: Duration) {
         let nanos = u64::try_from(concurrency.as_nanos()).unwrap_or(u64::MAX);
         self.concurrency_nanos.store(nanos, Relaxed);
@@ -131,9 +131,9 @@
 
     /// Records that an admitted request ended; `work` is its expected work.
     ///
-    /// When a full batch ends and as many new callers arrive, the freed slots would otherwise count as taken until the next
-    /// reading, and callers would be refused although engines are idle. The backlog also falls with time, so the predicted
-    /// wait can be too short by at most the time between two readings.
+    /// When a full batch ends and as many new callers arrive, the freed slots would otherwise count as taken until the
+    /// next reading, and callers would be refused although engines are idle. The backlog also falls with time, so the
+    /// predicted wait can be too short by at most the time between two readings.
     pub fn complete(&self, urgency: Urgency, work: u64) {
         for backlog in &self.backlogs[class(urgency)..] {
             backlog.refund(work);
--- a/bergamotshift-limit/src/backoff.rs
+++ b/bergamotshift-limit/src/backoff.rs
@@ -7,8 +7,8 @@
 
 /// Exponential backoff with jitter in the upper half of each delay.
 ///
-/// Requests that fail together would otherwise be retried together, in bursts at regular intervals. The random half of the
-/// delay spreads the retries; the fixed half prevents an immediate retry.
+/// Requests that fail together would otherwise be retried together, in bursts at regular intervals. The random half of
+/// the delay spreads the retries; the fixed half prevents an immediate retry.
 ///
 /// ```
 /// use bergamotshift_limit::backoff::Backoff;
--- a/bergamotshift-limit/src/bucket.rs
+++ b/bergamotshift-limit/src/bucket.rs
@@ -12,9 +12,9 @@
 
 /// Token bucket that limits units per second and allows bursts, by the generic cell rate algorithm.
 ///
-/// The state is a single instant, the algorithm's theoretical arrival time: the time at which all units taken so far are
-/// paid for. It lies in the past when the bucket is full. Any worker may take units; only the control thread sets the
-/// rate.
+/// The state is a single instant, the algorithm's theoretical arrival time: the time at which all units taken so far
+/// are paid for. It lies in the past when the bucket is full. Any worker may take units; only the control thread sets
+/// the rate.
 ///
 /// ```
 /// use bergamotshift_core::prelude::*;
--- a/bergamotshift-limit/src/demand.rs
+++ b/bergamotshift-limit/src/demand.rs
@@ -230,7 +230,8 @@
 
     /// Returns this entry's portion of an organisation's allowance, from 0 to 1.
     ///
-    /// The portions of silent zones and entries stay in reserve, so that all portions never add up to much more than one.
+    /// The portions of silent zones and entries stay in reserve, so that all portions never add up to much more than
+    /// one.
     pub fn portion(&self, organisation: &name::Organisation) -> f64 {
         let zone = self.zones.portion_among_reporting(organisation, self.floor) * self.zones.reporting_fraction();
         zone * self.within_zone(organisation)
@@ -238,8 +239,8 @@
 
     /// Returns this entry's portion of an organisation's share of the endpoints that can be reached from here.
     ///
-    /// Silent zones get no portion, because a zone that is cut off serves from its own endpoints. Live but silent entries
-    /// of this zone share its endpoints and keep their portions.
+    /// Silent zones get no portion, because a zone that is cut off serves from its own endpoints. Live but silent
+    /// entries of this zone share its endpoints and keep their portions.
     pub fn reachable_portion(&self, organisation: &name::Organisation) -> f64 {
         self.zones.portion_among_reporting(organisation, self.floor) * self.within_zone(organisation)
     }
--- a/bergamotshift-limit/src/limiter/kernel.rs
+++ b/bergamotshift-limit/src/limiter/kernel.rs
@@ -44,7 +44,8 @@
 }
 
 impl Kernel {
-    /// Creates the kernel of an entry; `zones` are the other zones and `peers` counts the other live entries of its zone.
+    /// Creates the kernel of an entry; `zones` are the other zones and `peers` counts the other live entries of its
+    /// zone.
     pub fn new(settings: Settings, zones: Vec<name::Zone>, peers: usize) -> Self {
         let ledger = Ledger::new(View::new(settings.demand, zones.clone(), peers));
         Self {
--- a/bergamotshift-limit/src/quarantine/mod.rs
+++ b/bergamotshift-limit/src/quarantine/mod.rs
@@ -16,7 +16,8 @@
 //! let mut quarantine = Quarantine::new(Settings::default());
 //! for (second, vm) in [(1, "vm-1"), (9, "vm-2")] {
 //!     let instance = Instance::new(name::Vm::from(vm), Incarnation::new(1));
-//!     quarantine.record_death(Instant::from_secs(second), Death { instance, announced: false, running: vec![crashing] });
+//!     let death = Death { instance, announced: false, running: vec![crashing] };
+//!     quarantine.record_death(Instant::from_secs(second), death);
 //! }
 //! let verdict = quarantine.table().verdict(Instant::from_secs(10), crashing);
 //! assert!(matches!(verdict, Verdict::Refused { .. }));
@@ -146,8 +147,9 @@
     ///
     /// Deaths without requests of this entry have to be recorded too, because they help to recognise correlated deaths.
     ///
-    /// A request that crashes every endpoint, sent again and again by its caller, would bring down one endpoint after the
-    /// other until none is left. It is refused after two distinct deaths, counted by content and shared between entries.
+    /// A request that crashes every endpoint, sent again and again by its caller, would bring down one endpoint after
+    /// the other until none is left. It is refused after two distinct deaths, counted by content and shared between
+    /// entries.
     pub fn record_death(&mut self, now: Instant, death: Death) {
         self.expire(now);
         if death.announced {
@@ -233,14 +235,16 @@
 
     /// Returns the recent deaths that appear correlated so far.
     ///
-    /// When a zone is lost without notice, each request there is involved in one death, or in two if it was moved within
-    /// the zone, and would be refused although it is harmless. Endpoints that ran no suspected request cannot all have died because
-    /// of one request, so two such deaths in a window indicate another cause. Two crashing requests that start in the same
-    /// window look alike; `max_forgiven` bounds the number of endpoints that they crash.
+    /// When a zone is lost without notice, each request there is involved in one death, or in two if it was moved
+    /// within the zone, and would be refused although it is harmless. Endpoints that ran no suspected request cannot
+    /// all have died because of one request, so two such deaths in a window indicate another cause. Two crashing
+    /// requests that start in the same window look alike; `max_forgiven` bounds the number of endpoints that they
+    /// crash.
     ///
-    /// This is provisional: if a harmless request reports the death of its endpoint before the crashing request that ran
-    /// there too, the death first looks unexplained, and two of them look correlated. Deaths are forgiven permanently only
-    /// when all their reports must have arrived; otherwise the crashing request would bring down a third endpoint.
+    /// This is provisional: if a harmless request reports the death of its endpoint before the crashing request that
+    /// ran there too, the death first looks unexplained, and two of them look correlated. Deaths are forgiven
+    /// permanently only when all their reports must have arrived; otherwise the crashing request would bring down a
+    /// third endpoint.
     fn correlated(&self) -> Correlated {
         let Settings {
             window,
--- a/bergamotshift-limit/src/quarantine/record.rs
+++ b/bergamotshift-limit/src/quarantine/record.rs
@@ -123,7 +123,8 @@
 
     /// Returns the suspicion to send to other entries.
     pub(super) fn export(&self, fingerprint: Fingerprint, now: Instant, correlated: &Correlated) -> Suspicion {
-        // The attribution of correlated deaths is settled within seconds; one announced as forgiven could not be revoked.
+        // The attribution of correlated deaths is settled within seconds; one announced as forgiven could not be
+        // revoked.
         let settled = |(instance, _): &(&Instance, &(Instant, Attribution))| !correlated.instances.contains(instance);
         let death = |(instance, (at, attribution)): (&Instance, &(Instant, Attribution))| {
             (instance.clone(), now.since(*at), *attribution)
--- a/bergamotshift-limit/src/quota/account.rs
+++ b/bergamotshift-limit/src/quota/account.rs
@@ -79,10 +79,10 @@
 
     /// Sets the buckets to this portion of the limits' rates, with the whole burst.
     ///
-    /// When an idle organisation sends requests to one entry, that entry's portion is small until the others have received
-    /// its announcement. Each entry therefore holds the whole burst; otherwise the organisation would be refused far below
-    /// its limit. Debt is kept in units, so that every entry grants at most one burst, once, and the fleet grants the
-    /// limit's rate after that.
+    /// When an idle organisation sends requests to one entry, that entry's portion is small until the others have
+    /// received its announcement. Each entry therefore holds the whole burst; otherwise the organisation would be
+    /// refused far below its limit. Debt is kept in units, so that every entry grants at most one burst, once, and the
+    /// fleet grants the limit's rate after that.
     pub(super) fn set_portion(&self, now: Instant, limits: &Limits, portion: f64) {
         let seconds = limits.burst_seconds();
         let requests = limits.requests_per_second.unwrap_or(0.0);
--- a/bergamotshift-limit/src/retry/budget.rs
+++ b/bergamotshift-limit/src/retry/budget.rs
@@ -11,7 +11,8 @@
 pub struct Settings {
     /// Extra attempts per request, for instance 0.2.
     pub ratio: f64,
-    /// Extra attempts lent at the start, so that a service with few requests can retry; the first requests pay them back.
+    /// Extra attempts lent at the start, so that a service with few requests can retry; the first requests pay them
+    /// back.
     pub reserve: u32,
     /// Maximum number of extra attempts saved up while nothing fails.
     pub burst: u32,
@@ -30,8 +31,8 @@
 /// Budget for all retries and hedges of one service.
 ///
 /// Unbounded retries would multiply the load while some endpoints fail, until the healthy ones fail too. Each request
-/// adds `ratio` tokens and each extra attempt takes one, so that fewer than `max(reserve, ratio × n)` extra attempts are
-/// made after `n` requests.
+/// adds `ratio` tokens and each extra attempt takes one, so that fewer than `max(reserve, ratio × n)` extra attempts
+/// are made after `n` requests.
 ///
 /// All methods take `&self` and are lock-free.
 ///
--- a/bergamotshift-limit/src/retry/mod.rs
+++ b/bergamotshift-limit/src/retry/mod.rs
@@ -87,9 +87,9 @@
 impl Policy {
     /// Decides on a request whose attempt failed, and takes from the budget if another attempt is made.
     ///
-    /// A move away from an endpoint that announced its end is not a retry: an accepted request has to survive an announced
-    /// reclaim, so the move uses neither attempts nor budget and has no delay. The number of announced reclaims bounds the
-    /// number of moves.
+    /// A move away from an endpoint that announced its end is not a retry: an accepted request has to survive an
+    /// announced reclaim, so the move uses neither attempts nor budget and has no delay. The number of announced
+    /// reclaims bounds the number of moves.
     pub fn decide(
         &self,
         now: Instant,
--- a/bergamotshift-limit/src/share/allowance.rs
+++ b/bergamotshift-limit/src/share/allowance.rs
@@ -28,8 +28,8 @@
 
     /// Takes work from the share.
     ///
-    /// Without contention, the caller admits the work even if this fails. A failed attempt takes nothing, so capacity that
-    /// is borrowed from others does not have to be paid back.
+    /// Without contention, the caller admits the work even if this fails. A failed attempt takes nothing, so capacity
+    /// that is borrowed from others does not have to be paid back.
     ///
     /// # Errors
     ///
--- a/bergamotshift-limit/src/share/mod.rs
+++ b/bergamotshift-limit/src/share/mod.rs
@@ -1,8 +1,8 @@
 //! Fair shares of one service among organisations, by weight.
 //!
-//! While the service has spare capacity, shares are not enforced: an organisation may use what others leave unused. Under
-//! contention (see [`crate::admission`]), only work within an organisation's share is admitted. Workers take work from an
-//! [`Allowance`]; the control thread keeps a [`Pool`] and divides the service's capacity at each tick.
+//! While the service has spare capacity, shares are not enforced: an organisation may use what others leave unused.
+//! Under contention (see [`crate::admission`]), only work within an organisation's share is admitted. Workers take work
+//! from an [`Allowance`]; the control thread keeps a [`Pool`] and divides the service's capacity at each tick.
 //!
 //! ```
 //! use bergamotshift_limit::share::{Claimant, divide};
--- a/bergamotshift-limit/src/share/pool.rs
+++ b/bergamotshift-limit/src/share/pool.rs
@@ -45,9 +45,9 @@
 impl Supply {
     /// Returns the capacity to divide, which is reduced while the wait is too long.
     ///
-    /// If the shares added up to the whole capacity, a queue that has grown would never shrink: its length would drift up
-    /// to the target, and small organisations would be refused within their share. The divided capacity falls with the wait, down to half at
-    /// `contention` plus half a target, so that the queue settles where contention begins.
+    /// If the shares added up to the whole capacity, a queue that has grown would never shrink: its length would drift
+    /// up to the target, and small organisations would be refused within their share. The divided capacity falls with
+    /// the wait, down to half at `contention` plus half a target, so that the queue settles where contention begins.
     fn divisible(&self, contention: f64) -> f64 {
         const MAX_REDUCTION: f64 = 0.5;
         let target = self.target.as_secs_f64().max(f64::MIN_POSITIVE);
@@ -104,8 +104,8 @@
 
     /// Records the demand since the last call and divides the supply.
     ///
-    /// An organisation with little or no demand still gets the share of its weight. An unused share costs nothing, and the
-    /// organisation's first requests must not wait until the next tick.
+    /// An organisation with little or no demand still gets the share of its weight. An unused share costs nothing, and
+    /// the organisation's first requests must not wait until the next tick.
     pub fn tick(&mut self, now: Instant, supply: Supply) {
         let capacity = supply.divisible(self.settings.contention);
         let requested = self
@@ -125,8 +125,8 @@
             let guaranteed = capacity * claimant.weight / weights.max(f64::MIN_POSITIVE);
             let rate = share.max(guaranteed);
             let portion = sums.reachable_portion(organisation);
-            // The arrivals at one entry fluctuate by the square root of their number, so the burst shrinks with the square
-            // root of the portion.
+            // The arrivals at one entry fluctuate by the square root of their number, so the burst shrinks with the
+            // square root of the portion.
             let burst = rate * portion.sqrt() * self.settings.burst.as_secs_f64();
             row.allowance.set(now, rate * portion, burst);
         }
--- a/bergamotshift-limit/src/throttle/mod.rs
+++ b/bergamotshift-limit/src/throttle/mod.rs
@@ -1,8 +1,8 @@
 //! Rate limits that servers announce for themselves, enforced as one budget over all clients.
 //!
 //! An overloaded server announces the number of requests per second that it accepts from all clients together, as a
-//! [`RateLimit`]. Each client has a [`Throttle`] for each server, which keeps the newest limit. One client grants requests
-//! to the server from its throttle, and the other clients ask it for permits.
+//! [`RateLimit`]. Each client has a [`Throttle`] for each server, which keeps the newest limit. One client grants
+//! requests to the server from its throttle, and the other clients ask it for permits.
 //!
 //! ```
 //! use bergamotshift_core::prelude::*;
--- a/bergamotshift-limit/tests/quarantine.rs
+++ b/bergamotshift-limit/tests/quarantine.rs
@@ -40,8 +40,8 @@
 
 #[test]
 fn crashing_request_is_refused_after_two_endpoints() {
-    // A request crashes vm-1, which also runs a harmless one; both are suspected and run alone. The caller sends the request
-    // again and it crashes vm-2. It is then refused for ten minutes; the harmless request is never refused.
+    // A request crashes vm-1, which also runs a harmless one; both are suspected and run alone. The caller sends the
+    // request again and it crashes vm-2. It is then refused for ten minutes; the harmless request is never refused.
     let mut quarantine = Quarantine::new(Settings::default());
     quarantine.record_death(at(1_000), death(1, &[CRASHING, HARMLESS]));
     assert_eq!(verdict(&quarantine, at(1_000), CRASHING), Verdict::Alone);
@@ -99,8 +99,9 @@
 
 #[test]
 fn unannounced_zone_loss_accuses_nobody() {
-    // A zone with three endpoints is lost without notice. A harmless request ran on the first endpoint and was moved to the
-    // second one, in the same zone. The third death, of an endpoint without suspected requests, shows the common cause.
+    // A zone with three endpoints is lost without notice. A harmless request ran on the first endpoint and was moved to
+    // the second one, in the same zone. The third death, of an endpoint without suspected requests, shows the common
+    // cause.
     let mut quarantine = Quarantine::new(Settings::default());
     quarantine.record_death(at(0), death(1, &[HARMLESS]));
     quarantine.record_death(at(300), death(2, &[HARMLESS]));
@@ -129,8 +130,8 @@
 
 #[test]
 fn crashing_requests_that_look_correlated_are_still_stopped() {
-    // Two requests repeatedly crash two endpoints at the same time, which looks correlated and is forgiven. The number of
-    // forgiven deaths is bounded, so both are refused in the end.
+    // Two requests repeatedly crash two endpoints at the same time, which looks correlated and is forgiven. The number
+    // of forgiven deaths is bounded, so both are refused in the end.
     let other = Fingerprint::new(3);
     let mut quarantine = Quarantine::new(Settings::default());
     let mut crashes = 0;
@@ -148,8 +149,8 @@
 
 #[test]
 fn entries_agree_after_exchanging_suspicions() {
-    // Each of two entries observed one death, so neither refuses the request yet. Their clocks differ by an hour, so deaths
-    // are sent with their age. After one exchange, both refuse it.
+    // Each of two entries observed one death, so neither refuses the request yet. Their clocks differ by an hour, so
+    // deaths are sent with their age. After one exchange, both refuse it.
     let hour = Duration::from_hours(1);
     let mut left = Quarantine::new(Settings::default());
     let mut right = Quarantine::new(Settings::default());
--- a/bergamotshift-limit/tests/quota.rs
+++ b/bergamotshift-limit/tests/quota.rs
@@ -131,9 +131,9 @@
 
 #[test]
 fn cut_off_zones_overshoot_within_the_bound() {
-    // An idle organisation floods all zones just after they are partitioned, while each zone assumes that the others have no
-    // demand. With k groups, the excess stays within (k - 1) × (fresh + horizon) / 2 seconds' worth of the limit plus one
-    // burst per entry, for any length of the partition; after the horizon, the limit's rate holds.
+    // An idle organisation floods all zones just after they are partitioned, while each zone assumes that the others
+    // have no demand. With k groups, the excess stays within (k - 1) × (fresh + horizon) / 2 seconds' worth of the
+    // limit plus one burst per entry, for any length of the partition; after the horizon, the limit's rate holds.
     let demand::Settings { fresh, horizon, .. } = demand::Settings::default();
     let seconds = (fresh + horizon).as_secs_f64() / 2.0;
     for (name, groups) in [("quota_cut_in_two_excess", 2), ("quota_cut_in_four_excess", 4)] {
@@ -153,8 +153,8 @@
 
 #[test]
 fn demand_that_moves_between_entries_gains_nothing() {
-    // The requests move to another entry every second, about as fast as gossip spreads the demand. The organisation must not
-    // exceed its limit; it cannot use all of it, because the portions lag behind the demand.
+    // The requests move to another entry every second, about as fast as gossip spreads the demand. The organisation
+    // must not exceed its limit; it cannot use all of it, because the portions lag behind the demand.
     let mut fleet = Fleet::new();
     let busy = |millis: u64, index| (millis / 1_000) as usize % (ZONES * PER_ZONE) == index;
     let share = fleet.run(0..120_000, connected, busy) / (RATE * 120.0);
--- a/bergamotshift-limit/tests/retry.rs
+++ b/bergamotshift-limit/tests/retry.rs
@@ -46,9 +46,9 @@
 
 #[test]
 fn third_of_endpoints_failing_cannot_multiply_load() {
-    // Every third attempt fails, which without a budget would cause 1.44 attempts per request. The budget adds a fifth of an
-    // attempt per request, after the initial reserve is paid back, so the load stays below 1.2 times the requests. Requests
-    // without budget fail at once.
+    // Every third attempt fails, which without a budget would cause 1.44 attempts per request. The budget adds a fifth
+    // of an attempt per request, after the initial reserve is paid back, so the load stays below 1.2 times the
+    // requests. Requests without budget fail at once.
     let (attempts, failed) = attempts_while_failing(10_000, 1.0 / 3.0);
     assert!(attempts < 12_000, "{attempts} attempts");
     assert!(attempts > 11_900, "the budget is used: {attempts} attempts");
@@ -68,8 +68,9 @@
     assert!(budget.try_withdraw());
 }
 
-// An entry that starts assumes a fleet of a dozen entries and gets its part of the retry budget. When it learns that there
-// are dozens, it must not spend what it saved beyond its smaller part, or all entries together would exceed the bound.
+// An entry that starts assumes a fleet of a dozen entries and gets its part of the retry budget. When it learns that
+// there are dozens, it must not spend what it saved beyond its smaller part, or all entries together would exceed the
+// bound.
 #[test]
 fn a_smaller_bound_takes_what_was_saved() {
     let budget = Budget::new(retry::Settings {
@@ -156,8 +157,8 @@
 
 #[test]
 fn announced_moves_spend_no_budget() {
-    // Guards against losing accepted requests when a zone is reclaimed with notice while the budget is empty: such requests
-    // still move to other endpoints.
+    // Guards against losing accepted requests when a zone is reclaimed with notice while the budget is empty: such
+    // requests still move to other endpoints.
     let budget = Budget::new(retry::Settings {
         reserve: 0,
         ..retry::Settings::default()
--- a/bergamotshift-limit/tests/share.rs
+++ b/bergamotshift-limit/tests/share.rs
@@ -173,9 +173,9 @@
 
 #[test]
 fn large_organisation_does_not_delay_a_small_one_past_its_target() {
-    // The large organisation requests ten times the capacity, the small one a tenth of it. By predicted waits alone, the
-    // small one is refused as often as the large one. With shares, it is never refused and never late, and the large one
-    // gets the rest of the capacity.
+    // The large organisation requests ten times the capacity, the small one a tenth of it. By predicted waits alone,
+    // the small one is refused as often as the large one. With shares, it is never refused and never late, and the
+    // large one gets the rest of the capacity.
     let [_, alone] = run(false, &[], flood);
     println!("without shares: {alone:?}");
     assert!(alone.refused * 2 > alone.requested, "without shares: {alone:?}");
@@ -199,8 +199,8 @@
 
 #[test]
 fn small_organisation_that_starts_under_overload_is_admitted_at_once() {
-    // The large organisation overloads the service through the first entry. After half a minute, the small one starts at the
-    // last entry with the rate of its full share; its demand was unknown before.
+    // The large organisation overloads the service through the first entry. After half a minute, the small one starts
+    // at the last entry with the rate of its full share; its demand was unknown before.
     let arrivals = |millis, organisation, entry| match (organisation, entry) {
         (LARGE, 0) => 900.0,
         (SMALL, 3) if millis >= 30_000 => 45.0,
@@ -290,8 +290,8 @@
 
 #[test]
 fn work_that_fits_in_free_slots_does_not_wait() {
-    // An engine has slots for four seconds of work, twice the target. Requests that fill the slots all start at once; only
-    // later ones wait, and are refused if their wait is too long.
+    // An engine has slots for four seconds of work, twice the target. Requests that fill the slots all start at once;
+    // only later ones wait, and are refused if their wait is too long.
     let gate = Gate::new(admission::Settings::default());
     gate.set(Instant::ZERO, CAPACITY, [Duration::ZERO; 3], 1.0);
     gate.set_concurrency(Duration::from_secs(4));
--- a/bergamotshift-rollout/src/detector.rs
+++ b/bergamotshift-rollout/src/detector.rs
@@ -1,10 +1,10 @@
 //! Detection of bad versions by comparing the answers of both versions over the same time.
 //!
-//! Each route has two sequential tests, one for failures and one for slow answers, and so have all routes together. A test
-//! accumulates the log-likelihood ratio between a bad and a good version over the answers of the new version. The sum never
-//! falls below zero (CUSUM), so that a version that turns bad late is found as fast as one that is bad from the start. The
-//! baseline is measured at the version in force over the same time and route, so that a fault that affects both versions
-//! does not count against the new one.
+//! Each route has two sequential tests, one for failures and one for slow answers, and so have all routes together. A
+//! test accumulates the log-likelihood ratio between a bad and a good version over the answers of the new version. The
+//! sum never falls below zero (CUSUM), so that a version that turns bad late is found as fast as one that is bad from
+//! the start. The baseline is measured at the version in force over the same time and route, so that a fault that
+//! affects both versions does not count against the new one.
 
 use std::collections::BTreeMap;
 
@@ -46,7 +46,8 @@
 /// Quantile of the latency of the version in force that serves as the baseline.
 const BASELINE_QUANTILE: f64 = 0.8;
 
-/// Minimum fraction of the endpoints with answers that have to be bad, because one failing endpoint is not a bad version.
+/// Minimum fraction of the endpoints with answers that have to be bad, because one failing endpoint is not a bad
+/// version.
 const MIN_BAD_FRACTION: f64 = 0.5;
 
 /// Number of answers from which an endpoint is taken into account.
@@ -123,8 +124,8 @@
 
     /// Returns the failure rate: the greater of the rate over the last seconds and the current rate.
     ///
-    /// When both versions begin to fail, the rate over the last seconds is too low, and a good version would be rejected for
-    /// a fault that affects both.
+    /// When both versions begin to fail, the rate over the last seconds is too low, and a good version would be
+    /// rejected for a fault that affects both.
     fn failures(&self) -> f64 {
         let average = (self.bad + PRIOR_FAILURES) / (self.ended + PRIOR_ANSWERS);
         let current = (self.recent_bad + PRIOR_FAILURES) / (self.recent + PRIOR_ANSWERS);
--- a/bergamotshift-rollout/src/director.rs
+++ b/bergamotshift-rollout/src/director.rs
@@ -181,8 +181,8 @@
 
     /// Returns the share of the small requests that puts one endpoint under load.
     ///
-    /// A canary's share uses only a few slots. Without this load, a version that fails once half of its slots are in use
-    /// would be accepted and would fail at the next peak.
+    /// A canary's share uses only a few slots. Without this load, a version that fails once half of its slots are in
+    /// use would be accepted and would fail at the next peak.
     fn stress_share(&self, observation: &Observation) -> u16 {
         let answers = observation
             .evidence
@@ -243,8 +243,8 @@
 
     /// Returns whether the order is complete.
     ///
-    /// The old endpoints stop at once on completion, so no request may be in flight there unless the time limit is near.
-    /// Without endpoints of the new version, the order is not complete.
+    /// The old endpoints stop at once on completion, so no request may be in flight there unless the time limit is
+    /// near. Without endpoints of the new version, the order is not complete.
     fn is_complete(&self, now: Instant, observation: &Observation) -> bool {
         let steps: Duration = SHIFT_STEPS.iter().map(|(_, span)| *span).sum();
         let elapsed = self.shifting_for(now);
--- a/bergamotshift-rollout/src/evidence.rs
+++ b/bergamotshift-rollout/src/evidence.rs
@@ -30,8 +30,8 @@
 impl Group {
     /// Returns the group of an endpoint of the new version.
     ///
-    /// If each endpoint were counted separately, entries would exchange thousands of figures once all requests move, which
-    /// would fill the links of small VMs. A canary has few endpoints, so few of them share a group.
+    /// If each endpoint were counted separately, entries would exchange thousands of figures once all requests move,
+    /// which would fill the links of small VMs. A canary has few endpoints, so few of them share a group.
     pub const fn canary(hash: u64) -> Self {
         Self::Canary((hash % CANARY_GROUPS) as u8)
     }
--- a/bergamotshift-rollout/src/lib.rs
+++ b/bergamotshift-rollout/src/lib.rs
@@ -1,10 +1,10 @@
 //! Rollout decisions for new versions of a service, without I/O.
 //!
 //! An operator's [`Order`] names the version that a service is to run. The endpoints of that version first get a small,
-//! bounded share of the requests as a canary. The [`Evidence`] counts the answers of both versions over the same time, and
-//! the [`Detector`] compares them. The [`Director`], at the entry that holds the duties, issues [`Directive`]s: the share
-//! of the new version, and whether the order is completed or rolled back. Every entry keeps a [`Tracker`] for each service,
-//! which tells which versions may take requests.
+//! bounded share of the requests as a canary. The [`Evidence`] counts the answers of both versions over the same time,
+//! and the [`Detector`] compares them. The [`Director`], at the entry that holds the duties, issues [`Directive`]s: the
+//! share of the new version, and whether the order is completed or rolled back. Every entry keeps a [`Tracker`] for
+//! each service, which tells which versions may take requests.
 //!
 //! ```
 //! use core::time::Duration;
--- a/bergamotshift-rollout/src/tracker.rs
+++ b/bergamotshift-rollout/src/tracker.rs
@@ -26,9 +26,9 @@
 
 /// Rollout state of a service, which determines the versions that may take requests.
 ///
-/// The state depends only on the operators' orders and on the directives about them. Endpoints of the ordered version get
-/// no requests before a directive sets their share, nor once the directive is stale: an entry that is cut off falls back
-/// to the version that was in force.
+/// The state depends only on the operators' orders and on the directives about them. Endpoints of the ordered version
+/// get no requests before a directive sets their share, nor once the directive is stale: an entry that is cut off falls
+/// back to the version that was in force.
 #[derive(Clone, Debug, Default)]
 pub struct Tracker {
     order: Option<Order>,
