--- a/bergamotshift-route/benches/choice.rs
+++ b/bergamotshift-route/benches/choice.rs
@@ -1,4 +1,4 @@
-//! One decision among 600 endpoints, the cost of publishing a view, and their slopes.
+//! Time to choose an endpoint and to publish a view, by number of endpoints.
 
 use core::hint::black_box;
 
@@ -13,7 +13,7 @@
 
 const PROMPT_BLOCKS: u64 = 12;
 
-/// Makes a loaded site whose hints know a few of 500 templates.
+/// Returns a registry of loaded endpoints, each with hints for one of 500 prompt templates.
 fn site(endpoints: u32) -> Registry {
     let mut registry = Registry::default();
     registry.set_entries(8);
--- a/bergamotshift-route/src/choice.rs
+++ b/bergamotshift-route/src/choice.rs
@@ -1,4 +1,4 @@
-//! What a policy decides.
+//! Results of a routing decision.
 
 use bergamotshift_core::key;
 use bergamotshift_core::prelude::Instant;
@@ -6,28 +6,28 @@
 
 use crate::estimate::Estimate;
 
-/// The endpoint that runs the request.
+/// The endpoint that a policy chose for a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Choice {
-    /// The endpoint's place in the view that was asked.
+    /// Index of the endpoint among the rows of the view that the choice was made on.
     pub index: usize,
-    /// The endpoint's key, valid across views.
+    /// Key of the endpoint, valid across views.
     pub key: key::Endpoint,
-    /// What the decision expects.
+    /// Expected latency and cost of the request at this endpoint.
     pub estimate: Estimate,
 }
 
-/// Why no endpoint was chosen. No byte of the request has left.
+/// The reason why no endpoint was chosen. No byte of the request was sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Error)]
 pub enum Refusal {
-    /// No endpoint is live that the rules allow.
-    #[error("no endpoint is live that may run the request")]
+    /// No live endpoint is allowed to run the request.
+    #[error("no live endpoint is allowed to run the request")]
     NoEndpoint,
-    /// Deferrable work finds no cheap room yet; it should ask again at this moment at the latest.
-    #[error("no cheap room until {until}")]
+    /// No endpoint has spare capacity for deferrable work; the caller should retry no later than at `until`.
+    #[error("no spare capacity for deferrable work; retry by {until}")]
     Deferred {
-        /// When to ask again.
+        /// Latest time for the next attempt.
         until: Instant,
     },
 }
--- a/bergamotshift-route/src/error.rs
+++ b/bergamotshift-route/src/error.rs
@@ -1,20 +1,20 @@
-//! Errors of the control side, which builds views.
+//! Errors of the [`Registry`](crate::registry::Registry).
 
 use thiserror::Error as ThisError;
 
-/// Why a registry refused a change.
+/// An error of a registry operation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(ThisError)]
 pub enum Error {
-    /// A set of names is full; its size bounds what one view can tell apart.
+    /// A table is full. Its capacity bounds how many names or endpoints one view can distinguish.
     #[error("more than {limit} {what}")]
     Full {
-        /// What was counted.
+        /// Plural name of the items in the table.
         what: &'static str,
-        /// How many fit.
+        /// Capacity of the table.
         limit: usize,
     },
-    /// The key belongs to an endpoint that was removed.
+    /// The key refers to an endpoint that was removed.
     #[error("the endpoint is not registered")]
     Unknown,
 }
--- a/bergamotshift-route/src/flight.rs
+++ b/bergamotshift-route/src/flight.rs
@@ -1,4 +1,4 @@
-//! Counts of what this entry has in flight at one endpoint, shared by its threads and by successive views.
+//! Counters of the requests that this entry has in flight at an endpoint, shared by its threads and successive views.
 
 use core::sync::atomic::AtomicU32;
 use core::sync::atomic::AtomicU64;
@@ -7,9 +7,10 @@
 
 use bergamotshift_core::prelude::Urgency;
 
-/// Running totals of one endpoint; they only grow, and wrap.
+/// Request counters of one endpoint. The totals only grow, and wrap around.
 ///
-/// Relaxed ordering is enough: a decision tolerates a count that is a few sends old, and no other memory depends on it.
+/// Relaxed ordering is enough: a decision tolerates a count that is a few requests old, and no other memory depends on
+/// it.
 #[derive(Debug, Default)]
 pub struct Counter {
     sent: AtomicU32,
@@ -20,19 +21,19 @@
 
 const URGENCIES: usize = 3;
 
-/// The totals at one moment.
+/// A snapshot of a [`Counter`]'s totals.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Totals {
-    /// Requests sent so far.
+    /// Number of requests sent so far.
     pub sent: u32,
-    /// Requests ended so far.
+    /// Number of requests that ended so far, in whatever way.
     pub finished: u32,
-    /// Prompt tokens sent so far.
+    /// Number of prompt tokens to compute in the requests sent so far.
     pub prompt_tokens: u64,
 }
 
 impl Counter {
-    /// Returns the totals now.
+    /// Returns the current totals.
     pub fn totals(&self) -> Totals {
         Totals {
             sent: self.sent.load(Ordering::Relaxed),
@@ -41,10 +42,10 @@
         }
     }
 
-    /// Returns the share of the requests in flight that an engine serves no later than one of this urgency.
+    /// Returns the share of the requests in flight that are at least as urgent as `urgency`; 1 when none is in flight.
     ///
-    /// Engines serve by urgency and do not report who waits. Entries send alike, so the share of this entry's own
-    /// requests stands for all.
+    /// Engines serve requests by urgency, but do not report the urgency of those that wait. All entries send a similar
+    /// mix, so the share among this entry's own requests is an estimate for all of them.
     pub fn share_ahead(&self, urgency: Urgency) -> f32 {
         let counts = self
             .by_urgency
@@ -55,20 +56,20 @@
         if all > 0.0 { ahead / all } else { 1.0 }
     }
 
-    /// Returns how many requests this entry has in flight.
+    /// Returns the number of requests that this entry has in flight.
     pub fn in_flight(&self) -> u32 {
         self.totals().in_flight()
     }
 }
 
 impl Totals {
-    /// Returns how many requests were sent and not ended.
+    /// Returns the number of requests that were sent and have not ended.
     pub const fn in_flight(self) -> u32 {
         self.sent.wrapping_sub(self.finished)
     }
 }
 
-/// Counts one request as in flight until it is dropped.
+/// A guard that counts one request as in flight until it is dropped.
 #[derive(Debug)]
 pub struct Guard {
     counter: Arc<Counter>,
@@ -76,7 +77,7 @@
 }
 
 impl Guard {
-    /// Counts a request that is sent now.
+    /// Counts a request as sent and returns its guard.
     pub fn start(counter: &Arc<Counter>, urgency: Urgency, prompt_tokens: u32) -> Self {
         counter.sent.fetch_add(1, Ordering::Relaxed);
         counter.by_urgency[urgency as usize].fetch_add(1, Ordering::Relaxed);
--- a/bergamotshift-route/src/lib.rs
+++ b/bergamotshift-route/src/lib.rs
@@ -1,8 +1,8 @@
-//! Routing without I/O: which endpoint runs a request, what that is expected to cost, and what a reclaim does to streams.
+//! Routing without I/O: endpoint selection, latency and cost estimates, and migration plans for reclaimed VMs.
 //!
-//! A control task folds events into a [`Registry`](registry::Registry) and publishes an immutable [`View`]. Threads
-//! that serve callers describe a request as a [`Request`] and let a [`Policy`] choose; the only shared state they write is
-//! atomic counters and hints.
+//! A control task applies events to a [`Registry`](registry::Registry) and publishes an immutable [`View`]. Worker
+//! threads describe each call as a [`Request`] and let a [`Policy`] choose an endpoint. The only shared state that they
+//! write is atomic counters and prefix hints.
 //!
 //! ```
 //! use bergamotshift_core::prelude::*;
@@ -15,12 +15,12 @@
 //! let key = registry.insert(Endpoint { service, zone, ..Endpoint::default() })?;
 //!
 //! let view = registry.publish(Instant::ZERO);
-//! let policy = policy::build("target-then-cost").expect("it registered itself");
+//! let policy = policy::build("target-then-cost").expect("the policy is registered");
 //! let request = Request { service, prompt_tokens: 400, ..Request::default() };
-//! let choice = policy.choose(&view, &request, &mut Pcg64Mcg::new(7)).expect("one endpoint is live");
+//! let choice = policy.choose(&view, &request, &mut Pcg64Mcg::new(7)).expect("an endpoint is live");
 //! assert_eq!(choice.key, key);
 //! let in_flight = view.record_sent(&choice, &request);
-//! drop(in_flight); // the answer is whole
+//! drop(in_flight); // the attempt has ended
 //! # Ok::<(), bergamotshift_route::Error>(())
 //! ```
 
--- a/bergamotshift-route/src/policy/least.rs
+++ b/bergamotshift-route/src/policy/least.rs
@@ -1,4 +1,4 @@
-//! Least connections: the endpoint believed to have the fewest requests.
+//! Least connections: the endpoint with the fewest estimated requests.
 
 use bergamotshift_core::plugin;
 use rand_pcg::Pcg64Mcg;
@@ -11,30 +11,30 @@
 use crate::request::Request;
 use crate::view::View;
 
-/// Sends to the endpoint with the fewest sequences, by its report and what was sent since.
+/// Chooses the endpoint with the fewest sequences, estimated from its last report and the requests sent since.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Least;
+pub struct LeastConnections;
 
-impl Policy for Least {
+impl Policy for LeastConnections {
     fn choose(&self, view: &View, request: &Request<'_>, rng: &mut Pcg64Mcg) -> Result<Choice, Refusal> {
         let pool = view.pool(request.service);
-        // A random start breaks ties, or all entries would fill the first endpoint of the pool.
-        let (head, tail) = pool.split_at(super::below(rng, pool.len()));
-        let place = tail
+        // A random start breaks ties; otherwise all entries would fill the first endpoint of the pool.
+        let (head, tail) = pool.split_at(super::random_below(rng, pool.len()));
+        let index = tail
             .iter()
             .chain(head)
             .copied()
-            .filter(|&place| view.allows(place, request))
+            .filter(|&index| view.allows(index, request))
             .min_by(|&left, &right| sequences(view, request, left).total_cmp(&sequences(view, request, right)))
             .ok_or(Refusal::NoEndpoint)?;
-        Ok(super::choice(view, request, place))
+        Ok(super::choice(view, request, index))
     }
 }
 
-fn sequences(view: &View, request: &Request<'_>, place: u16) -> f32 {
-    Load::of(view, &view.rows[usize::from(place)], request.now).sequences
+fn sequences(view: &View, request: &Request<'_>, index: u16) -> f32 {
+    Load::of(view, &view.rows[usize::from(index)], request.now).sequences
 }
 
 plugin::inventory::submit! {
-    Kind { name: "least-connections", build: || Box::new(Least) }
+    Kind { name: "least-connections", build: || Box::new(LeastConnections) }
 }
--- a/bergamotshift-route/src/policy/mod.rs
+++ b/bergamotshift-route/src/policy/mod.rs
@@ -1,4 +1,4 @@
-//! Routing policies, which register themselves by name.
+//! Routing policies and their registration by name.
 
 use core::fmt;
 
@@ -19,34 +19,34 @@
 mod rotation;
 mod target;
 
-pub use affinity::Affinity;
-pub use least::Least;
-pub use pair::Pair;
-pub use rotation::Rotation;
+pub use affinity::PrefixAffinity;
+pub use least::LeastConnections;
+pub use pair::PowerOfTwo;
+pub use rotation::RoundRobin;
 pub use target::Settings;
-pub use target::Target;
+pub use target::TargetThenCost;
 
-/// The policy that entries use unless told otherwise.
+/// Name of the default policy.
 pub const DEFAULT: &str = "target-then-cost";
 
-/// Chooses the endpoint for a request.
+/// A strategy that chooses the endpoint for a request.
 ///
-/// One policy serves all threads of an entry. A choice allocates nothing, takes no lock and reads no clock.
+/// All threads of an entry share one policy. Choosing allocates nothing, takes no lock and reads no clock.
 pub trait Policy: fmt::Debug + Send + Sync {
-    /// Chooses an endpoint in the view.
+    /// Chooses an endpoint of the view.
     ///
     /// # Errors
     ///
-    /// Returns a [`Refusal`] when no endpoint may run the request, or deferrable work should wait.
+    /// Returns a [`Refusal`] when no endpoint is allowed to run the request, or when deferrable work should wait.
     fn choose(&self, view: &View, request: &Request<'_>, rng: &mut Pcg64Mcg) -> Result<Choice, Refusal>;
 }
 
-/// A policy's descriptor.
+/// The descriptor under which a policy is registered.
 #[derive(Debug)]
 pub struct Kind {
-    /// The name by which settings choose it.
+    /// Name that selects the policy in the settings.
     pub name: &'static str,
-    /// Makes the policy with its default settings.
+    /// Constructor of the policy with its default settings.
     pub build: fn() -> Box<dyn Policy>,
 }
 
@@ -58,7 +58,7 @@
 
 plugin::inventory::collect!(Kind);
 
-/// Makes the policy of this name, or nothing when none registered under it.
+/// Builds the policy registered as `name`, or returns `None` when there is none.
 pub fn build(name: &str) -> Option<Box<dyn Policy>> {
     plugin::find::<Kind>(name).map(|kind| (kind.build)())
 }
@@ -68,32 +68,33 @@
     plugin::names::<Kind>()
 }
 
-/// Returns a number below `bound`, or zero when `bound` is zero.
-fn below(rng: &mut Pcg64Mcg, bound: usize) -> usize {
+/// Returns a random number below `bound`, or zero when `bound` is zero.
+fn random_below(rng: &mut Pcg64Mcg, bound: usize) -> usize {
     ((u64::from(rng.next_u32()) * bound as u64) >> 32) as usize
 }
 
-/// Returns the first allowed place of the pool from position `start` on, going round once.
+/// Returns the first allowed endpoint of the service's pool, searching from position `start` and wrapping around once.
 fn first_allowed(view: &View, request: &Request<'_>, start: usize) -> Option<u16> {
     let pool = view.pool(request.service);
     let (head, tail) = pool.split_at(start.min(pool.len()));
     tail.iter()
         .chain(head)
         .copied()
-        .find(|&place| view.allows(place, request))
+        .find(|&index| view.allows(index, request))
 }
 
-/// Returns the choice of a place for which nothing is known to be cached.
-fn choice(view: &View, request: &Request<'_>, place: u16) -> Choice {
+/// Returns the choice of an endpoint that is assumed to have none of the prompt cached.
+fn choice(view: &View, request: &Request<'_>, index: u16) -> Choice {
     choice_with(
         view,
-        place,
-        &Forecast::of(view, &view.rows[usize::from(place)], request, 0.0),
+        index,
+        &Forecast::of(view, &view.rows[usize::from(index)], request, 0.0),
     )
 }
 
-fn choice_with(view: &View, place: u16, forecast: &Forecast) -> Choice {
-    let index = usize::from(place);
+/// Returns the choice of an endpoint with its forecast.
+fn choice_with(view: &View, index: u16, forecast: &Forecast) -> Choice {
+    let index = usize::from(index);
     Choice {
         index,
         key: view.rows[index].key,
--- a/bergamotshift-route/src/policy/pair.rs
+++ b/bergamotshift-route/src/policy/pair.rs
@@ -1,4 +1,4 @@
-//! Power of two choices: the less loaded of two endpoints drawn at random.
+//! Power of two choices: the less loaded of two random endpoints.
 
 use bergamotshift_core::plugin;
 use rand_pcg::Pcg64Mcg;
@@ -11,25 +11,26 @@
 use crate::request::Request;
 use crate::view::View;
 
-/// Draws two allowed endpoints and sends to the one with fewer sequences.
+/// Samples two allowed endpoints and chooses the one with fewer sequences.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Pair;
+pub struct PowerOfTwo;
 
-impl Policy for Pair {
+impl Policy for PowerOfTwo {
     fn choose(&self, view: &View, request: &Request<'_>, rng: &mut Pcg64Mcg) -> Result<Choice, Refusal> {
         let size = view.pool(request.service).len();
-        let mut draw = || super::first_allowed(view, request, super::below(rng, size)).ok_or(Refusal::NoEndpoint);
+        let mut draw =
+            || super::first_allowed(view, request, super::random_below(rng, size)).ok_or(Refusal::NoEndpoint);
         let (left, right) = (draw()?, draw()?);
-        let sequences = |place: u16| Load::of(view, &view.rows[usize::from(place)], request.now).sequences;
-        let place = if sequences(right) < sequences(left) {
+        let sequences = |index: u16| Load::of(view, &view.rows[usize::from(index)], request.now).sequences;
+        let index = if sequences(right) < sequences(left) {
             right
         } else {
             left
         };
-        Ok(super::choice(view, request, place))
+        Ok(super::choice(view, request, index))
     }
 }
 
 plugin::inventory::submit! {
-    Kind { name: "power-of-two", build: || Box::new(Pair) }
+    Kind { name: "power-of-two", build: || Box::new(PowerOfTwo) }
 }
--- a/bergamotshift-route/src/prelude.rs
+++ b/bergamotshift-route/src/prelude.rs
@@ -1,4 +1,4 @@
-//! The types that most callers of this crate need.
+//! Re-exports of the types that most callers need.
 
 pub use crate::choice::Choice;
 pub use crate::choice::Refusal;
--- a/bergamotshift-route/src/reclaim/mod.rs
+++ b/bergamotshift-route/src/reclaim/mod.rs
@@ -1,8 +1,9 @@
-//! What becomes of running streams when their endpoints are reclaimed.
+//! Migration plans for running streams whose endpoints are reclaimed.
 //!
-//! A notice leaves seconds. The plan covers all endpoints that leave together, such as a whole availability zone, and
-//! gives each stream one of four ways: finish in place, move its KV cache, resume elsewhere from the tokens received,
-//! or start over. Links are scarce, so moves go first to urgent streams, then to those that recomputing would cost most.
+//! A reclaim notice leaves seconds. A plan covers all endpoints that leave together, such as a whole availability zone,
+//! and assigns each stream an [`Action`]: finish in place, move its KV cache, resume elsewhere from the tokens
+//! received, start over, or stay until it is cut. Link bandwidth is scarce, so it goes to urgent streams first, then to
+//! those with the most tokens to recompute.
 //!
 //! ```
 //! use core::time::Duration;
@@ -23,24 +24,24 @@
 
 use crate::estimate::Speed;
 
-/// One announced reclaim, of one endpoint or of many at once.
+/// An announced reclaim of one or more endpoints, with the limits on moving their streams.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Notice {
-    /// What is left until the VMs are gone.
+    /// Time until the VMs are gone.
     pub remaining: Duration,
-    /// Kept back at the end for messages still under way.
+    /// Reserve at the end of that time for messages still in transit.
     pub margin: Duration,
-    /// Bytes per second that one leaving endpoint exports.
+    /// Export bandwidth of one leaving endpoint, in bytes per second.
     pub endpoint_link: u64,
-    /// Bytes per second that all of them export together, such as a zone's way out.
+    /// Export bandwidth shared by all leaving endpoints, such as a zone's uplink, in bytes per second.
     pub shared_link: u64,
-    /// Bytes of KV cache per token.
+    /// Size of the KV cache per token, in bytes.
     pub token_bytes: u64,
-    /// Fixed time of an import, whatever its size.
+    /// Fixed duration of an import, regardless of its size.
     pub import_time: Duration,
-    /// The longest pause that a move may put into an urgent stream.
+    /// Maximum pause that a move may cause in an urgent stream.
     pub max_pause: Duration,
-    /// How fast the engines are that take the streams over.
+    /// Speed of the engines that take over the streams.
     pub speed: Speed,
 }
 
@@ -62,27 +63,27 @@
 /// One running stream on a leaving endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Stream {
-    /// Tells the caller of [`plan`] which stream a step is about.
+    /// Id by which the caller of [`plan`] recognises the stream in a [`Step`].
     pub id: u64,
-    /// The leaving endpoint, as a number among those of this notice.
+    /// Index of the leaving endpoint among those of the notice.
     pub endpoint: usize,
-    /// How soon the answer is needed.
+    /// Urgency of the answer.
     pub urgency: Urgency,
-    /// Prompt tokens.
+    /// Number of tokens in the prompt.
     pub prompt_tokens: u32,
-    /// Tokens received so far.
+    /// Number of tokens received so far.
     pub received: u32,
-    /// Tokens still to come, as estimated.
+    /// Estimated number of tokens still to come.
     pub tokens_left: u32,
     /// Time between tokens at the leaving endpoint.
     pub between_tokens: Duration,
-    /// Leading tokens that a destination is believed to hold already.
+    /// Estimated number of leading tokens that a destination already has cached.
     pub cached_elsewhere: u32,
-    /// Whether engines can export and import its KV cache.
+    /// Whether the engines can export and import the stream's KV cache.
     pub movable: bool,
-    /// Whether an engine can continue from received tokens.
+    /// Whether an engine can continue from the received tokens.
     pub resumable: bool,
-    /// Whether it may run a second time.
+    /// Whether the request may run a second time.
     pub repeatable: bool,
 }
 
@@ -105,77 +106,82 @@
 }
 
 impl Stream {
-    const fn context(&self) -> u32 {
+    /// Returns the number of tokens in the KV cache: the prompt and the tokens received.
+    const fn context_tokens(&self) -> u32 {
         self.prompt_tokens + self.received
     }
 
-    /// Returns the tokens that another engine has to compute before it can go on.
-    const fn recompute(&self) -> u32 {
-        self.context().saturating_sub(self.cached_elsewhere)
+    /// Returns the number of tokens that another engine has to compute before it can continue the stream.
+    const fn recompute_tokens(&self) -> u32 {
+        self.context_tokens().saturating_sub(self.cached_elsewhere)
     }
 
-    fn finishes_in(&self) -> Duration {
+    /// Returns the estimated time until the stream ends at its present endpoint.
+    fn remaining_time(&self) -> Duration {
         self.between_tokens.saturating_mul(self.tokens_left)
     }
 }
 
-/// What becomes of a stream.
+/// The planned handling of a stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// It ends before the VM is gone.
+    /// The stream finishes in place before the VM is gone.
     Finish,
-    /// Its KV cache goes to another endpoint, which continues without recomputing.
+    /// The KV cache is transferred to another endpoint, which continues without recomputing.
     Move,
-    /// Another endpoint continues from the tokens received, recomputing what its cache lacks.
+    /// Another endpoint continues from the received tokens and recomputes those that it has not cached.
     Resume,
-    /// Another endpoint starts over, because no engine can continue it; tokens already delivered are checked, not sent.
+    /// Another endpoint starts over, because the stream can't be resumed. Tokens already delivered are compared with
+    /// the new ones and not sent again.
     StartOver,
-    /// It stays until it ends or is cut: it may not run twice, and its caller is told the outcome is unknown.
+    /// The stream stays until it ends or is cut, because it must not run twice. If it is cut, the caller is told that
+    /// the outcome is unknown.
     Stay,
 }
 
 /// One step of a plan.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Step {
-    /// The stream.
+    /// Id of the stream.
     pub id: u64,
-    /// What becomes of it.
+    /// Action to take.
     pub action: Action,
-    /// When the step starts, from now.
+    /// Delay from now until the step starts.
     pub after: Duration,
-    /// How long a move's transfer takes; zero for the others.
+    /// Duration of a move's transfer and import; zero for other actions.
     pub duration: Duration,
 }
 
-/// Plans all streams of one notice, in the order in which the steps start.
+/// Plans one step for each stream of a notice, ordered by start time.
 pub fn plan(notice: &Notice, streams: &[Stream]) -> Vec<Step> {
     let window = notice.remaining.saturating_sub(notice.margin);
     let mut steps = Vec::with_capacity(streams.len());
-    let mut cut: Vec<&Stream> = Vec::new();
+    let mut interrupted: Vec<&Stream> = Vec::new();
     for stream in streams {
-        if stream.finishes_in() <= window {
-            steps.push(Step::at_once(stream, Action::Finish));
+        if stream.remaining_time() <= window {
+            steps.push(Step::immediate(stream, Action::Finish));
         } else {
-            cut.push(stream);
+            interrupted.push(stream);
         }
     }
-    cut.sort_by_key(|stream| (stream.urgency, Reverse(stream.recompute()), stream.id));
+    interrupted.sort_by_key(|stream| (stream.urgency, Reverse(stream.recompute_tokens()), stream.id));
     let mut links = Links::new(notice, window, streams);
-    let mut again: Vec<&Stream> = Vec::new();
-    for stream in cut {
+    let mut restarts: Vec<&Stream> = Vec::new();
+    for stream in interrupted {
         match links.reserve(stream) {
             Some(step) => steps.push(step),
-            None if stream.repeatable => again.push(stream),
-            None => steps.push(Step::at_once(stream, Action::Stay)),
+            None if stream.repeatable => restarts.push(stream),
+            None => steps.push(Step::immediate(stream, Action::Stay)),
         }
     }
-    spread(&mut steps, &again, window);
+    schedule_restarts(&mut steps, &restarts, window);
     steps.sort_by_key(|step| (step.after, step.id));
     steps
 }
 
 impl Step {
-    const fn at_once(stream: &Stream, action: Action) -> Self {
+    /// Returns a step that starts now and takes no time.
+    const fn immediate(stream: &Stream, action: Action) -> Self {
         Self {
             id: stream.id,
             action,
@@ -185,37 +191,38 @@
     }
 }
 
-/// Restarts take the last one of this many parts of the window.
-const RESTARTS: u32 = 3;
+/// Divisor of the planning window: restarts are spread over the last of this many equal parts.
+const RESTART_PARTS: u32 = 3;
 
 /// Spreads restarts over the end of the window.
 ///
-/// All of them at the cut would queue their prompts at the endpoints that are left and push first tokens of new
-/// requests past their target. Earlier than needed, they would give away what the leaving endpoint still generates.
-/// Those with most tokens left go first: waiting would not let them finish in place.
-fn spread(steps: &mut Vec<Step>, again: &[&Stream], window: Duration) {
-    let mut order = again.to_vec();
-    order.sort_by_key(|stream| (Reverse(stream.finishes_in()), stream.id));
-    let turns = order.len().max(1) as u32;
-    for (turn, stream) in order.iter().enumerate() {
+/// If all streams restarted when the VMs are gone, their prompts would queue at the remaining endpoints and delay the
+/// first tokens of new requests beyond their target. If they restarted too early, the tokens that the leaving endpoint
+/// could still generate would be lost. Streams with the longest remaining time restart first, because waiting would not
+/// let them finish in place.
+fn schedule_restarts(steps: &mut Vec<Step>, restarts: &[&Stream], window: Duration) {
+    let mut order = restarts.to_vec();
+    order.sort_by_key(|stream| (Reverse(stream.remaining_time()), stream.id));
+    let count = order.len().max(1) as u32;
+    for (position, stream) in order.iter().enumerate() {
         let action = if stream.resumable {
             Action::Resume
         } else {
             Action::StartOver
         };
-        // A restart throws away what the leaving endpoint would still compute, so it goes at once.
+        // Starting over discards whatever the leaving endpoint still generates, so it happens at once.
         let after = match action {
             Action::StartOver => Duration::ZERO,
-            _ => window * (RESTARTS - 1) / RESTARTS + window / RESTARTS * turn as u32 / turns,
+            _ => window * (RESTART_PARTS - 1) / RESTART_PARTS + window / RESTART_PARTS * position as u32 / count,
         };
         steps.push(Step {
             after,
-            ..Step::at_once(stream, action)
+            ..Step::immediate(stream, action)
         });
     }
 }
 
-/// The time already promised on each link.
+/// Transfer time already reserved on each link.
 struct Links<'a> {
     notice: &'a Notice,
     window: Duration,
@@ -234,37 +241,43 @@
         }
     }
 
-    /// Reserves link time for a move, when it fits into the notice and saves engine time.
+    /// Reserves link time to move a stream, if the move fits into the window and saves engine time.
     ///
-    /// A transfer may take longer than recomputing and is still worth it: links are idle otherwise, while recomputing
-    /// takes engine time from the endpoints that are left just when they have least. Urgent streams bound the pause.
+    /// A transfer may take longer than recomputing and still be worthwhile: the links are otherwise idle, while
+    /// recomputing takes engine time from the remaining endpoints when it is scarcest. For urgent streams, the move
+    /// must also not exceed the maximum pause.
     fn reserve(&mut self, stream: &Stream) -> Option<Step> {
-        let bytes = u64::from(stream.context()) * self.notice.token_bytes;
-        let own = transfer(bytes, self.notice.endpoint_link);
-        let shared = transfer(bytes, self.notice.shared_link);
-        let recompute = self.notice.speed.prompt_micros(stream.recompute() as f32);
-        let saves = self.notice.import_time < Duration::from_micros(recompute as u64);
-        let short = stream.urgency != Urgency::Urgent || own + self.notice.import_time <= self.notice.max_pause;
-        if !(stream.movable && saves && short) {
+        let bytes = u64::from(stream.context_tokens()) * self.notice.token_bytes;
+        let endpoint_time = transfer(bytes, self.notice.endpoint_link);
+        let shared_time = transfer(bytes, self.notice.shared_link);
+        let recompute_micros = self.notice.speed.prompt_micros(stream.recompute_tokens() as f32);
+        let saves_compute = self.notice.import_time < Duration::from_micros(recompute_micros as u64);
+        let within_pause =
+            stream.urgency != Urgency::Urgent || endpoint_time + self.notice.import_time <= self.notice.max_pause;
+        if !(stream.movable && saves_compute && within_pause) {
             return None;
         }
         let start = self.endpoints[stream.endpoint].max(self.shared);
-        let takes = own.max(shared);
-        if start + takes + self.notice.import_time > self.window {
+        let transfer_time = endpoint_time.max(shared_time);
+        if start + transfer_time + self.notice.import_time > self.window {
             return None;
         }
-        self.endpoints[stream.endpoint] = start + takes;
-        self.shared += shared;
+        self.endpoints[stream.endpoint] = start + transfer_time;
+        self.shared += shared_time;
         Some(Step {
             id: stream.id,
             action: Action::Move,
-            // Reservations count back from the end: until its turn a stream goes on in place, where engine time is free.
-            after: self.window.saturating_sub(start + takes + self.notice.import_time),
-            duration: takes + self.notice.import_time,
+            // Reservations count back from the end of the window: until then a stream continues in place, where engine
+            // time is free.
+            after: self
+                .window
+                .saturating_sub(start + transfer_time + self.notice.import_time),
+            duration: transfer_time + self.notice.import_time,
         })
     }
 }
 
+/// Returns the time to transfer `bytes` over a link.
 fn transfer(bytes: u64, per_second: u64) -> Duration {
     const MICROS: u128 = 1_000_000;
     let micros = u128::from(bytes) * MICROS / u128::from(per_second.max(1));
--- a/bergamotshift-route/src/registry.rs
+++ b/bergamotshift-route/src/registry.rs
@@ -1,4 +1,4 @@
-//! The control side: folds events about endpoints and publishes views.
+//! Registry of all known endpoints. The control task updates it and publishes views from it.
 
 use core::fmt;
 use core::hash::Hash;
@@ -20,10 +20,10 @@
 use crate::view::View;
 use crate::view::Zone;
 
-/// How many endpoints a registry holds at most.
+/// Maximum number of endpoints in a registry.
 pub const MAX_ENDPOINTS: usize = (1 << prefix::SLOT_BITS) - 1;
 
-/// Everything known of all endpoints, kept by one control task.
+/// The mutable state of all endpoints, owned by one control task.
 pub struct Registry {
     endpoints: SlotMap<key::Endpoint, State>,
     services: Names<name::Service>,
@@ -36,9 +36,9 @@
 
 struct State {
     row: Row,
-    /// The counts when the last report arrived. A report is about one interval old when it arrives, so the counts of
-    /// the report before it are the ones that it covers.
-    arrival: flight::Totals,
+    /// Totals at the time when the last report arrived. A report is about one interval old when it arrives, so the
+    /// totals taken at the arrival of the previous report are the ones that it covers.
+    arrival_totals: flight::Totals,
 }
 
 impl Default for Registry {
@@ -56,52 +56,52 @@
 }
 
 impl Registry {
-    /// Returns the number of a service, giving it one when it is new.
+    /// Returns the number of a service, and assigns one to a new service.
     ///
     /// # Errors
     ///
     /// Returns [`Error::Full`] when no number is left.
     pub fn service(&mut self, name: &name::Service) -> Result<Service, Error> {
-        self.services.number(name).map(|number| Service(number as u16))
+        self.services.intern(name).map(|number| Service(number as u16))
     }
 
-    /// Returns the number of an availability zone, giving it one when it is new.
+    /// Returns the number of an availability zone, and assigns one to a new zone.
     ///
     /// # Errors
     ///
     /// Returns [`Error::Full`] when no number is left.
     pub fn zone(&mut self, name: &name::Zone) -> Result<Zone, Error> {
-        self.zones.number(name).map(|number| Zone(number as u8))
+        self.zones.intern(name).map(|number| Zone(number as u8))
     }
 
-    /// Returns the number of a machine class, giving it one when it is new.
+    /// Returns the number of a machine class, and assigns one to a new class.
     ///
     /// # Errors
     ///
     /// Returns [`Error::Full`] when no number is left.
     pub fn class(&mut self, name: &name::Class) -> Result<Class, Error> {
-        self.classes.number(name).map(|number| Class(number as u8))
+        self.classes.intern(name).map(|number| Class(number as u8))
     }
 
-    /// Returns the number of a model or adapter, giving it one when it is new.
+    /// Returns the number of a model or adapter, and assigns one to a new name.
     ///
     /// # Errors
     ///
     /// Returns [`Error::Full`] when no number is left.
     pub fn model(&mut self, name: &name::Model) -> Result<u8, Error> {
-        self.models.number(name).map(|number| number as u8)
+        self.models.intern(name).map(|number| number as u8)
     }
 
-    /// Says how many entries send to these endpoints, this one included.
+    /// Sets the number of entries that send to these endpoints, including this one.
     pub fn set_entries(&mut self, entries: u32) {
         self.entries = entries.max(1);
     }
 
-    /// Adds one life of an endpoint.
+    /// Adds an endpoint and returns its key. A restarted endpoint is added again under a new key.
     ///
     /// # Errors
     ///
-    /// Returns [`Error::Full`] when [`ENDPOINTS`] are registered.
+    /// Returns [`Error::Full`] when [`MAX_ENDPOINTS`] endpoints are registered.
     pub fn insert(&mut self, endpoint: Endpoint) -> Result<key::Endpoint, Error> {
         if self.endpoints.len() >= MAX_ENDPOINTS {
             return Err(Error::Full {
@@ -115,21 +115,23 @@
                 endpoint,
                 leaving: false,
                 report: None,
-                reported: Instant::ZERO,
-                hints_from: Instant::ZERO,
-                mark: flight::Totals::default(),
+                reported_at: Instant::ZERO,
+                event_gap_at: Instant::ZERO,
+                reported_totals: flight::Totals::default(),
                 counter: Arc::default(),
             },
-            arrival: flight::Totals::default(),
+            arrival_totals: flight::Totals::default(),
         }))
     }
 
-    /// Forgets an endpoint.
+    /// Removes an endpoint.
     pub fn remove(&mut self, key: key::Endpoint) {
         self.endpoints.remove(key);
     }
 
-    /// Replaces what is known of an endpoint, such as its price or its models; counts and marks stay.
+    /// Replaces the attributes of an endpoint, such as its price or its models.
+    ///
+    /// Its counters, its last report and its leaving flag are kept.
     ///
     /// # Errors
     ///
@@ -139,19 +141,19 @@
         Ok(())
     }
 
-    /// Marks an endpoint as leaving, for good: a new life is a new endpoint.
+    /// Marks an endpoint as leaving. The flag is permanent; a restarted endpoint is inserted as a new one.
     ///
     /// # Errors
     ///
     /// Returns [`Error::Unknown`] when the endpoint was removed.
     pub fn mark_leaving(&mut self, key: key::Endpoint) -> Result<(), Error> {
-        // Lagging lists and reports go on calling a leaving VM live. Nothing ever clears the mark, so none of them can
-        // bring new work to it.
+        // Delayed VM lists and reports can still show a leaving VM as live. The flag is never cleared, so they cannot
+        // cause new work to be sent to it.
         self.state(key)?.row.leaving = true;
         Ok(())
     }
 
-    /// Takes a load report; one that is older than the last is dropped.
+    /// Stores a load report. A report that is not newer than the last one is ignored.
     ///
     /// # Errors
     ///
@@ -163,28 +165,28 @@
         }
         state.row.leaving |= report.leaving;
         state.row.report = Some(report);
-        state.row.reported = now;
-        state.row.mark = state.arrival;
-        state.arrival = state.row.counter.totals();
+        state.row.reported_at = now;
+        state.row.reported_totals = state.arrival_totals;
+        state.arrival_totals = state.row.counter.totals();
         Ok(())
     }
 
-    /// Notes that cache events of an endpoint were lost: hints recorded before `now` are worth less.
+    /// Records that cache events of an endpoint were lost, which lowers the weight of hints recorded before `now`.
     ///
     /// # Errors
     ///
     /// Returns [`Error::Unknown`] when the endpoint was removed.
     pub fn record_event_gap(&mut self, key: key::Endpoint, now: Instant) -> Result<(), Error> {
-        self.state(key)?.row.hints_from = now;
+        self.state(key)?.row.event_gap_at = now;
         Ok(())
     }
 
-    /// Returns the hints, for cache events to be folded in.
+    /// Returns the index of prefix hints, to which cache events are applied.
     pub fn hints(&self) -> &Arc<prefix::Index> {
         &self.hints
     }
 
-    /// Returns how many endpoints are registered.
+    /// Returns the number of registered endpoints.
     pub fn len(&self) -> usize {
         self.endpoints.len()
     }
@@ -194,31 +196,31 @@
         self.endpoints.is_empty()
     }
 
-    /// Makes the view that threads read from now on.
+    /// Builds an immutable view of the current state.
     pub fn publish(&self, now: Instant) -> View {
         let rows: Vec<Row> = self.endpoints.values().map(|state| state.row.clone()).collect();
-        let slots = rows.iter().map(|row| prefix::Slot::of(row.key).place() + 1).max();
-        let mut places = vec![u16::MAX; slots.unwrap_or(0)];
+        let slots = rows.iter().map(|row| prefix::Slot::of(row.key).arena_index() + 1).max();
+        let mut index_by_slot = vec![u16::MAX; slots.unwrap_or(0)];
         let mut pools = vec![Pool::default(); self.services.len()];
-        for (place, row) in rows.iter().enumerate() {
-            places[prefix::Slot::of(row.key).place()] = place as u16;
+        for (index, row) in rows.iter().enumerate() {
+            index_by_slot[prefix::Slot::of(row.key).arena_index()] = index as u16;
             if !row.leaving
                 && let Some(pool) = pools.get_mut(usize::from(row.endpoint.service.0))
             {
-                pool.places.push(place as u16);
+                pool.indices.push(index as u16);
                 pool.mean_price += row.endpoint.price_of_work();
             }
         }
         for pool in &mut pools {
-            pool.mean_price /= pool.places.len().max(1) as f32;
-            pool.places
-                .sort_unstable_by_key(|&place| (rows[usize::from(place)].endpoint.price, place));
+            pool.mean_price /= pool.indices.len().max(1) as f32;
+            pool.indices
+                .sort_unstable_by_key(|&index| (rows[usize::from(index)].endpoint.price, index));
         }
         View {
             published: now,
             rows,
             pools,
-            places,
+            index_by_slot,
             hints: Arc::clone(&self.hints),
             entries: self.entries,
         }
@@ -238,7 +240,7 @@
     }
 }
 
-/// Names in the order in which they were first seen; a name's place is its number.
+/// An interner that numbers names in the order in which they are first seen.
 struct Names<N> {
     what: &'static str,
     limit: usize,
@@ -258,7 +260,7 @@
         self.known.len()
     }
 
-    fn number(&mut self, name: &N) -> Result<usize, Error> {
+    fn intern(&mut self, name: &N) -> Result<usize, Error> {
         if let Some(number) = self.known.iter().position(|known| known == name) {
             return Ok(number);
         }
--- a/bergamotshift-route/src/request.rs
+++ b/bergamotshift-route/src/request.rs
@@ -1,4 +1,4 @@
-//! A request as routing sees it.
+//! Routing-relevant description of a request.
 
 use bergamotshift_core::prelude::*;
 use core::time::Duration;
@@ -6,39 +6,39 @@
 use crate::set::Set;
 use crate::view::Service;
 
-/// What a request needs of an endpoint.
+/// A request to be routed: its constraints, latency targets and size.
 ///
 /// Hashes of the prompt's blocks are cumulative: the hash of block *i* covers blocks 0 to *i*, so that equal hashes
 /// mean equal prefixes.
 #[derive(Clone, Copy, Debug)]
 pub struct Request<'a> {
-    /// The moment of the decision.
+    /// Time of the decision.
     pub now: Instant,
-    /// The service that the request belongs to.
+    /// Service that the request is for.
     pub service: Service,
-    /// Availability zones in which the service's and the organisation's rules allow the request to run.
+    /// Availability zones in which the rules of the service and of the organisation allow the request to run.
     pub zones: Set,
-    /// Machine classes on which the rules allow it to run.
+    /// Machine classes on which the rules allow the request to run.
     pub classes: Set,
     /// Models and adapters that the endpoint must have loaded.
     pub models: Set,
-    /// How soon the answer is needed.
+    /// Urgency of the answer.
     pub urgency: Urgency,
     /// Target for the time to the first token, or to the whole answer of a plain service.
     pub first_token: Duration,
     /// Target for the time between tokens.
     pub between_tokens: Duration,
-    /// The last moment at which the answer is of use.
+    /// Time after which the answer is of no use.
     pub deadline: Instant,
-    /// Estimated tokens of the prompt.
+    /// Estimated number of tokens in the prompt.
     pub prompt_tokens: u32,
-    /// Estimated tokens of the answer.
+    /// Estimated number of tokens in the answer.
     pub answer_tokens: u32,
     /// Cumulative hashes of the prompt's blocks.
     pub prefix: &'a [u64],
-    /// Tokens per block of `prefix`.
+    /// Number of tokens per block of `prefix`.
     pub block_tokens: u32,
-    /// Endpoints that already failed this request or are suspected.
+    /// Endpoints that must not be chosen, such as those that already failed this request or run another suspected one.
     pub exclude: &'a [key::Endpoint],
 }
 
--- a/bergamotshift-route/src/set.rs
+++ b/bergamotshift-route/src/set.rs
@@ -1,6 +1,6 @@
-//! Small sets of numbered names (zones, classes, models), tested in one instruction on the request path.
+//! Bit sets of small numeric ids (zones, classes, models), which are cheap to test on the request path.
 
-/// A set of numbers below [`Set::CAPACITY`].
+/// A bit set of numbers below [`Set::CAPACITY`].
 ///
 /// ```
 /// use bergamotshift_route::set::Set;
@@ -13,16 +13,16 @@
 pub struct Set(u128);
 
 impl Set {
-    /// Numbers from zero up to, not including, this one fit.
+    /// Exclusive upper bound of the numbers that the set can hold.
     pub const CAPACITY: usize = 128;
 
-    /// Nothing.
+    /// The empty set.
     pub const EMPTY: Self = Self(0);
 
-    /// Every number.
+    /// The set of all numbers below [`Set::CAPACITY`].
     pub const ALL: Self = Self(u128::MAX);
 
-    /// Returns the set with `number` in it; numbers past the capacity are left out.
+    /// Returns the set with `number` added; numbers beyond the capacity are ignored.
     #[must_use]
     pub const fn with(self, number: u8) -> Self {
         match 1_u128.checked_shl(number as u32) {
@@ -53,7 +53,7 @@
         self.0 & !other.0 == 0
     }
 
-    /// Returns whether the set holds nothing.
+    /// Returns whether the set is empty.
     pub const fn is_empty(self) -> bool {
         self.0 == 0
     }
--- a/bergamotshift-route/src/view/mod.rs
+++ b/bergamotshift-route/src/view/mod.rs
@@ -1,4 +1,4 @@
-//! The immutable picture of all endpoints that one decision reads.
+//! Immutable snapshot of all endpoints, on which routing decisions are made.
 
 use core::fmt;
 use std::sync::Arc;
@@ -13,11 +13,11 @@
 use crate::request::Request;
 use crate::set::Set;
 
-/// A service's number in its registry.
+/// Number of a service in its registry.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Service(pub(crate) u16);
 
-/// An availability zone's number in its registry, below [`Set::CAPACITY`].
+/// Number of an availability zone in its registry, below [`Set::CAPACITY`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Zone(pub(crate) u8);
 
@@ -28,7 +28,7 @@
     }
 }
 
-/// A machine class's number in its registry, below [`Set::CAPACITY`].
+/// Number of a machine class in its registry, below [`Set::CAPACITY`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Class(pub(crate) u8);
 
@@ -39,44 +39,44 @@
     }
 }
 
-/// What is known of one endpoint.
+/// Attributes of an endpoint.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Endpoint {
-    /// The service it runs.
+    /// Service that the endpoint runs.
     pub service: Service,
-    /// Its availability zone.
+    /// Availability zone of the VM.
     pub zone: Zone,
-    /// Its machine class.
+    /// Machine class of the VM.
     pub class: Class,
-    /// The market its VM was bought on.
+    /// Market on which the VM was bought.
     pub market: Market,
-    /// What its VM costs per hour.
+    /// Price of the VM per hour.
     pub price: Price,
-    /// Reclaims expected per hour of its zone, class and market, in thousandths.
+    /// Expected reclaims per hour for the VM's zone, class and market, in thousandths.
     pub reclaims_per_mille_hour: u32,
-    /// Models and adapters it has loaded.
+    /// Models and adapters that are loaded.
     pub models: Set,
-    /// How fast its engine is.
+    /// Speed of the engine.
     pub speed: Speed,
 }
 
 impl Endpoint {
-    /// Returns the price per hour of as much work as the reference engine does, in millionths.
+    /// Returns the price of the work that the reference engine does in an hour, in millionths of a currency unit.
     pub(crate) fn price_of_work(&self) -> f32 {
         self.price.as_micros() as f32 * self.speed.slowness()
     }
 }
 
-/// An endpoint in a view: what is known, and what changed since.
+/// An endpoint in a view: its attributes, its last load report and its request counters.
 #[derive(Clone, Debug)]
 pub struct Row {
     pub(crate) key: key::Endpoint,
     pub(crate) endpoint: Endpoint,
     pub(crate) leaving: bool,
     pub(crate) report: Option<Report>,
-    pub(crate) reported: Instant,
-    pub(crate) hints_from: Instant,
-    pub(crate) mark: flight::Totals,
+    pub(crate) reported_at: Instant,
+    pub(crate) event_gap_at: Instant,
+    pub(crate) reported_totals: flight::Totals,
     pub(crate) counter: Arc<flight::Counter>,
 }
 
@@ -86,22 +86,22 @@
         self.key
     }
 
-    /// Returns what is known of the endpoint.
+    /// Returns the endpoint's attributes.
     pub const fn endpoint(&self) -> &Endpoint {
         &self.endpoint
     }
 
-    /// Returns whether the endpoint gets no new work.
+    /// Returns whether the endpoint is leaving and gets no new requests.
     pub const fn is_leaving(&self) -> bool {
         self.leaving
     }
 
-    /// Returns the last load report and when it arrived.
+    /// Returns the last load report and the time of its arrival.
     pub fn report(&self) -> Option<(Report, Instant)> {
-        self.report.map(|report| (report, self.reported))
+        self.report.map(|report| (report, self.reported_at))
     }
 
-    /// Returns this entry's counts at the endpoint.
+    /// Returns this entry's request counters for the endpoint.
     pub fn counter(&self) -> &flight::Counter {
         &self.counter
     }
@@ -110,94 +110,97 @@
 /// The live endpoints of one service.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Pool {
-    /// Places in the view's rows, cheapest first.
-    pub(crate) places: Vec<u16>,
-    /// Mean price per hour of the reference engine's work, in millionths.
+    /// Indices into the view's rows, lowest price first.
+    pub(crate) indices: Vec<u16>,
+    /// Mean of [`Endpoint::price_of_work`] over the pool, in millionths of a currency unit.
     pub(crate) mean_price: f32,
 }
 
-/// Every endpoint at one moment, with each service's endpoints in the order of their price.
+/// A snapshot of all endpoints, with the endpoints of each service ordered by price.
 #[derive(Clone)]
 pub struct View {
     pub(crate) published: Instant,
     pub(crate) rows: Vec<Row>,
-    /// The pool of each service, by the service's number.
+    /// Pool of each service, indexed by the service's number.
     pub(crate) pools: Vec<Pool>,
-    /// The place in `rows` of each arena slot, or `u16::MAX`.
-    pub(crate) places: Vec<u16>,
+    /// Index into `rows` for each arena index, or `u16::MAX` where there is no endpoint.
+    pub(crate) index_by_slot: Vec<u16>,
     pub(crate) hints: Arc<prefix::Index>,
     pub(crate) entries: u32,
 }
 
 impl View {
-    /// Returns when the view was published.
+    /// Returns the time when the view was published.
     pub const fn published(&self) -> Instant {
         self.published
     }
 
-    /// Returns how many entries send to these endpoints, this one included.
+    /// Returns the number of entries that send to these endpoints, including this one.
     pub const fn entries(&self) -> u32 {
         self.entries
     }
 
-    /// Returns all endpoints, leaving ones included.
+    /// Returns all endpoints, including those that are leaving.
     pub fn rows(&self) -> &[Row] {
         &self.rows
     }
 
-    /// Returns the places of a service's live endpoints, cheapest first.
+    /// Returns the indices into [`rows`](Self::rows) of a service's live endpoints, lowest price first.
     pub fn pool(&self, service: Service) -> &[u16] {
         self.pools
             .get(usize::from(service.0))
-            .map_or(&[], |pool| pool.places.as_slice())
+            .map_or(&[], |pool| pool.indices.as_slice())
     }
 
-    /// Returns the mean price per hour of the reference engine's work among a service's live endpoints, in millionths.
+    /// Returns the mean of [`Endpoint::price_of_work`] over a service's live endpoints, in millionths of a currency
+    /// unit.
     pub(crate) fn mean_price(&self, service: Service) -> f32 {
         self.pools
             .get(usize::from(service.0))
             .map_or(0.0, |pool| pool.mean_price)
     }
 
-    /// Returns the index of prefix hints that all views of a registry share.
+    /// Returns the index of prefix hints, which all views of a registry share.
     pub fn hints(&self) -> &prefix::Index {
         &self.hints
     }
 
-    /// Finds an endpoint by its key.
+    /// Returns the endpoint with this key, if the view contains it.
     pub fn find(&self, key: key::Endpoint) -> Option<&Row> {
         let slot = prefix::Slot::of(key);
-        let place = *self.places.get(slot.place())?;
-        self.rows.get(usize::from(place)).filter(|row| row.key == key)
+        let index = *self.index_by_slot.get(slot.arena_index())?;
+        self.rows.get(usize::from(index)).filter(|row| row.key == key)
     }
 
-    /// Returns the place of the endpoint in an arena slot.
-    pub(crate) fn place_of(&self, slot: prefix::Slot) -> Option<u16> {
-        let place = *self.places.get(slot.place())?;
-        let row = self.rows.get(usize::from(place))?;
-        (prefix::Slot::of(row.key) == slot).then_some(place)
+    /// Returns the row index of the endpoint in an arena slot, if its generation matches.
+    pub(crate) fn index_of(&self, slot: prefix::Slot) -> Option<u16> {
+        let index = *self.index_by_slot.get(slot.arena_index())?;
+        let row = self.rows.get(usize::from(index))?;
+        (prefix::Slot::of(row.key) == slot).then_some(index)
     }
 
-    /// Returns the place where a prompt's first block is computed when no endpoint is known to hold it.
+    /// Returns the row index of a prompt's home endpoint, which computes prefixes that no endpoint is known to cache.
     ///
-    /// It follows from the block's hash and the endpoints' arena slots, so threads agree on it without talking and one
-    /// endpoint's leaving moves only the prefixes that it was home to.
-    pub(crate) fn home(&self, request: &Request<'_>) -> Option<u16> {
+    /// The home follows from the hash of the first block and the endpoints' arena slots. Threads therefore agree on it
+    /// without coordination, and when an endpoint leaves, only the prefixes of which it was the home move.
+    pub(crate) fn home_index(&self, request: &Request<'_>) -> Option<u16> {
         const TRIES: u64 = 4;
         let &block = request.prefix.first()?;
-        let slots = self.places.len() as u64;
-        (0..TRIES).find_map(|turn| {
-            let mixed = (block ^ turn.wrapping_mul(0x9E37_79B9_7F4A_7C15)).wrapping_mul(0xD6E8_FEB8_6659_FD93);
+        let slots = self.index_by_slot.len() as u64;
+        (0..TRIES).find_map(|attempt| {
+            let mixed = (block ^ attempt.wrapping_mul(0x9E37_79B9_7F4A_7C15)).wrapping_mul(0xD6E8_FEB8_6659_FD93);
             let slot = ((u128::from(mixed) * u128::from(slots)) >> 64) as usize;
-            let place = self.places[slot];
-            let row = self.rows.get(usize::from(place))?;
-            (row.endpoint.service == request.service && self.allows(place, request)).then_some(place)
+            let index = self.index_by_slot[slot];
+            let row = self.rows.get(usize::from(index))?;
+            (row.endpoint.service == request.service && self.allows(index, request)).then_some(index)
         })
     }
 
-    /// Returns whether the rules and the request's history allow it to run at this place.
-    pub fn allows(&self, place: u16, request: &Request<'_>) -> bool {
-        let row = &self.rows[usize::from(place)];
+    /// Returns whether the request may run at the endpoint with this row index.
+    ///
+    /// The endpoint must not be leaving or excluded, and must match the request's zones, classes and models.
+    pub fn allows(&self, index: u16, request: &Request<'_>) -> bool {
+        let row = &self.rows[usize::from(index)];
         let endpoint = &row.endpoint;
         !row.leaving
             && request.zones.contains(endpoint.zone.0)
@@ -206,13 +209,13 @@
             && !request.exclude.contains(&row.key)
     }
 
-    /// Counts a chosen request as sent, and remembers where its prefix is now cached.
+    /// Counts a request as sent to the chosen endpoint, and records hints for its prefix there.
     ///
-    /// The guard is dropped when the attempt ends, in whatever way.
+    /// The caller drops the guard when the attempt ends, in whatever way.
     ///
     /// # Panics
     ///
-    /// Panics when `choice` was made on another view with more endpoints.
+    /// Panics if `choice` was made on another view with more endpoints.
     pub fn record_sent(&self, choice: &Choice, request: &Request<'_>) -> flight::Guard {
         let row = &self.rows[choice.index];
         self.hints.record(request.prefix, row.key, request.now);
--- a/bergamotshift-route/tests/allocation.rs
+++ b/bergamotshift-route/tests/allocation.rs
@@ -1,6 +1,6 @@
-//! A decision and its bookkeeping allocate nothing.
+//! Choosing an endpoint and counting the request allocate nothing.
 //!
-//! The count covers the whole process, so this file holds one test.
+//! Allocations are counted for the whole process, so this file has only one test.
 
 use std::alloc::System;
 
@@ -45,7 +45,7 @@
         ..Request::default()
     };
     let mut rng = Pcg64Mcg::new(1);
-    // Policies are made before the count starts: making one allocates, choosing must not.
+    // Building a policy allocates, so the policies are built before counting starts.
     let policies: Vec<_> = policy::names().into_iter().filter_map(policy::build).collect();
     let control = Region::new(ALLOCATOR);
     drop(core::hint::black_box(vec![0_u8; 64]));
--- a/bergamotshift-route/tests/policy.rs
+++ b/bergamotshift-route/tests/policy.rs
@@ -1,4 +1,4 @@
-//! What every registered policy keeps to, and what the default adds.
+//! Properties of every registered policy, and of the default policy.
 
 use core::time::Duration;
 
@@ -7,7 +7,7 @@
 use bergamotshift_route::prelude::*;
 use rand_pcg::Pcg64Mcg;
 
-/// A site of one service with endpoints at these prices, all reporting no load.
+/// Returns a registry of one service with an idle endpoint for each price, and the endpoints' keys.
 fn site(prices: &[u64]) -> (Registry, Vec<key::Endpoint>) {
     let mut registry = Registry::default();
     let service = registry.service(&name::Service::new("planner")).unwrap();
@@ -85,9 +85,9 @@
 }
 
 #[test]
-fn leaving_stays_set_whatever_comes_late() {
-    // A VM gets its notice. A report and an update that were under way before it still call the VM live. Callers would
-    // see requests cut when the VM goes; the mark must therefore outlast both.
+fn late_reports_and_updates_do_not_clear_the_leaving_flag() {
+    // A report and an update that were sent before a VM's reclaim notice arrive after it and show the VM as live. If
+    // they cleared the flag, new requests would be sent to the VM and cut when it is gone.
     let (mut registry, keys) = site(&[1, 2]);
     registry.mark_leaving(keys[0]).unwrap();
     registry
@@ -145,7 +145,7 @@
 }
 
 #[test]
-fn a_cached_prefix_draws_the_request() {
+fn requests_go_to_the_endpoint_that_has_their_prefix_cached() {
     let (registry, keys) = site(&[1_000_000; 6]);
     let view = registry.publish(Instant::ZERO);
     let prefix = [0x1111_2222_3333_4444, 0x5555_6666_7777_8888];
@@ -166,7 +166,7 @@
 }
 
 #[test]
-fn deferrable_work_waits_for_room_until_its_deadline_presses() {
+fn deferrable_work_waits_for_capacity_until_its_deadline_is_near() {
     let (mut registry, keys) = site(&[1_000_000]);
     registry.record_report(keys[0], report(2, 120), Instant::ZERO).unwrap();
     let view = registry.publish(Instant::ZERO);
@@ -189,9 +189,9 @@
 }
 
 #[test]
-fn threads_share_a_view_and_lose_no_count() {
-    // Four threads decide on one view at once, as an entry's workers do. A lost count would make an endpoint look empty
-    // or full for good, since nothing corrects the totals later.
+fn threads_that_share_a_view_lose_no_counts() {
+    // Four threads choose endpoints from one view concurrently, as an entry's workers do. A lost count would make an
+    // endpoint look empty or full permanently, because nothing corrects the totals later.
     const THREADS: usize = 4;
     const SENDS: usize = 500;
     let (registry, keys) = site(&[1_000_000; 12]);
--- a/bergamotshift-route/tests/prefix.rs
+++ b/bergamotshift-route/tests/prefix.rs
@@ -1,4 +1,4 @@
-//! Prefix hints: found, aged, evicted, and never mixed up between lives of an endpoint.
+//! Prefix hints: lookup order, expiry, eviction and gaps in cache events.
 
 use core::time::Duration;
 
@@ -7,7 +7,8 @@
 use bergamotshift_route::prelude::*;
 use quickcheck::quickcheck;
 
-fn two() -> (Registry, key::Endpoint, key::Endpoint) {
+/// Returns a registry with two endpoints.
+fn two_endpoints() -> (Registry, key::Endpoint, key::Endpoint) {
     let mut registry = Registry::default();
     let left = registry.insert(Endpoint::default()).unwrap();
     let right = registry.insert(Endpoint::default()).unwrap();
@@ -16,7 +17,7 @@
 
 #[test]
 fn the_longest_prefix_comes_first() {
-    let (registry, left, right) = two();
+    let (registry, left, right) = two_endpoints();
     let prompt = [1 << 40, 2 << 40, 3 << 40];
     registry.hints().record(&prompt[..1], left, Instant::ZERO);
     registry.hints().record(&prompt, right, Instant::ZERO);
@@ -31,7 +32,7 @@
 
 #[test]
 fn hints_age_out() {
-    let (registry, left, _) = two();
+    let (registry, left, _) = two_endpoints();
     let prompt = [1 << 40];
     registry.hints().record(&prompt, left, Instant::ZERO);
     let later = Instant::ZERO + prefix::LIFETIME + Duration::from_secs(1);
@@ -40,7 +41,7 @@
 
 #[test]
 fn an_eviction_removes_only_its_own_hint() {
-    let (registry, left, right) = two();
+    let (registry, left, right) = two_endpoints();
     let prompt = [1 << 40];
     registry.hints().record(&prompt, left, Instant::ZERO);
     registry.hints().record(&prompt, right, Instant::ZERO);
@@ -49,8 +50,8 @@
 }
 
 #[test]
-fn a_gap_makes_older_hints_worth_less() {
-    let (mut registry, left, right) = two();
+fn a_gap_in_cache_events_lowers_the_weight_of_older_hints() {
+    let (mut registry, left, right) = two_endpoints();
     let prompt = [1 << 40, 2 << 40];
     let now = Instant::from_secs(10);
     registry.hints().record(&prompt, left, Instant::from_secs(1));
@@ -69,8 +70,8 @@
 }
 
 quickcheck! {
-    fn a_lookup_claims_no_more_than_was_recorded(prompt: Vec<u64>, kept: usize) -> bool {
-        let (registry, left, _) = two();
+    fn a_lookup_returns_no_more_blocks_than_were_recorded(prompt: Vec<u64>, kept: usize) -> bool {
+        let (registry, left, _) = two_endpoints();
         let kept = kept % (prompt.len() + 1);
         registry.hints().record(&prompt[..kept], left, Instant::ZERO);
         let mut blocks = prompt.clone();
--- a/bergamotshift-route/tests/reclaim.rs
+++ b/bergamotshift-route/tests/reclaim.rs
@@ -1,4 +1,4 @@
-//! Reclaim plans: each way is chosen where it fits, and links and notice are never overdrawn.
+//! Reclaim plans: the choice of actions, and the limits of links and notice.
 
 use core::time::Duration;
 
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn each_way_where_it_fits() {
+fn each_action_is_chosen_where_it_fits() {
     let cases = [
         (
             "short",
@@ -95,8 +95,8 @@
 
 #[test]
 fn a_slow_link_goes_to_urgent_streams_first() {
-    // A zone is reclaimed and its link carries only a few of its streams. Callers who wait must not be the ones whose
-    // answers stall while background work takes the link, so urgent streams reserve it first.
+    // A zone is reclaimed and its link has capacity for only a few of its streams. If deferrable streams took the link,
+    // the answers of waiting callers would stall, so urgent streams reserve it first.
     let notice = Notice {
         remaining: Duration::from_secs(3),
         ..notice()
@@ -125,7 +125,7 @@
 
 #[test]
 fn restarts_spread_over_the_end_of_the_notice() {
-    // The window is 18 s; restarts take its last third, one turn each.
+    // The window is 18 s. Ten restarts are spread evenly over its last third.
     let streams: Vec<Stream> = (0..10).map(|id| Stream { id, ..LONG }).collect();
     let plan = reclaim::plan(&notice(), &streams);
     assert_eq!(plan[0].after, Duration::from_secs(12));
@@ -135,7 +135,7 @@
 
 #[test]
 fn a_move_ends_with_the_window() {
-    // A stream that is moved early leaves engine time unused where it is free, and takes some where it is scarce.
+    // A stream that moves early wastes free engine time at the leaving endpoint and takes scarce time elsewhere.
     let plan = reclaim::plan(&notice(), &[Stream { movable: true, ..LONG }]);
     assert_eq!(plan[0].after + plan[0].duration, Duration::from_secs(18));
 }
