--- a/bergamotshift-capacity/src/bench/capacity.rs
+++ b/bergamotshift-capacity/src/bench/capacity.rs
@@ -20,11 +20,11 @@
 
 const TICK: u64 = 15;
 const SECONDS_PER_HOUR: f64 = 3_600.0;
-const HOURS: f64 = TICK as f64 / SECONDS_PER_HOUR;
+const TICK_HOURS: f64 = TICK as f64 / SECONDS_PER_HOUR;
 /// What runs before the day begins is not measured; this time fills the fleet.
-const WARM: u64 = 900;
+const WARM_UP: u64 = 900;
 /// How much of the noise of one tick is left at the next.
-const PERSISTENCE: f64 = 0.8;
+const NOISE_PERSISTENCE: f64 = 0.8;
 
 /// Deferred work that arrives at once; times are in seconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -95,7 +95,7 @@
     for second in (0..scenario.span).step_by(TICK as usize) {
         let now = Instant::from_secs(second);
         for loss in scenario.losses.iter().filter(|loss| due(loss.at, second)) {
-            for event in platform.lose(loss.zone) {
+            for event in platform.lose_zone(loss.zone) {
                 policy.event(now, &event);
             }
         }
@@ -103,8 +103,8 @@
         let urgent = load.advance(second);
         let live = platform.live();
         let done = load.work_off(now, (live - urgent) * TICK as f64);
-        if second >= WARM {
-            meter.note(urgent, done, live, platform.price());
+        if second >= WARM_UP {
+            meter.record(urgent, done, live, platform.price());
         }
         let situation = Situation {
             offers: &platform.offers,
@@ -152,13 +152,13 @@
         let batches = self.scenario.batches.iter().filter(|batch| due(batch.at, second));
         let batches = batches.map(|batch| (Instant::from_secs(batch.deadline), batch.work));
         self.waiting.extend(batches);
-        self.drift = self.drift * PERSISTENCE + self.rng.random_range(-1.0..1.0) * self.scenario.noise;
+        self.drift = self.drift * NOISE_PERSISTENCE + self.rng.random_range(-1.0..1.0) * self.scenario.noise;
         (self.scenario.urgent)(second) * (1.0 + self.drift).max(0.0)
     }
 
     fn demand(&self, now: Instant, urgent: f64) -> Demand {
-        const LEAST: Duration = Duration::from_mins(5);
-        let deferrable = demand::pace(now, LEAST, self.waiting.iter().copied());
+        const MIN_REMAINING: Duration = Duration::from_mins(5);
+        let deferrable = demand::required_rate(now, MIN_REMAINING, self.waiting.iter().copied());
         Demand { urgent, deferrable }
     }
 
@@ -188,13 +188,13 @@
     cheapest: f64,
     mean: f64,
     /// How many times the urgent work has to be there so that any one zone can go.
-    spread: f64,
+    redundancy: f64,
 }
 
 impl Meter {
     fn new(offers: &[Offer], zones: usize) -> Self {
         let reclaimable = || offers.iter().filter(|offer| offer.pool.reclaimable());
-        let prices = || reclaimable().map(|offer| market::units(offer.price));
+        let prices = || reclaimable().map(|offer| market::currency_units(offer.price));
         let zones = zones as f64;
         Self {
             figures: Figures::default(),
@@ -202,17 +202,17 @@
             served: 0.0,
             cheapest: prices().fold(f64::MAX, f64::min),
             mean: prices().sum::<f64>() / zones,
-            spread: zones / (zones - 1.0),
+            redundancy: zones / (zones - 1.0),
         }
     }
 
-    fn note(&mut self, urgent: f64, done: f64, live: f64, price: f64) {
+    fn record(&mut self, urgent: f64, done: f64, live: f64, price: f64) {
         self.asked += urgent;
         self.served += urgent.min(live);
-        let all = urgent * HOURS + done / SECONDS_PER_HOUR;
-        self.figures.cost += price * HOURS;
+        let all = urgent * TICK_HOURS + done / SECONDS_PER_HOUR;
+        self.figures.cost += price * TICK_HOURS;
         self.figures.bound += all * self.cheapest;
-        self.figures.spare_bound += all.max(urgent * HOURS * self.spread) * self.mean;
+        self.figures.spare_bound += all.max(urgent * TICK_HOURS * self.redundancy) * self.mean;
     }
 
     fn figures(self, platform: &Platform, load: &Load<'_>) -> Figures {
--- a/bergamotshift-capacity/src/bench/jobs.rs
+++ b/bergamotshift-capacity/src/bench/jobs.rs
@@ -17,15 +17,15 @@
 pub const JOBS: u64 = 2_000;
 
 /// How old figures of other zones are, in seconds.
-const LAG: usize = 5;
+const REPORT_LAG: usize = 5;
 /// The time in which jobs arrive, in seconds.
-const SPAN: u64 = 2_700;
+const ARRIVAL_SPAN: u64 = 2_700;
 /// The mean work of a job, in seconds.
 const MEAN_WORK: f64 = 60.0;
 /// The part of a job's work that its home zone has cached.
-const CACHED: f64 = 0.3;
+const CACHED_SHARE: f64 = 0.3;
 /// From arrival to deadline, in seconds.
-const PATIENCE: u64 = 900;
+const DEADLINE_AFTER: u64 = 900;
 
 /// What balancers are put through.
 #[derive(Clone, Copy, Debug)]
@@ -53,13 +53,13 @@
 
 /// Averages several seeds with the balancer of this name, if there is one; the longest and the counts are of all runs.
 pub fn average(case: &Case, name: &str, seeds: u64) -> Option<Figures> {
-    let runs = (0..seeds).map(|seed| Some(World::new(case, Some(steal::build(name)?), seed).run()));
+    let runs = (0..seeds).map(|seed| Some(Simulation::new(case, Some(steal::build(name)?), seed).run()));
     runs.sum()
 }
 
 /// Averages several seeds with one queue, from which every zone takes at once as if it had everything cached.
 pub fn bound(case: &Case, seeds: u64) -> Figures {
-    (0..seeds).map(|seed| World::new(case, None, seed).run()).sum()
+    (0..seeds).map(|seed| Simulation::new(case, None, seed).run()).sum()
 }
 
 impl core::iter::Sum for Figures {
@@ -86,45 +86,45 @@
 }
 
 #[derive(Debug)]
-struct Run {
+struct RunningJob {
     job: Job,
-    left: f64,
+    remaining: f64,
 }
 
 #[derive(Debug, Default)]
 struct Zone {
     waiting: Vec<Job>,
-    running: Vec<Run>,
+    running: Vec<RunningJob>,
 }
 
 #[derive(Debug)]
-struct World<'a> {
+struct Simulation<'a> {
     case: &'a Case,
     balancer: Option<Box<dyn Balancer>>,
     /// Jobs by number, and the numbers in the order of their arrival.
     arrivals: Vec<Arrival>,
-    order: Vec<usize>,
+    pending: Vec<usize>,
     zones: Vec<Zone>,
-    central: Vec<Job>,
+    shared_queue: Vec<Job>,
     reports: Vec<Vec<View>>,
     figures: Figures,
     ended: u64,
     work: f64,
 }
 
-impl<'a> World<'a> {
+impl<'a> Simulation<'a> {
     fn new(case: &'a Case, balancer: Option<Box<dyn Balancer>>, seed: u64) -> Self {
         let arrivals = arrivals(case, seed);
-        let mut order: Vec<_> = (0..arrivals.len()).collect();
-        order.sort_by_key(|job| core::cmp::Reverse(arrivals[*job].second));
+        let mut pending: Vec<_> = (0..arrivals.len()).collect();
+        pending.sort_by_key(|job| core::cmp::Reverse(arrivals[*job].second));
         Self {
             case,
             balancer,
             arrivals,
-            order,
+            pending,
             zones: (0..ZONES).map(|_| Zone::default()).collect(),
-            central: Vec::new(),
-            reports: vec![vec![View::default(); ZONES]; LAG],
+            shared_queue: Vec::new(),
+            reports: vec![vec![View::default(); ZONES]; REPORT_LAG],
             figures: Figures::default(),
             ended: 0,
             work: 0.0,
@@ -143,16 +143,16 @@
     }
 
     fn step(&mut self, second: u64) {
-        let slot = second as usize % LAG;
+        let slot = second as usize % REPORT_LAG;
         let known = core::mem::take(&mut self.reports[slot]);
-        while let Some(job) = self.order.pop_if(|job| self.arrivals[*job].second <= second) {
+        while let Some(job) = self.pending.pop_if(|job| self.arrivals[*job].second <= second) {
             let job = self.arrivals[job].job;
-            self.wait(second, job.home, job, &known);
+            self.enqueue(second, job.home, job, &known);
         }
         for zone in 0..ZONES {
             let room = (self.case.room)(second, zone);
             if room <= 0.0 {
-                self.lose(second, zone, &known);
+                self.lose_zone(second, zone, &known);
             }
             let free = (room - self.zones[zone].running.len() as f64).max(0.0) as usize;
             self.steal(zone, free, &known);
@@ -163,9 +163,9 @@
     }
 
     /// Puts a job into a queue.
-    fn wait(&mut self, second: u64, origin: usize, job: Job, known: &[View]) {
+    fn enqueue(&mut self, second: u64, origin: usize, job: Job, known: &[View]) {
         let Some(balancer) = &mut self.balancer else {
-            self.central.push(job);
+            self.shared_queue.push(job);
             return;
         };
         let zone = balancer.place(Instant::from_secs(second), origin, &job, known);
@@ -174,11 +174,11 @@
     }
 
     /// Lets the jobs of a lost zone start anew from the next one.
-    fn lose(&mut self, second: u64, zone: usize, known: &[View]) {
+    fn lose_zone(&mut self, second: u64, zone: usize, known: &[View]) {
         let lost = core::mem::take(&mut self.zones[zone]);
         let running = lost.running.into_iter().map(|run| run.job);
         for job in running.chain(lost.waiting) {
-            self.wait(second, (zone + 1) % ZONES, job, known);
+            self.enqueue(second, (zone + 1) % ZONES, job, known);
         }
     }
 
@@ -189,12 +189,12 @@
             return;
         };
         let mut views = known.to_vec();
-        views[thief].room = room as f64;
+        views[thief].free_slots = room as f64;
         let Some(theft) = balancer.steal(thief, &views) else {
             return;
         };
         let victim = &mut self.zones[theft.victim].waiting;
-        let taken = balancer.select(victim, theft.victim, theft.most);
+        let taken = balancer.select(victim, theft.victim, theft.max_jobs);
         self.figures.moved += taken.len() as u64;
         let jobs: Vec<_> = taken.into_iter().map(|job| victim.remove(job)).collect();
         self.zones[thief].waiting.extend(jobs);
@@ -204,26 +204,30 @@
     fn start(&mut self, index: usize, free: usize) {
         let zone = &mut self.zones[index];
         zone.waiting.sort_by_key(|job| job.deadline);
-        self.central.sort_by_key(|job| job.deadline);
+        self.shared_queue.sort_by_key(|job| job.deadline);
         for _ in 0..free {
             let shared = zone.waiting.is_empty();
-            let queue = if shared { &mut self.central } else { &mut zone.waiting };
+            let queue = if shared {
+                &mut self.shared_queue
+            } else {
+                &mut zone.waiting
+            };
             if queue.is_empty() {
                 return;
             }
             let job = queue.remove(0);
-            let left = job.work_in(if shared { job.home } else { index });
-            self.figures.recomputed += left - job.work_in(job.home);
-            zone.running.push(Run { job, left });
+            let remaining = job.work_in(if shared { job.home } else { index });
+            self.figures.recomputed += remaining - job.work_in(job.home);
+            zone.running.push(RunningJob { job, remaining });
         }
     }
 
     fn work_off(&mut self, second: u64) {
         for zone in &mut self.zones {
             for run in &mut zone.running {
-                run.left -= 1.0;
+                run.remaining -= 1.0;
             }
-            for run in zone.running.extract_if(.., |run| run.left <= 0.0) {
+            for run in zone.running.extract_if(.., |run| run.remaining <= 0.0) {
                 let took = (second - self.arrivals[run.job.id as usize].second) as f64;
                 self.figures.mean += took;
                 self.figures.longest = self.figures.longest.max(took);
@@ -237,11 +241,11 @@
     fn report(&self, second: u64, index: usize) -> View {
         let zone = &self.zones[index];
         View {
-            at: Instant::from_secs(second + 1),
+            as_of: Instant::from_secs(second + 1),
             waiting: zone.waiting.iter().map(|job| job.work_in(index)).sum(),
-            running: zone.running.iter().map(|run| run.left).sum(),
+            running: zone.running.iter().map(|run| run.remaining).sum(),
             rate: (self.case.room)(second, index),
-            room: 0.0,
+            free_slots: 0.0,
         }
     }
 }
@@ -250,14 +254,14 @@
     // The generator drops the lowest bit of its seed.
     let mut rng = Pcg64Mcg::new(u128::from(seed) << 1 | 1);
     let arrival = |id| {
-        let second = rng.random_range(0..SPAN);
+        let second = rng.random_range(0..ARRIVAL_SPAN);
         let work = 1.0 - MEAN_WORK * (1.0 - rng.random::<f64>()).ln();
         let job = Job {
             id,
             work,
-            saved: work * CACHED,
+            cached_work: work * CACHED_SHARE,
             home: (case.origin)(id),
-            deadline: Instant::from_secs(second + PATIENCE),
+            deadline: Instant::from_secs(second + DEADLINE_AFTER),
         };
         Arrival { second, job }
     };
--- a/bergamotshift-capacity/src/bench/market.rs
+++ b/bergamotshift-capacity/src/bench/market.rs
@@ -9,7 +9,7 @@
 const ZONES: [(&str, u64); 5] = [("a", 900), ("b", 1_000), ("c", 1_050), ("d", 1_200), ("e", 1_000)];
 const MICROS_PER_MILLI: u64 = 1_000;
 /// How many times the reclaimable price a VM costs on demand.
-const ON_DEMAND: u64 = 3;
+const ON_DEMAND_FACTOR: u64 = 3;
 
 /// A loss of a zone; times are in seconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -42,11 +42,11 @@
     };
     let sold = || ZONES.into_iter().take(zones);
     let reclaimable = sold().map(|zone| offer(zone, Market::Reclaimable, 1));
-    let on_demand = sold().map(|zone| offer(zone, Market::OnDemand, ON_DEMAND));
+    let on_demand = sold().map(|zone| offer(zone, Market::OnDemand, ON_DEMAND_FACTOR));
     reclaimable.chain(on_demand).collect()
 }
 
 /// Returns a price in currency units.
-pub(super) fn units(price: Price) -> f64 {
+pub(super) fn currency_units(price: Price) -> f64 {
     price.as_micros() as f64 / 1e6
 }
--- a/bergamotshift-capacity/src/bench/platform.rs
+++ b/bergamotshift-capacity/src/bench/platform.rs
@@ -14,7 +14,7 @@
 use crate::policy::Event;
 
 /// From a purchase until the VM serves.
-const BOOT: Duration = Duration::from_secs(150);
+const BOOT_TIME: Duration = Duration::from_secs(150);
 
 #[derive(Debug)]
 pub(super) struct Platform {
@@ -37,7 +37,7 @@
     }
 
     /// Takes a zone back, and returns what the policy is told.
-    pub(super) fn lose(&mut self, zone: &str) -> Vec<Event> {
+    pub(super) fn lose_zone(&mut self, zone: &str) -> Vec<Event> {
         let gone = self.vms.extract_if(.., |vm| vm.pool.zone.as_str() == zone);
         gone.map(|vm| Event::Reclaimed(vm.pool)).collect()
     }
@@ -80,7 +80,7 @@
     fn start(&mut self, now: Instant, pool: Pool) {
         self.starts += 1;
         let name = name::Vm::new(format!("vm-{:05}", self.starts));
-        self.ready.push((now + BOOT, name.clone()));
+        self.ready.push((now + BOOT_TIME, name.clone()));
         self.vms.push(Vm {
             name,
             pool,
@@ -98,7 +98,7 @@
     /// Returns what all VMs cost per hour.
     pub(super) fn price(&self) -> f64 {
         let offer = |vm: &Vm| self.offers.iter().find(|offer| offer.pool == vm.pool);
-        let price = |vm: &Vm| offer(vm).map_or(0.0, |offer| market::units(offer.price));
+        let price = |vm: &Vm| offer(vm).map_or(0.0, |offer| market::currency_units(offer.price));
         self.vms.iter().map(price).sum()
     }
 }
--- a/bergamotshift-capacity/src/demand.rs
+++ b/bergamotshift-capacity/src/demand.rs
@@ -25,16 +25,16 @@
 ///
 /// Jobs are pairs of deadline and remaining work. A job whose deadline is closer than `least` counts as due then, so
 /// that a late one asks for much and not for everything.
-pub fn pace(now: Instant, least: Duration, jobs: impl IntoIterator<Item = (Instant, f64)>) -> f64 {
+pub fn required_rate(now: Instant, min_remaining: Duration, jobs: impl IntoIterator<Item = (Instant, f64)>) -> f64 {
     let mut jobs: Vec<_> = jobs.into_iter().collect();
     jobs.sort_by_key(|(deadline, _)| *deadline);
-    let (mut due, mut pace) = (0.0_f64, 0.0_f64);
+    let (mut due, mut rate) = (0.0_f64, 0.0_f64);
     for (deadline, work) in jobs {
         due += work;
-        let left = deadline.since(now).max(least);
-        pace = pace.max(due / left.as_secs_f64());
+        let left = deadline.since(now).max(min_remaining);
+        rate = rate.max(due / left.as_secs_f64());
     }
-    pace
+    rate
 }
 
 /// How demand is damped before capacity follows it.
@@ -70,9 +70,9 @@
 #[derive(Clone, Debug)]
 pub struct Damper {
     settings: Settings,
-    fast: f64,
-    slow: f64,
-    at: Option<Instant>,
+    fast_average: f64,
+    slow_average: f64,
+    updated_at: Option<Instant>,
     /// Rising readings by time: the front is the smallest of the confirm time.
     lows: VecDeque<(Instant, f64)>,
     /// Falling values by time: the front is the largest of the hold time.
@@ -80,16 +80,16 @@
 }
 
 /// How much slower the average is against which the trend is taken.
-const TREND: f64 = 4.0;
+const SLOW_FACTOR: f64 = 4.0;
 
 impl Damper {
     /// Makes a damper that has seen nothing.
     pub const fn new(settings: Settings) -> Self {
         Self {
             settings,
-            fast: 0.0,
-            slow: 0.0,
-            at: None,
+            fast_average: 0.0,
+            slow_average: 0.0,
+            updated_at: None,
             lows: VecDeque::new(),
             peaks: VecDeque::new(),
         }
@@ -97,40 +97,40 @@
 
     /// Notes a reading and returns the figure that capacity has to follow.
     pub fn observe(&mut self, now: Instant, reading: f64) -> f64 {
-        self.average(now, reading);
+        self.update_averages(now, reading);
         while self.lows.back().is_some_and(|(_, low)| *low >= reading) {
             self.lows.pop_back();
         }
-        let lasting = extreme(&mut self.lows, now, reading, self.settings.confirm_time);
-        let led = (self.fast + self.rise()).max(lasting);
-        while self.peaks.back().is_some_and(|(_, peak)| *peak <= led) {
+        let sustained = window_extreme(&mut self.lows, now, reading, self.settings.confirm_time);
+        let predicted = (self.fast_average + self.predicted_rise()).max(sustained);
+        while self.peaks.back().is_some_and(|(_, peak)| *peak <= predicted) {
             self.peaks.pop_back();
         }
-        extreme(&mut self.peaks, now, led, self.settings.hold_time)
+        window_extreme(&mut self.peaks, now, predicted, self.settings.hold_time)
     }
 
-    fn average(&mut self, now: Instant, reading: f64) {
-        let Some(at) = self.at.replace(now) else {
-            (self.fast, self.slow) = (reading, reading);
+    fn update_averages(&mut self, now: Instant, reading: f64) {
+        let Some(at) = self.updated_at.replace(now) else {
+            (self.fast_average, self.slow_average) = (reading, reading);
             return;
         };
         let span = now.since(at).as_secs_f64() / self.settings.window.as_secs_f64();
-        self.fast += (reading - self.fast) * (1.0 - (-span).exp());
-        self.slow += (reading - self.slow) * (1.0 - (-span / TREND).exp());
+        self.fast_average += (reading - self.fast_average) * (1.0 - (-span).exp());
+        self.slow_average += (reading - self.slow_average) * (1.0 - (-span / SLOW_FACTOR).exp());
     }
 
     /// Returns by how much the figure will have risen when a start of now serves; a fall is not led.
-    fn rise(&self) -> f64 {
+    fn predicted_rise(&self) -> f64 {
         // On a steady slope the two averages lie their lags' difference apart.
-        let lag = self.settings.window.as_secs_f64() * (TREND - 1.0);
-        let slope = (self.fast - self.slow) / lag;
+        let lag = self.settings.window.as_secs_f64() * (SLOW_FACTOR - 1.0);
+        let slope = (self.fast_average - self.slow_average) / lag;
         let ahead = self.settings.lead_time + self.settings.window;
         (slope * ahead.as_secs_f64()).max(0.0)
     }
 }
 
 /// Adds a value to a sorted window, drops what is older than `span`, and returns the window's extreme.
-fn extreme(window: &mut VecDeque<(Instant, f64)>, now: Instant, value: f64, span: Duration) -> f64 {
+fn window_extreme(window: &mut VecDeque<(Instant, f64)>, now: Instant, value: f64, span: Duration) -> f64 {
     window.push_back((now, value));
     while window.front().is_some_and(|(at, _)| now.since(*at) > span) {
         window.pop_front();
--- a/bergamotshift-capacity/src/duty/fleet.rs
+++ b/bergamotshift-capacity/src/duty/fleet.rs
@@ -15,7 +15,7 @@
 
 /// Where a VM is on its way out; the order is that of the way, and no mark is unset.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Course {
+enum Stage {
     Up,
     Draining { idle: bool },
     Leaving,
@@ -27,13 +27,13 @@
     pool: Pool,
     incarnation: Incarnation,
     since: Instant,
-    serving: Option<Instant>,
-    heard: Option<Instant>,
+    serving_since: Option<Instant>,
+    last_report: Option<Instant>,
     listed: bool,
     overdue: bool,
-    course: Course,
+    stage: Stage,
     /// When the last order for it was given.
-    ordered: Instant,
+    last_order: Instant,
 }
 
 impl Row {
@@ -42,24 +42,24 @@
             pool,
             incarnation: Incarnation::new(0),
             since,
-            serving: None,
-            heard: None,
+            serving_since: None,
+            last_report: None,
             listed: false,
             overdue: false,
-            course: Course::Up,
-            ordered: since,
+            stage: Stage::Up,
+            last_order: since,
         }
     }
 
     /// Returns how the policy sees it, unless it was given back or has not come up.
     const fn phase(&self) -> Option<Phase> {
-        match (self.course, self.serving) {
-            (Course::Stopped, _) => None,
-            (Course::Leaving, _) => Some(Phase::Leaving),
-            (Course::Draining { idle }, _) => Some(Phase::Draining { idle }),
-            (Course::Up, Some(since)) => Some(Phase::Live(since)),
-            (Course::Up, None) if self.overdue => None,
-            (Course::Up, None) => Some(Phase::Starting),
+        match (self.stage, self.serving_since) {
+            (Stage::Stopped, _) => None,
+            (Stage::Leaving, _) => Some(Phase::Leaving),
+            (Stage::Draining { idle }, _) => Some(Phase::Draining { idle }),
+            (Stage::Up, Some(since)) => Some(Phase::Live(since)),
+            (Stage::Up, None) if self.overdue => None,
+            (Stage::Up, None) => Some(Phase::Starting),
         }
     }
 }
@@ -71,7 +71,7 @@
 
 impl Fleet {
     /// Notes a VM that was sold; the list shows it later.
-    pub(super) fn bought(&mut self, now: Instant, vm: name::Vm, pool: Pool) {
+    pub(super) fn add_purchased(&mut self, now: Instant, vm: name::Vm, pool: Pool) {
         self.rows.entry(vm).or_insert_with(|| Row::new(now, pool));
     }
 
@@ -79,7 +79,7 @@
     ///
     /// Failure: the list lags. Symptoms: a VM just sold is missing, a VM given back or leaving is shown as live.
     /// One that was never listed is not taken for gone, and marks of an incarnation are never unset.
-    pub(super) fn listed(&mut self, now: Instant, listings: &[Listing]) -> Vec<Pool> {
+    pub(super) fn update_listings(&mut self, now: Instant, listings: &[Listing]) -> Vec<Pool> {
         let mut reclaimed = Vec::new();
         for listing in listings {
             let pool = Pool::new(listing.zone.clone(), listing.class.clone(), listing.market);
@@ -91,31 +91,31 @@
             row.listed = true;
             row.incarnation = row.incarnation.max(listing.incarnation);
             let leaves = matches!(listing.state, State::Leaving { .. });
-            if leaves && row.course < Course::Leaving {
-                row.course = Course::Leaving;
+            if leaves && row.stage < Stage::Leaving {
+                row.stage = Stage::Leaving;
                 reclaimed.push(pool);
             }
         }
         let shown = |vm: &name::Vm| listings.iter().any(|listing| listing.name == *vm);
         let gone = self.rows.extract_if(.., |vm, row| row.listed && !shown(vm));
-        let taken = gone.filter(|(_, row)| row.course < Course::Leaving);
+        let taken = gone.filter(|(_, row)| row.stage < Stage::Leaving);
         reclaimed.extend(taken.map(|(_, row)| row.pool));
         reclaimed
     }
 
-    pub(super) fn serving(&mut self, now: Instant, vm: &name::Vm, idle: bool) {
+    pub(super) fn record_serving(&mut self, now: Instant, vm: &name::Vm, idle: bool) {
         if let Some(row) = self.rows.get_mut(vm) {
-            row.serving.get_or_insert(now);
-            row.heard = Some(now);
-            if matches!(row.course, Course::Draining { .. }) {
-                row.course = Course::Draining { idle };
+            row.serving_since.get_or_insert(now);
+            row.last_report = Some(now);
+            if matches!(row.stage, Stage::Draining { .. }) {
+                row.stage = Stage::Draining { idle };
             }
         }
     }
 
     /// Returns the pools of VMs that have just become overdue; the policy no longer counts on them.
-    pub(super) fn overdue(&mut self, now: Instant, boot: Duration) -> Vec<Pool> {
-        let late = |row: &&mut Row| row.phase() == Some(Phase::Starting) && now.since(row.since) >= boot;
+    pub(super) fn mark_overdue(&mut self, now: Instant, boot_timeout: Duration) -> Vec<Pool> {
+        let late = |row: &&mut Row| row.phase() == Some(Phase::Starting) && now.since(row.since) >= boot_timeout;
         let rows = self.rows.values_mut().filter(late);
         rows.map(|row| {
             row.overdue = true;
@@ -129,10 +129,10 @@
     /// Failure: the holder is cut off from a zone, or has just taken over. Symptom: VMs that serve their own zone look
     /// as if they never came up, and stopping them would cut requests. Only where another VM of the zone is heard is
     /// silence taken for a failed start.
-    pub(super) fn failed(&self, now: Instant, fresh: Duration) -> Vec<name::Vm> {
-        let heard = |row: &&Row| row.heard.is_some_and(|at| now.since(at) <= fresh);
+    pub(super) fn failed_starts(&self, now: Instant, max_age: Duration) -> Vec<name::Vm> {
+        let heard = |row: &&Row| row.last_report.is_some_and(|at| now.since(at) <= max_age);
         let zones: BTreeSet<_> = self.rows.values().filter(heard).map(|row| &row.pool.zone).collect();
-        let failed = |row: &Row| row.overdue && row.phase().is_none() && row.course == Course::Up;
+        let failed = |row: &Row| row.overdue && row.phase().is_none() && row.stage == Stage::Up;
         let rows = self
             .rows
             .iter()
@@ -142,33 +142,33 @@
 
     /// Drains a VM; only a report after that may call it idle, as it may have got work until then.
     pub(super) fn drain(&mut self, now: Instant, vm: name::Vm) -> Option<Order> {
-        self.send(now, &vm, Course::Draining { idle: false })?;
+        self.set_stage(now, &vm, Stage::Draining { idle: false })?;
         Some(Order::Drain(vm))
     }
 
     pub(super) fn stop(&mut self, now: Instant, vm: name::Vm) -> Option<Order> {
-        self.send(now, &vm, Course::Stopped)?;
+        self.set_stage(now, &vm, Stage::Stopped)?;
         Some(Order::Stop(vm))
     }
 
-    fn send(&mut self, now: Instant, vm: &name::Vm, course: Course) -> Option<()> {
+    fn set_stage(&mut self, now: Instant, vm: &name::Vm, stage: Stage) -> Option<()> {
         let row = self.rows.get_mut(vm)?;
-        row.course = course;
-        row.ordered = now;
+        row.stage = stage;
+        row.last_order = now;
         Some(())
     }
 
     /// Gives orders again that show no effect: a drained VM still works, a stopped one is still listed.
-    pub(super) fn repeat(&mut self, now: Instant, after: Duration) -> Vec<Order> {
+    pub(super) fn retry_orders(&mut self, now: Instant, interval: Duration) -> Vec<Order> {
         let mut orders = Vec::new();
         for (vm, row) in &mut self.rows {
-            let order = match row.course {
-                Course::Draining { idle: false } => Order::Drain(vm.clone()),
-                Course::Stopped => Order::Stop(vm.clone()),
-                Course::Draining { idle: true } | Course::Up | Course::Leaving => continue,
+            let order = match row.stage {
+                Stage::Draining { idle: false } => Order::Drain(vm.clone()),
+                Stage::Stopped => Order::Stop(vm.clone()),
+                Stage::Draining { idle: true } | Stage::Up | Stage::Leaving => continue,
             };
-            if now.since(row.ordered) >= after {
-                row.ordered = now;
+            if now.since(row.last_order) >= interval {
+                row.last_order = now;
                 orders.push(order);
             }
         }
--- a/bergamotshift-capacity/src/duty/mod.rs
+++ b/bergamotshift-capacity/src/duty/mod.rs
@@ -87,8 +87,8 @@
 #[derive(Clone, Debug)]
 struct Purchase {
     pool: Pool,
-    first: Instant,
-    last: Instant,
+    first_sent: Instant,
+    last_sent: Instant,
 }
 
 /// Decides for one service while its lease is held.
@@ -97,8 +97,8 @@
     settings: Settings,
     policy: Box<dyn Policy>,
     fencing: u64,
-    begun: Option<Instant>,
-    ordered: u64,
+    started_at: Option<Instant>,
+    purchase_count: u64,
     purchases: BTreeMap<Token, Purchase>,
     fleet: Fleet,
 }
@@ -110,8 +110,8 @@
             settings,
             policy,
             fencing,
-            begun: None,
-            ordered: 0,
+            started_at: None,
+            purchase_count: 0,
             purchases: BTreeMap::new(),
             fleet: Fleet::default(),
         }
@@ -122,7 +122,7 @@
         // An answer may come twice, or after the purchase was given up: then the list shows the VM.
         if let Some(purchase) = self.purchases.remove(&token) {
             self.policy.event(now, &Event::Started(purchase.pool.clone()));
-            self.fleet.bought(now, vm, purchase.pool);
+            self.fleet.add_purchased(now, vm, purchase.pool);
         }
     }
 
@@ -135,21 +135,21 @@
 
     /// Notes the platform's list of the service's VMs.
     pub fn record_listings(&mut self, now: Instant, listings: &[Listing]) {
-        for pool in self.fleet.listed(now, listings) {
+        for pool in self.fleet.update_listings(now, listings) {
             self.policy.event(now, &Event::Reclaimed(pool));
         }
     }
 
     /// Notes that a VM's endpoint answers, and whether nothing runs there.
     pub fn record_serving(&mut self, now: Instant, vm: &name::Vm, idle: bool) {
-        self.fleet.serving(now, vm, idle);
+        self.fleet.record_serving(now, vm, idle);
     }
 
     /// Returns what has to be done now.
     pub fn tick(&mut self, now: Instant, offers: &[Offer], demand: Demand) -> Vec<Order> {
-        let begun = *self.begun.get_or_insert(now);
+        let started_at = *self.started_at.get_or_insert(now);
         let mut orders = self.repeat_purchases(now);
-        orders.extend(self.give_up(now));
+        orders.extend(self.expire(now));
         let vms = self.vms(offers);
         let situation = Situation {
             offers,
@@ -160,26 +160,26 @@
             match action {
                 // Failure: the last holder bought just before it lost the lease. Symptom: its purchases are not
                 // listed yet, and the new holder buys them again. After the list's lag it sees them.
-                Action::Start(_) if now.since(begun) < self.settings.max_list_lag => {}
+                Action::Start(_) if now.since(started_at) < self.settings.max_list_lag => {}
                 Action::Start(pool) => orders.push(self.start(now, pool)),
                 Action::Drain(vm) => orders.extend(self.fleet.drain(now, vm)),
                 Action::Stop(vm) => orders.extend(self.fleet.stop(now, vm)),
             }
         }
-        orders.extend(self.fleet.repeat(now, self.settings.retry_interval));
+        orders.extend(self.fleet.retry_orders(now, self.settings.retry_interval));
         orders
     }
 
     fn start(&mut self, now: Instant, pool: Pool) -> Order {
-        self.ordered += 1;
+        self.purchase_count += 1;
         let token = Token {
             fencing: self.fencing,
-            number: self.ordered,
+            number: self.purchase_count,
         };
         let purchase = Purchase {
             pool: pool.clone(),
-            first: now,
-            last: now,
+            first_sent: now,
+            last_sent: now,
         };
         self.purchases.insert(token, purchase);
         Order::Start { token, pool }
@@ -189,8 +189,8 @@
     fn repeat_purchases(&mut self, now: Instant) -> Vec<Order> {
         let mut orders = Vec::new();
         for (token, purchase) in &mut self.purchases {
-            if now.since(purchase.last) >= self.settings.retry_interval {
-                purchase.last = now;
+            if now.since(purchase.last_sent) >= self.settings.retry_interval {
+                purchase.last_sent = now;
                 let (token, pool) = (*token, purchase.pool.clone());
                 orders.push(Order::Start { token, pool });
             }
@@ -199,17 +199,17 @@
     }
 
     /// Gives up what took too long, and tells the policy to try elsewhere.
-    fn give_up(&mut self, now: Instant) -> Vec<Order> {
-        let boot = self.settings.boot_timeout;
-        let late = self
+    fn expire(&mut self, now: Instant) -> Vec<Order> {
+        let boot_timeout = self.settings.boot_timeout;
+        let expired = self
             .purchases
-            .extract_if(.., |_, purchase| now.since(purchase.first) >= boot);
-        let mut pools: Vec<_> = late.map(|(_, purchase)| purchase.pool).collect();
-        pools.extend(self.fleet.overdue(now, boot));
+            .extract_if(.., |_, purchase| now.since(purchase.first_sent) >= boot_timeout);
+        let mut pools: Vec<_> = expired.map(|(_, purchase)| purchase.pool).collect();
+        pools.extend(self.fleet.mark_overdue(now, boot_timeout));
         for pool in pools {
             self.policy.event(now, &Event::Refused(pool));
         }
-        let failed = self.fleet.failed(now, self.settings.retry_interval);
+        let failed = self.fleet.failed_starts(now, self.settings.retry_interval);
         failed.into_iter().filter_map(|vm| self.fleet.stop(now, vm)).collect()
     }
 
--- a/bergamotshift-capacity/src/placement/assignment.rs
+++ b/bergamotshift-capacity/src/placement/assignment.rs
@@ -14,16 +14,16 @@
 const EPSILON: f64 = 1e-9;
 
 #[derive(Debug)]
-struct Room<'a> {
+struct Allocation<'a> {
     host: &'a Host,
-    rate: f64,
-    memory: u64,
+    remaining_rate: f64,
+    free_memory: u64,
     wanted: BTreeSet<&'a name::Model>,
 }
 
 #[derive(Debug)]
 pub(super) struct Assignment<'a> {
-    rooms: Vec<Room<'a>>,
+    allocations: Vec<Allocation<'a>>,
     items: BTreeMap<&'a name::Model, &'a Item>,
     zones: usize,
     /// Loads in the order in which they are needed.
@@ -32,15 +32,15 @@
 
 impl<'a> Assignment<'a> {
     pub(super) fn new(hosts: &'a [Host], items: &'a [Item]) -> Self {
-        let room = |host: &'a Host| Room {
+        let allocation = |host: &'a Host| Allocation {
             host,
-            rate: host.rate,
-            memory: host.memory,
+            remaining_rate: host.rate,
+            free_memory: host.memory,
             wanted: BTreeSet::new(),
         };
         let zones: BTreeSet<_> = hosts.iter().map(|host| &host.zone).collect();
         Self {
-            rooms: hosts.iter().map(room).collect(),
+            allocations: hosts.iter().map(allocation).collect(),
             items: items.iter().map(|item| (&item.name, item)).collect(),
             zones: zones.len(),
             loads: Vec::new(),
@@ -53,46 +53,54 @@
     pub(super) fn assign(&mut self, item: &'a Item, settings: Settings) {
         let demand = item.demand * (1.0 + settings.headroom);
         let zones = self.zones as f64;
-        let spread = item.urgent && self.zones > 1;
-        let need = if spread { demand * zones / (zones - 1.0) } else { demand };
-        let least = if spread { 2 } else { 1 };
-        let piece = if spread { need / zones } else { need };
-        let mut given: BTreeMap<&name::Zone, f64> = BTreeMap::new();
-        let mut used = BTreeSet::new();
+        let redundant = item.urgent && self.zones > 1;
+        let need = if redundant {
+            demand * zones / (zones - 1.0)
+        } else {
+            demand
+        };
+        let min_hosts = if redundant { 2 } else { 1 };
+        let share = if redundant { need / zones } else { need };
+        let mut assigned: BTreeMap<&name::Zone, f64> = BTreeMap::new();
+        let mut used_hosts = BTreeSet::new();
         let mut total = 0.0;
-        while total + EPSILON < need || used.len() < least {
-            let Some(index) = self.pick(item, &given, &used) else {
+        while total + EPSILON < need || used_hosts.len() < min_hosts {
+            let Some(index) = self.pick(item, &assigned, &used_hosts) else {
                 return;
             };
-            let room = &mut self.rooms[index];
-            let amount = piece.min(room.rate).min((need - total).max(0.0));
-            room.rate -= amount;
+            let allocation = &mut self.allocations[index];
+            let amount = share.min(allocation.remaining_rate).min((need - total).max(0.0));
+            allocation.remaining_rate -= amount;
             total += amount;
-            *given.entry(&room.host.zone).or_insert(0.0) += amount;
-            used.insert(index);
+            *assigned.entry(&allocation.host.zone).or_insert(0.0) += amount;
+            used_hosts.insert(index);
             self.place(index, item);
         }
     }
 
     /// Picks the host for an item's next piece: the zone with least of it, then one that holds it, then the emptiest.
-    fn pick(&self, item: &Item, given: &BTreeMap<&name::Zone, f64>, used: &BTreeSet<usize>) -> Option<usize> {
+    fn pick(&self, item: &Item, assigned: &BTreeMap<&name::Zone, f64>, used_hosts: &BTreeSet<usize>) -> Option<usize> {
         let fits = |index: &usize| {
-            let room = &self.rooms[*index];
-            let busy = room.rate <= EPSILON && item.demand > 0.0;
-            !used.contains(index) && !busy && self.missing(*index, item) <= room.memory
+            let allocation = &self.allocations[*index];
+            let busy = allocation.remaining_rate <= EPSILON && item.demand > 0.0;
+            !used_hosts.contains(index) && !busy && self.missing_memory(*index, item) <= allocation.free_memory
         };
         let order = |index: &usize| {
-            let room = &self.rooms[*index];
-            let here = given.get(&room.host.zone).copied().unwrap_or(0.0);
-            let held = room.host.held.contains(&item.name);
-            (micros(here), !held, core::cmp::Reverse(micros(room.rate)))
+            let allocation = &self.allocations[*index];
+            let in_zone = assigned.get(&allocation.host.zone).copied().unwrap_or(0.0);
+            let held = allocation.host.held.contains(&item.name);
+            (
+                micros(in_zone),
+                !held,
+                core::cmp::Reverse(micros(allocation.remaining_rate)),
+            )
         };
-        (0..self.rooms.len()).filter(fits).min_by_key(order)
+        (0..self.allocations.len()).filter(fits).min_by_key(order)
     }
 
     /// Returns the memory that an item still needs on a host, its base included.
-    fn missing(&self, index: usize, item: &Item) -> u64 {
-        let needed = |name: &&name::Model| !self.rooms[index].wanted.contains(*name);
+    fn missing_memory(&self, index: usize, item: &Item) -> u64 {
+        let needed = |name: &&name::Model| !self.allocations[index].wanted.contains(*name);
         let names = core::iter::once(&item.name).chain(item.base.as_ref());
         let size = |name: &name::Model| self.items.get(name).map_or(0, |item| item.size);
         names.filter(needed).map(size).sum()
@@ -102,10 +110,10 @@
         // The base comes first, as an adapter cannot be loaded without it.
         for name in item.base.iter().chain(core::iter::once(&item.name)) {
             let size = self.items.get(name).map_or(0, |item| item.size);
-            let room = &mut self.rooms[index];
-            if room.wanted.insert(name) {
-                room.memory -= size;
-                if !room.host.held.contains(name) {
+            let allocation = &mut self.allocations[index];
+            if allocation.wanted.insert(name) {
+                allocation.free_memory -= size;
+                if !allocation.host.held.contains(name) {
                     self.loads.push((index, name));
                 }
             }
@@ -115,20 +123,28 @@
     /// Returns the orders; a host that lacks memory for a load first gives up what is not wanted there.
     pub(super) fn orders(self) -> Vec<Order> {
         let mut orders = Vec::new();
-        let mut free: Vec<_> = self.rooms.iter().map(|room| self.unused(room)).collect();
-        let mut spare: Vec<Vec<_>> = self.rooms.iter().map(|room| self.spare(room)).collect();
+        let mut free_memory: Vec<_> = self
+            .allocations
+            .iter()
+            .map(|allocation| self.free_memory(allocation))
+            .collect();
+        let mut evictable: Vec<Vec<_>> = self
+            .allocations
+            .iter()
+            .map(|allocation| self.evictable(allocation))
+            .collect();
         for (index, name) in &self.loads {
-            let vm = &self.rooms[*index].host.vm;
+            let vm = &self.allocations[*index].host.vm;
             let size = self.size(name);
-            while free[*index] < size {
-                let Some(item) = spare[*index].pop() else { break };
-                free[*index] += self.size(item);
+            while free_memory[*index] < size {
+                let Some(item) = evictable[*index].pop() else { break };
+                free_memory[*index] += self.size(item);
                 orders.push(Order::Unload {
                     vm: vm.clone(),
                     item: item.clone(),
                 });
             }
-            free[*index] = free[*index].saturating_sub(size);
+            free_memory[*index] = free_memory[*index].saturating_sub(size);
             orders.push(Order::Load {
                 vm: vm.clone(),
                 item: (*name).clone(),
@@ -137,18 +153,18 @@
         orders
     }
 
-    fn unused(&self, room: &Room<'_>) -> u64 {
-        let held: u64 = room.host.held.iter().map(|name| self.size(name)).sum();
-        room.host.memory.saturating_sub(held)
+    fn free_memory(&self, allocation: &Allocation<'_>) -> u64 {
+        let held: u64 = allocation.host.held.iter().map(|name| self.size(name)).sum();
+        allocation.host.memory.saturating_sub(held)
     }
 
     /// Returns what a host holds and is not wanted there, the least asked for last.
-    fn spare<'b>(&self, room: &Room<'b>) -> Vec<&'b name::Model> {
-        let held = room.host.held.iter();
-        let mut spare: Vec<_> = held.filter(|name| !room.wanted.contains(name)).collect();
+    fn evictable<'b>(&self, allocation: &Allocation<'b>) -> Vec<&'b name::Model> {
+        let held = allocation.host.held.iter();
+        let mut evictable: Vec<_> = held.filter(|name| !allocation.wanted.contains(name)).collect();
         let demand = |name: &name::Model| self.items.get(name).map_or(0.0, |item| item.demand);
-        spare.sort_by(|left, right| demand(right).total_cmp(&demand(left)));
-        spare
+        evictable.sort_by(|left, right| demand(right).total_cmp(&demand(left)));
+        evictable
     }
 
     /// Returns an item's size; one that is no longer configured counts as nothing, and goes first.
--- a/bergamotshift-capacity/src/placement/loader.rs
+++ b/bergamotshift-capacity/src/placement/loader.rs
@@ -22,7 +22,7 @@
 }
 
 /// How many times its expected time a load may take before its place is given away.
-const PATIENCE: f64 = 4.0;
+const TIMEOUT_FACTOR: f64 = 4.0;
 
 impl Loader {
     /// Makes a loader; rates are in bytes per second.
@@ -44,7 +44,7 @@
     /// A load that is already running is not repeated. A VM's unloads go out with its first load that is let through,
     /// and not before: memory is not given up for a load that has to wait.
     pub fn admit(&mut self, now: Instant, orders: &[Order], size: impl Fn(&name::Model) -> u64) -> Vec<Order> {
-        self.running.retain(|_, until| now < *until);
+        self.running.retain(|_, expires_at| now < *expires_at);
         let mut admitted = Vec::new();
         let mut unloads = Vec::new();
         for order in orders {
@@ -56,10 +56,10 @@
             if self.running.contains_key(&key) || self.running.len() >= self.slots() {
                 continue;
             }
-            let expected = size(item) as f64 / self.load_rate * PATIENCE;
-            let until = now + Duration::try_from_secs_f64(expected).unwrap_or(Duration::MAX);
-            self.running.insert(key, until);
-            let (own, others) = unloads.into_iter().partition(|unload| of(unload) == vm);
+            let timeout = size(item) as f64 / self.load_rate * TIMEOUT_FACTOR;
+            let expires_at = now + Duration::try_from_secs_f64(timeout).unwrap_or(Duration::MAX);
+            self.running.insert(key, expires_at);
+            let (own, others) = unloads.into_iter().partition(|unload| vm_of(unload) == vm);
             unloads = others;
             let own: Vec<&Order> = own;
             admitted.extend(own.into_iter().cloned());
@@ -74,7 +74,7 @@
     }
 }
 
-const fn of(order: &Order) -> &name::Vm {
+const fn vm_of(order: &Order) -> &name::Vm {
     match order {
         Order::Load { vm, .. } | Order::Unload { vm, .. } => vm,
     }
--- a/bergamotshift-capacity/src/policy/backoff.rs
+++ b/bergamotshift-capacity/src/policy/backoff.rs
@@ -39,22 +39,24 @@
         }
     }
 
-    pub(super) fn open(&self, now: Instant, pool: &Pool) -> bool {
+    pub(super) fn is_available(&self, now: Instant, pool: &Pool) -> bool {
         self.pauses.get(pool).is_none_or(|pause| now >= pause.until)
     }
 
     fn refused(&mut self, now: Instant, pool: &Pool, settings: &Settings) {
         const MAX_DOUBLINGS: u32 = 16;
         let refusals = self.pauses.get(pool).map_or(0, |pause| pause.refusals);
-        let span = settings.pause.saturating_mul(1 << refusals.min(MAX_DOUBLINGS));
-        let until = now + span.min(settings.pause_cap);
+        let span = settings
+            .initial_backoff
+            .saturating_mul(1 << refusals.min(MAX_DOUBLINGS));
+        let until = now + span.min(settings.max_backoff);
         let refusals = refusals + 1;
         self.pauses.insert(pool.clone(), Pause { until, refusals });
     }
 
     /// What the platform takes back it does not sell again at once.
     fn reclaimed(&mut self, now: Instant, pool: &Pool, settings: &Settings) {
-        let until = now + settings.pause_cap;
+        let until = now + settings.max_backoff;
         let refusals = self.pauses.get(pool).map_or(0, |pause| pause.refusals);
         self.pauses.insert(pool.clone(), Pause { until, refusals });
     }
--- a/bergamotshift-capacity/src/policy/mod.rs
+++ b/bergamotshift-capacity/src/policy/mod.rs
@@ -72,29 +72,29 @@
     /// The most urgent work ever expected, for policies that hold capacity for it.
     pub peak: f64,
     /// The part of capacity that policies without spread aim to use.
-    pub utilisation: f64,
+    pub target_utilisation: f64,
     /// What is kept above the damped demand, as a part of it; what carries the loss of a zone is kept besides.
     pub headroom: f64,
     /// How far capacity has to lie beyond the need, as a part of it, before VMs are given up.
-    pub band: f64,
+    pub scale_in_margin: f64,
     /// How demand is damped; its hold is also a VM's shortest life.
     pub damping: demand::Settings,
     /// The first pause after a refused start; it doubles up to `pause_cap`.
-    pub pause: Duration,
+    pub initial_backoff: Duration,
     /// The longest pause after refused starts.
-    pub pause_cap: Duration,
+    pub max_backoff: Duration,
 }
 
 impl Default for Settings {
     fn default() -> Self {
         Self {
             peak: 10.0,
-            utilisation: 0.7,
+            target_utilisation: 0.7,
             headroom: 0.0,
-            band: 0.05,
+            scale_in_margin: 0.05,
             damping: demand::Settings::default(),
-            pause: Duration::from_secs(30),
-            pause_cap: Duration::from_mins(15),
+            initial_backoff: Duration::from_secs(30),
+            max_backoff: Duration::from_mins(15),
         }
     }
 }
--- a/bergamotshift-capacity/src/policy/peak.rs
+++ b/bergamotshift-capacity/src/policy/peak.rs
@@ -16,28 +16,28 @@
 use crate::market::Offer;
 
 plugin::inventory::submit! {
-    Kind { name: "static-peak", build: |settings| Box::new(Peak { settings, backoff: Backoff::new() }) }
+    Kind { name: "static-peak", build: |settings| Box::new(StaticPeak { settings, backoff: Backoff::new() }) }
 }
 
 /// Holds on-demand VMs for the peak with any one zone lost, and never gives one up.
 #[derive(Debug)]
-struct Peak {
+struct StaticPeak {
     settings: Settings,
     backoff: Backoff,
 }
 
-impl Policy for Peak {
+impl Policy for StaticPeak {
     fn plan(&mut self, now: Instant, situation: &Situation<'_>) -> Vec<Action> {
         let need = Demand {
             urgent: self.settings.peak,
             deferrable: 0.0,
         };
         let tally = Tally::planned(situation.vms);
-        if tally.carries(need) {
+        if tally.covers(need) {
             return Vec::new();
         }
-        let open = |offer: &&Offer| !offer.pool.reclaimable() && self.backoff.open(now, &offer.pool);
-        let pools = purchase::cheapest(&tally, situation.offers.iter().filter(open), need);
+        let available = |offer: &&Offer| !offer.pool.reclaimable() && self.backoff.is_available(now, &offer.pool);
+        let pools = purchase::cheapest(&tally, situation.offers.iter().filter(available), need);
         pools.into_iter().map(Action::Start).collect()
     }
 
--- a/bergamotshift-capacity/src/policy/purchase.rs
+++ b/bergamotshift-capacity/src/policy/purchase.rs
@@ -17,18 +17,20 @@
 /// cheap ones. The deferrable work's rest goes to the cheapest zone, as it need not survive the loss of one.
 pub(super) fn cheapest<'a>(have: &Tally, offers: impl Iterator<Item = &'a Offer>, need: Demand) -> Vec<Pool> {
     let offers = best_per_zone(offers);
-    let Some(unit) = offers.iter().map(|offer| offer.rate).reduce(f64::min) else {
+    let Some(min_rate) = offers.iter().map(|offer| offer.rate).reduce(f64::min) else {
         return Vec::new();
     };
     let largest = have.largest();
-    let steps = (need.urgent / unit).ceil() as usize + 1;
+    let steps = (need.urgent / min_rate).ceil() as usize + 1;
     let plans = (0..=steps).filter_map(|step| {
-        let cap = largest + unit * step as f64;
+        let cap = largest + min_rate * step as f64;
         under_cap(have, &offers, need, cap)
     });
     let cost = |plan: &Vec<&Offer>| plan.iter().map(|offer| offer.price).sum::<Price>();
     // Of plans that cost the same the first has the lowest cap, so the widest spread.
-    let plan = plans.min_by_key(cost).unwrap_or_else(|| widest(have, &offers, need));
+    let plan = plans
+        .min_by_key(cost)
+        .unwrap_or_else(|| best_effort(have, &offers, need));
     plan.into_iter().map(|offer| offer.pool.clone()).collect()
 }
 
@@ -36,9 +38,9 @@
 fn best_per_zone<'a>(offers: impl Iterator<Item = &'a Offer>) -> Vec<&'a Offer> {
     let mut best: BTreeMap<&name::Zone, &Offer> = BTreeMap::new();
     for offer in offers {
-        let known = best.entry(&offer.pool.zone).or_insert(offer);
-        if offer.price_per_rate() < known.price_per_rate() {
-            *known = offer;
+        let cheapest_in_zone = best.entry(&offer.pool.zone).or_insert(offer);
+        if offer.price_per_rate() < cheapest_in_zone.price_per_rate() {
+            *cheapest_in_zone = offer;
         }
     }
     let mut best: Vec<_> = best.into_values().collect();
@@ -48,34 +50,34 @@
 
 fn under_cap<'a>(have: &Tally, offers: &[&'a Offer], need: Demand, cap: f64) -> Option<Vec<&'a Offer>> {
     let mut tally = have.clone();
-    let mut bought = Vec::new();
+    let mut purchase = Vec::new();
     for offer in offers {
         let zone = &offer.pool.zone;
         while tally.total() - cap + EPSILON < need.urgent && tally.zone(zone) + offer.rate <= cap + EPSILON {
             tally.add(zone, offer.rate);
-            bought.push(*offer);
+            purchase.push(*offer);
         }
     }
     if tally.total() - cap + EPSILON < need.urgent {
         return None;
     }
-    fill(&mut tally, offers.first().copied()?, need, &mut bought);
-    Some(bought)
+    fill_total(&mut tally, offers.first().copied()?, need, &mut purchase);
+    Some(purchase)
 }
 
 /// Buys for all work at once where too few zones sell for the loss of one to be carried.
-fn widest<'a>(have: &Tally, offers: &[&'a Offer], need: Demand) -> Vec<&'a Offer> {
+fn best_effort<'a>(have: &Tally, offers: &[&'a Offer], need: Demand) -> Vec<&'a Offer> {
     let mut tally = have.clone();
-    let mut bought = Vec::new();
+    let mut purchase = Vec::new();
     if let Some(offer) = offers.first().copied() {
-        fill(&mut tally, offer, need, &mut bought);
+        fill_total(&mut tally, offer, need, &mut purchase);
     }
-    bought
+    purchase
 }
 
-fn fill<'a>(tally: &mut Tally, offer: &'a Offer, need: Demand, bought: &mut Vec<&'a Offer>) {
+fn fill_total<'a>(tally: &mut Tally, offer: &'a Offer, need: Demand, purchase: &mut Vec<&'a Offer>) {
     while tally.total() + EPSILON < need.total() {
         tally.add(&offer.pool.zone, offer.rate);
-        bought.push(offer);
+        purchase.push(offer);
     }
 }
--- a/bergamotshift-capacity/src/policy/reactive.rs
+++ b/bergamotshift-capacity/src/policy/reactive.rs
@@ -32,17 +32,17 @@
     fn purchases(&self, now: Instant, situation: &Situation<'_>, wanted: f64) -> Vec<Action> {
         let mut tally = Tally::planned(situation.vms);
         let mut actions = Vec::new();
-        let open: Vec<&Offer> = situation
+        let available: Vec<&Offer> = situation
             .offers
             .iter()
-            .filter(|offer| self.backoff.open(now, &offer.pool))
+            .filter(|offer| self.backoff.is_available(now, &offer.pool))
             .collect();
         while tally.total() + EPSILON < wanted {
             let order = |offer: &&&Offer| {
                 let zone = (tally.zone(&offer.pool.zone) * 1e6) as u64;
                 (!offer.pool.reclaimable(), zone, offer.price)
             };
-            let Some(offer) = open.iter().min_by_key(order) else {
+            let Some(offer) = available.iter().min_by_key(order) else {
                 break;
             };
             tally.add(&offer.pool.zone, offer.rate);
@@ -73,7 +73,7 @@
 
 impl Policy for Reactive {
     fn plan(&mut self, now: Instant, situation: &Situation<'_>) -> Vec<Action> {
-        let wanted = situation.demand.total() / self.settings.utilisation;
+        let wanted = situation.demand.total() / self.settings.target_utilisation;
         let mut actions = stops(situation.vms);
         actions.extend(self.purchases(now, situation, wanted));
         actions.extend(Self::drains(situation, wanted));
--- a/bergamotshift-capacity/src/policy/spread.rs
+++ b/bergamotshift-capacity/src/policy/spread.rs
@@ -23,7 +23,7 @@
 }
 
 /// The part of the VMs that may be given up at one tick.
-const DRAIN_PART: usize = 10;
+const DRAIN_DIVISOR: usize = 10;
 
 /// Buys reclaimable VMs over the zones, and on-demand ones only for urgent work that those cannot carry.
 #[derive(Debug)]
@@ -32,7 +32,7 @@
     urgent: Damper,
     deferrable: Damper,
     backoff: Backoff,
-    replaced: Option<Instant>,
+    last_replacement: Option<Instant>,
 }
 
 impl Spread {
@@ -42,11 +42,11 @@
             urgent: Damper::new(settings.damping),
             deferrable: Damper::new(settings.damping),
             backoff: Backoff::new(),
-            replaced: None,
+            last_replacement: None,
         }
     }
 
-    fn need(&mut self, now: Instant, demand: Demand) -> Demand {
+    fn smoothed_need(&mut self, now: Instant, demand: Demand) -> Demand {
         let factor = 1.0 + self.settings.headroom;
         Demand {
             urgent: self.urgent.observe(now, demand.urgent) * factor,
@@ -57,14 +57,14 @@
     /// Returns what has to be bought: reclaimable where it is sold, on demand for urgent work where it is not.
     fn purchases(&self, now: Instant, situation: &Situation<'_>, need: Demand) -> Vec<Action> {
         let mut tally = Tally::planned(situation.vms);
-        if tally.carries(need) {
+        if tally.covers(need) {
             return Vec::new();
         }
-        let open = |offer: &&Offer| self.backoff.open(now, &offer.pool);
+        let available = |offer: &&Offer| self.backoff.is_available(now, &offer.pool);
         let reclaimable = situation
             .offers
             .iter()
-            .filter(open)
+            .filter(available)
             .filter(|offer| offer.pool.reclaimable());
         let mut pools = purchase::cheapest(&tally, reclaimable, need);
         for offer in pools
@@ -77,10 +77,10 @@
             deferrable: 0.0,
             ..need
         };
-        if !tally.carries(urgent) {
+        if !tally.covers(urgent) {
             // Bought anew from all markets: reclaimable VMs in one zone alone would not help beside them.
             let have = Tally::planned(situation.vms);
-            pools = purchase::cheapest(&have, situation.offers.iter().filter(open), urgent);
+            pools = purchase::cheapest(&have, situation.offers.iter().filter(available), urgent);
         }
         pools.into_iter().map(Action::Start).collect()
     }
@@ -88,17 +88,17 @@
     /// Buys one reclaimable VM in place of one on demand, at most one each hold time.
     fn replacement(&mut self, now: Instant, situation: &Situation<'_>) -> Option<Action> {
         let hold = self.settings.damping.hold_time;
-        let dear =
+        let expensive =
             |vm: &Vm| !vm.pool.reclaimable() && matches!(vm.phase, Phase::Live(since) if now.since(since) >= hold);
-        let recent = self.replaced.is_some_and(|at| now.since(at) < hold);
-        if recent || !situation.vms.iter().any(dear) {
+        let recent = self.last_replacement.is_some_and(|at| now.since(at) < hold);
+        if recent || !situation.vms.iter().any(expensive) {
             return None;
         }
         let tally = Tally::planned(situation.vms);
-        let open = |offer: &&Offer| offer.pool.reclaimable() && self.backoff.open(now, &offer.pool);
+        let available = |offer: &&Offer| offer.pool.reclaimable() && self.backoff.is_available(now, &offer.pool);
         let smallest = |offer: &&Offer| (tally.zone(&offer.pool.zone) * 1e6) as u64;
-        let offer = situation.offers.iter().filter(open).min_by_key(smallest)?;
-        self.replaced = Some(now);
+        let offer = situation.offers.iter().filter(available).min_by_key(smallest)?;
+        self.last_replacement = Some(now);
         Some(Action::Start(offer.pool.clone()))
     }
 
@@ -107,31 +107,31 @@
     /// Only VMs that serve count as remaining, so a replacement serves before what it replaces is drained.
     fn drains(&self, now: Instant, situation: &Situation<'_>, need: Demand) -> Vec<Action> {
         let mut tally = Tally::live(situation.vms);
-        let factor = 1.0 + self.settings.band;
-        let beyond = Demand {
+        let factor = 1.0 + self.settings.scale_in_margin;
+        let with_margin = Demand {
             urgent: need.urgent * factor,
             deferrable: need.deferrable * factor,
         };
-        if !tally.carries(beyond) {
+        if !tally.covers(with_margin) {
             return Vec::new();
         }
         let hold = self.settings.damping.hold_time;
-        let old = |vm: &&Vm| matches!(vm.phase, Phase::Live(since) if now.since(since) >= hold);
-        let mut vms: Vec<_> = situation.vms.iter().filter(old).collect();
+        let past_hold_time = |vm: &&Vm| matches!(vm.phase, Phase::Live(since) if now.since(since) >= hold);
+        let mut vms: Vec<_> = situation.vms.iter().filter(past_hold_time).collect();
         let price = |vm: &Vm| price_per_rate(situation.offers, vm);
         vms.sort_by(|left, right| {
             let by_price = price(right).total_cmp(&price(left));
             let by_zone = tally.zone(&right.pool.zone).total_cmp(&tally.zone(&left.pool.zone));
             by_price.then(by_zone).then_with(|| left.name.cmp(&right.name))
         });
-        let most = (situation.vms.len() / DRAIN_PART).max(1);
+        let limit = (situation.vms.len() / DRAIN_DIVISOR).max(1);
         let mut actions = Vec::new();
         for vm in vms {
-            if actions.len() == most {
+            if actions.len() == limit {
                 break;
             }
             tally.remove(&vm.pool.zone, vm.rate);
-            if tally.carries(need) {
+            if tally.covers(need) {
                 actions.push(Action::Drain(vm.name.clone()));
             } else {
                 tally.add(&vm.pool.zone, vm.rate);
@@ -143,7 +143,7 @@
 
 impl Policy for Spread {
     fn plan(&mut self, now: Instant, situation: &Situation<'_>) -> Vec<Action> {
-        let need = self.need(now, situation.demand);
+        let need = self.smoothed_need(now, situation.demand);
         let mut actions = stops(situation.vms);
         let purchases = self.purchases(now, situation, need);
         if purchases.is_empty() {
--- a/bergamotshift-capacity/src/policy/tally.rs
+++ b/bergamotshift-capacity/src/policy/tally.rs
@@ -62,8 +62,8 @@
     /// Returns whether urgent work is carried with any one zone lost, and all work with none.
     ///
     /// What is kept against the loss of a zone is not idle: deferrable work uses it until then.
-    pub(super) fn carries(&self, need: Demand) -> bool {
-        let survives = self.total - self.largest();
-        survives + EPSILON >= need.urgent && self.total + EPSILON >= need.total()
+    pub(super) fn covers(&self, need: Demand) -> bool {
+        let without_largest = self.total - self.largest();
+        without_largest + EPSILON >= need.urgent && self.total + EPSILON >= need.total()
     }
 }
--- a/bergamotshift-capacity/src/steal/both.rs
+++ b/bergamotshift-capacity/src/steal/both.rs
@@ -8,29 +8,29 @@
 use super::Kind;
 use super::Theft;
 use super::View;
-use super::pull::Pull;
+use super::pull::Steal;
 use super::push::Push;
 
 plugin::inventory::submit! {
-    Kind { name: "push-steal", build: || Box::new(Both { push: Push::default(), pull: Pull }) }
+    Kind { name: "push-steal", build: || Box::new(PushSteal { push: Push::default(), steal: Steal }) }
 }
 
 #[derive(Debug)]
-struct Both {
+struct PushSteal {
     push: Push,
-    pull: Pull,
+    steal: Steal,
 }
 
-impl Balancer for Both {
+impl Balancer for PushSteal {
     fn place(&mut self, now: Instant, origin: usize, job: &Job, zones: &[View]) -> usize {
         self.push.place(now, origin, job, zones)
     }
 
     fn steal(&mut self, thief: usize, zones: &[View]) -> Option<Theft> {
-        self.pull.steal(thief, zones)
+        self.steal.steal(thief, zones)
     }
 
-    fn select(&self, waiting: &[Job], victim: usize, most: usize) -> Vec<usize> {
-        self.pull.select(waiting, victim, most)
+    fn select(&self, waiting: &[Job], victim: usize, max_jobs: usize) -> Vec<usize> {
+        self.steal.select(waiting, victim, max_jobs)
     }
 }
--- a/bergamotshift-capacity/src/steal/mod.rs
+++ b/bergamotshift-capacity/src/steal/mod.rs
@@ -9,7 +9,7 @@
 //! use bergamotshift_core::prelude::*;
 //!
 //! let full = View { waiting: 100.0, rate: 10.0, ..View::default() };
-//! let idle = View { rate: 10.0, room: 4.0, ..View::default() };
+//! let idle = View { rate: 10.0, free_slots: 4.0, ..View::default() };
 //! let mut thief = steal::build("steal").expect("it registers itself");
 //! let theft = thief.steal(1, &[full, idle]).expect("there is something to take");
 //! assert_eq!(theft.victim, 0);
@@ -36,7 +36,7 @@
     /// Its work, in units, where nothing of it is cached.
     pub work: f64,
     /// How much of that is saved in the zone that has its prompt's prefix cached.
-    pub saved: f64,
+    pub cached_work: f64,
     /// The zone that has it cached, by index.
     pub home: usize,
     /// When it has to be done.
@@ -47,7 +47,7 @@
     /// Returns the work it takes in a zone.
     pub fn work_in(&self, zone: usize) -> f64 {
         if zone == self.home {
-            self.work - self.saved
+            self.work - self.cached_work
         } else {
             self.work
         }
@@ -58,7 +58,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct View {
     /// When that was.
-    pub at: Instant,
+    pub as_of: Instant,
     /// Work that waits there, in units.
     pub waiting: f64,
     /// Work that is left of the jobs that run there, in units.
@@ -66,17 +66,17 @@
     /// Units of work per second that deferred jobs get there.
     pub rate: f64,
     /// Jobs that could start there at once.
-    pub room: f64,
+    pub free_slots: f64,
 }
 
 impl View {
     /// Returns how long the waiting work lasts, in seconds.
-    pub fn wait(&self) -> f64 {
-        self.span(self.waiting)
+    pub fn wait_seconds(&self) -> f64 {
+        self.seconds_for(self.waiting)
     }
 
     /// Returns how long this much work lasts there, in seconds.
-    fn span(&self, work: f64) -> f64 {
+    fn seconds_for(&self, work: f64) -> f64 {
         if work > 0.0 {
             work / self.rate.max(f64::MIN_POSITIVE)
         } else {
@@ -91,7 +91,7 @@
     /// Whose jobs, by index.
     pub victim: usize,
     /// The most jobs to take.
-    pub most: usize,
+    pub max_jobs: usize,
 }
 
 /// Decides where deferred jobs wait.
@@ -103,7 +103,7 @@
     fn steal(&mut self, thief: usize, zones: &[View]) -> Option<Theft>;
 
     /// Returns which of the victim's waiting jobs go, by index, in descending order.
-    fn select(&self, waiting: &[Job], victim: usize, most: usize) -> Vec<usize>;
+    fn select(&self, waiting: &[Job], victim: usize, max_jobs: usize) -> Vec<usize>;
 }
 
 /// A balancer that can be chosen by name.
--- a/bergamotshift-capacity/src/steal/pull.rs
+++ b/bergamotshift-capacity/src/steal/pull.rs
@@ -15,37 +15,42 @@
 use super::View;
 
 plugin::inventory::submit! {
-    Kind { name: super::DEFAULT, build: || Box::new(Pull) }
+    Kind { name: super::DEFAULT, build: || Box::new(Steal) }
 }
 
 /// Waits shorter than this, in seconds, are worth no move.
-const LEAST_WAIT: f64 = 1.0;
+const MIN_WAIT: f64 = 1.0;
 
 /// A victim keeps what it will start itself soon; of the rest a thief takes what it has room for.
 #[derive(Debug)]
-pub(super) struct Pull;
+pub(super) struct Steal;
 
-impl Balancer for Pull {
+impl Balancer for Steal {
     fn place(&mut self, _: Instant, origin: usize, _: &Job, _: &[View]) -> usize {
         origin
     }
 
     fn steal(&mut self, thief: usize, zones: &[View]) -> Option<Theft> {
-        let most = zones[thief].room.floor() as usize;
+        let max_jobs = zones[thief].free_slots.floor() as usize;
         let others = (0..zones.len()).filter(|zone| *zone != thief);
-        let victim = others.max_by(|left, right| zones[*left].wait().total_cmp(&zones[*right].wait()))?;
-        (most > 0 && zones[victim].wait() > LEAST_WAIT).then_some(Theft { victim, most })
+        let victim =
+            others.max_by(|left, right| zones[*left].wait_seconds().total_cmp(&zones[*right].wait_seconds()))?;
+        (max_jobs > 0 && zones[victim].wait_seconds() > MIN_WAIT).then_some(Theft { victim, max_jobs })
     }
 
     /// Takes jobs that lose least by leaving, up to half of those waiting.
-    fn select(&self, waiting: &[Job], victim: usize, most: usize) -> Vec<usize> {
-        let lost = |index: &usize| {
+    fn select(&self, waiting: &[Job], victim: usize, max_jobs: usize) -> Vec<usize> {
+        let loss = |index: &usize| {
             let job = &waiting[*index];
-            if job.home == victim { job.saved / job.work } else { 0.0 }
+            if job.home == victim {
+                job.cached_work / job.work
+            } else {
+                0.0
+            }
         };
         let mut order: Vec<usize> = (0..waiting.len()).collect();
-        order.sort_by(|left, right| lost(left).total_cmp(&lost(right)).then(right.cmp(left)));
-        order.truncate(most.min(waiting.len().div_ceil(2)));
+        order.sort_by(|left, right| loss(left).total_cmp(&loss(right)).then(right.cmp(left)));
+        order.truncate(max_jobs.min(waiting.len().div_ceil(2)));
         order.sort_unstable_by(|left, right| right.cmp(left));
         order
     }
--- a/bergamotshift-capacity/src/steal/push.rs
+++ b/bergamotshift-capacity/src/steal/push.rs
@@ -18,11 +18,11 @@
 /// Places each job by the zones' last figures and its own placements since those were read.
 #[derive(Debug, Default)]
 pub(super) struct Push {
-    sent: VecDeque<Sent>,
+    placements: VecDeque<Placement>,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Sent {
+struct Placement {
     at: Instant,
     zone: usize,
     work: f64,
@@ -30,33 +30,37 @@
 
 impl Push {
     /// Forgets placements that every zone's figure already holds.
-    fn forget(&mut self, zones: &[View]) {
-        let oldest = zones.iter().map(|zone| zone.at).min().unwrap_or_default();
-        while self.sent.front().is_some_and(|sent| sent.at < oldest) {
-            self.sent.pop_front();
+    fn prune(&mut self, zones: &[View]) {
+        let oldest = zones.iter().map(|zone| zone.as_of).min().unwrap_or_default();
+        while self.placements.front().is_some_and(|placement| placement.at < oldest) {
+            self.placements.pop_front();
         }
     }
 
-    fn since(&self, zone: usize, view: &View) -> f64 {
-        let unseen = |sent: &&Sent| sent.zone == zone && sent.at >= view.at;
-        self.sent.iter().filter(unseen).map(|sent| sent.work).sum()
+    fn unreported_work(&self, zone: usize, view: &View) -> f64 {
+        let unreported = |placement: &&Placement| placement.zone == zone && placement.at >= view.as_of;
+        self.placements
+            .iter()
+            .filter(unreported)
+            .map(|placement| placement.work)
+            .sum()
     }
 }
 
 impl Balancer for Push {
     fn place(&mut self, now: Instant, origin: usize, job: &Job, zones: &[View]) -> usize {
-        self.forget(zones);
-        let done = |zone: &usize| {
+        self.prune(zones);
+        let completion = |zone: &usize| {
             let view = &zones[*zone];
-            let worked_off = now.since(view.at).as_secs_f64() * view.rate;
-            let ahead = view.waiting + view.running + self.since(*zone, view) - worked_off;
+            let worked_off = now.since(view.as_of).as_secs_f64() * view.rate;
+            let ahead = view.waiting + view.running + self.unreported_work(*zone, view) - worked_off;
             // What runs is worked off in turn with what waits; the job itself then takes its time.
-            view.span(ahead) + job.work_in(*zone)
+            view.seconds_for(ahead) + job.work_in(*zone)
         };
-        let zone = (0..zones.len()).min_by(|left, right| done(left).total_cmp(&done(right)));
+        let zone = (0..zones.len()).min_by(|left, right| completion(left).total_cmp(&completion(right)));
         let zone = zone.unwrap_or(origin);
         let work = job.work_in(zone);
-        self.sent.push_back(Sent { at: now, zone, work });
+        self.placements.push_back(Placement { at: now, zone, work });
         zone
     }
 
--- a/bergamotshift-capacity/tests/policy.rs
+++ b/bergamotshift-capacity/tests/policy.rs
@@ -43,7 +43,7 @@
 fn exact() -> policy::Settings {
     policy::Settings {
         headroom: 0.0,
-        band: 0.0,
+        scale_in_margin: 0.0,
         ..policy::Settings::default()
     }
 }
@@ -212,13 +212,13 @@
 }
 
 #[test]
-fn pace_meets_the_tightest_deadline() {
+fn required_rate_meets_the_tightest_deadline() {
     let at = Instant::from_secs;
-    let least = Duration::from_mins(1);
+    let min_remaining = Duration::from_mins(1);
     let jobs = [(at(100), 50.0), (at(1_000), 50.0), (at(200), 100.0)];
-    assert_eq!(demand::pace(at(0), least, jobs), 0.75);
-    assert_eq!(demand::pace(at(99), least, [(at(100), 60.0)]), 1.0);
-    assert_eq!(demand::pace(at(0), least, []), 0.0);
+    assert_eq!(demand::required_rate(at(0), min_remaining, jobs), 0.75);
+    assert_eq!(demand::required_rate(at(99), min_remaining, [(at(100), 60.0)]), 1.0);
+    assert_eq!(demand::required_rate(at(0), min_remaining, []), 0.0);
 }
 
 quickcheck! {
