--- a/bergamotshift-forward/src/control/inner.rs
+++ b/bergamotshift-forward/src/control/inner.rs
@@ -15,7 +15,7 @@
 use bergamotshift_limit::retry;
 use bergamotshift_limit::retry::Budget;
 use bergamotshift_rollout::Evidence;
-use bergamotshift_rollout::Standing;
+use bergamotshift_rollout::Tracker;
 use rand::Rng;
 use slog::info;
 
@@ -27,10 +27,10 @@
 use crate::endpoint::Directory;
 use crate::endpoint::Endpoint;
 use crate::endpoint::Event;
-use crate::follow::Knowledge;
+use crate::follow::Checkpoint;
 use crate::limits::Demand;
-use crate::limits::Keeping;
-use crate::limits::Timing;
+use crate::limits::Keepers;
+use crate::limits::SharePolicy;
 use crate::limits::granter;
 use crate::observe::Topic;
 use crate::peers::Members;
@@ -77,13 +77,13 @@
 #[derive(Debug)]
 pub(super) struct Inner {
     pub(super) document: Arc<Document>,
-    pub(super) document_known: Knowledge,
+    pub(super) document_known: Checkpoint,
     /// Since when another entry has been known to have a newer document; `None` when none has.
     pub(super) behind: Option<Instant>,
     /// What others are given of the document.
     pub(super) copies: Copies,
     pub(super) directory: Directory,
-    pub(super) registrations_known: Knowledge,
+    pub(super) registrations_known: Checkpoint,
     pub(super) organisations: BTreeMap<name::Organisation, Organisation>,
     pub(super) services: BTreeMap<name::Service, Lasting>,
     pub(super) members: Members,
@@ -91,7 +91,7 @@
     /// What each life of each other entry counted.
     pub(super) counted: BTreeMap<(name::Entry, u64), Windows>,
     /// Which versions of each service may take work.
-    pub(super) standings: BTreeMap<name::Service, Standing>,
+    pub(super) standings: BTreeMap<name::Service, Tracker>,
     /// The share of each service's new version in the last picture.
     pub(super) shares: BTreeMap<name::Service, u16>,
     /// What each life of each other entry saw of the answers of two versions.
@@ -112,7 +112,7 @@
     pub(super) lost_calls: BTreeSet<&'static str>,
     pub(super) life: u64,
     /// Who keeps the zone.
-    pub(super) keeping: Keeping,
+    pub(super) keeping: Keepers,
     /// The entries that grant requests to endpoints which name a rate.
     pub(super) granters: Arc<[granter::Candidate]>,
     ticked: Instant,
@@ -126,14 +126,14 @@
             shared.settings.zone.clone(),
             core_share(shared),
         );
-        members.start(now);
+        members.set_started(now);
         Self {
             document: Arc::default(),
-            document_known: Knowledge::default(),
+            document_known: Checkpoint::default(),
             behind: None,
             copies: Copies::default(),
             directory: Directory::default(),
-            registrations_known: Knowledge::default(),
+            registrations_known: Checkpoint::default(),
             organisations: BTreeMap::new(),
             services: BTreeMap::new(),
             members,
@@ -150,7 +150,7 @@
             remembered: None,
             lost_calls: BTreeSet::new(),
             life: random::generator().next_u64(),
-            keeping: Keeping::default(),
+            keeping: Keepers::default(),
             granters: Arc::default(),
             ticked: now,
         }
@@ -186,7 +186,9 @@
         let steps = steps.unwrap_or_else(|| vec![Difference::between(&self.document, &document)]);
         self.copies.step(&document, steps);
         self.document = Arc::new(document);
-        shared.newest.fetch_max(self.document.version, Ordering::AcqRel);
+        shared
+            .newest_document
+            .fetch_max(self.document.version, Ordering::AcqRel);
         // Versions that follow one another quickly are got one by one; who gets on is not left behind.
         self.behind = self.behind.map(|_since| now);
         self.lag(now, shared);
@@ -232,11 +234,11 @@
     pub(super) fn tick(&mut self, now: Instant, shared: &Shared) {
         let span = now.since(self.ticked);
         self.ticked = now;
-        let timing = Timing::default();
+        let policy = SharePolicy::default();
         for organisation in self.organisations.values_mut() {
             organisation.demand.note(
-                timing.memory,
-                organisation.account.take_asked() + organisation.kept.take_asked(),
+                policy.averaging_window,
+                organisation.account.take_requested() + organisation.kept.take_requested(),
                 span,
             );
         }
@@ -244,7 +246,7 @@
         // than the platform allows, and the ones that are left break too.
         let slack = retry_slack(shared, self.members.count());
         for service in self.services.values_mut() {
-            service.budget.bound(slack);
+            service.budget.set_burst(slack);
             service.reading.note(READING, service.asked.swap(0, Relaxed), span);
         }
         for entry in self.members.expire(now) {
@@ -274,7 +276,10 @@
             windows.retain(|window, _| *window >= oldest);
             !windows.is_empty()
         });
-        shared.metrics.peers.set(self.members.heard(now, FRESH).count() as i64);
+        shared
+            .metrics
+            .peers
+            .set(self.members.recent_states(now, FRESH).count() as i64);
         self.quarantine.expire(now);
     }
 
@@ -283,14 +288,16 @@
         let own = self.services.get(service).map_or(0.0, |lasting| lasting.reading.get());
         // Failure: in a large fleet each entry is heard every other second, and the figures of those heard less lately
         // are left out. Symptom: the demand comes out at three quarters of what it is.
-        let others = self.members.heard(now, self.patience());
-        let told = others.flat_map(|(_, state)| state.reading.iter().filter(|(name, _)| name == service));
+        let others = self.members.recent_states(now, self.patience());
+        let told = others.flat_map(|(_, state)| state.prompt_rates.iter().filter(|(name, _)| name == service));
         own + told.map(|(_, rate)| rate).sum::<f64>()
     }
 
     /// Returns whether another entry said lately that the store answers it.
     pub(super) fn others_reach_store(&self, now: Instant) -> bool {
-        self.members.heard(now, FRESH).any(|(_, state)| state.reaches_store)
+        self.members
+            .recent_states(now, FRESH)
+            .any(|(_, state)| state.reaches_store)
     }
 
     /// Returns whether another entry is known to hold the duties, in a large fleet by word that others pass on. The lease
@@ -330,7 +337,7 @@
     (shared.settings.core_share * 1e3) as u16
 }
 
-pub(super) fn victim(endpoint: &Endpoint) -> quarantine::Victim {
+pub(super) fn victim(endpoint: &Endpoint) -> quarantine::Instance {
     let vm = name::Vm::new(&endpoint.registration.id);
-    quarantine::Victim::new(vm, Incarnation::new(endpoint.registration.born))
+    quarantine::Instance::new(vm, Incarnation::new(endpoint.registration.born))
 }
--- a/bergamotshift-forward/src/daemon/server.rs
+++ b/bergamotshift-forward/src/daemon/server.rs
@@ -111,7 +111,7 @@
         })
         .map_err(Error::Server)?
         .config("metrics", SharedCfg::new("metrics").add(config()));
-    let exchange = control.exchange();
+    let exchange = control.query_sender();
     let granting = Arc::clone(shared);
     builder = builder
         .listen("peers", listeners.peers, async move |_| {
@@ -122,10 +122,10 @@
                 let permits = Rc::clone(&permits);
                 async move {
                     let response = match request.path() {
-                        peers::KEEP => peers::keep(&permits, request).await,
-                        peers::PERMIT => peers::permit(permits.shared(), request).await,
-                        peers::DOCUMENT => peers::give(&exchange, request).await,
-                        _ => peers::answer(&exchange, request).await,
+                        peers::KEEP_PATH => peers::answer_keep(&permits, request).await,
+                        peers::PERMIT_PATH => peers::answer_permit(permits.shared(), request).await,
+                        peers::DOCUMENT_PATH => peers::answer_document(&exchange, request).await,
+                        _ => peers::answer_exchange(&exchange, request).await,
                     };
                     Ok::<_, io::Error>(response)
                 }
--- a/bergamotshift-forward/src/duty/task.rs
+++ b/bergamotshift-forward/src/duty/task.rs
@@ -28,11 +28,11 @@
 use crate::capacity::Planner;
 use crate::capacity::Present;
 use crate::control::Control;
+use crate::outside::Clients;
 use crate::outside::Duties;
-use crate::outside::Holder;
+use crate::outside::FencingToken;
 use crate::outside::Operators;
 use crate::outside::Order;
-use crate::outside::Outside;
 use crate::outside::Usage;
 use crate::random;
 use crate::view::Shared;
@@ -56,7 +56,7 @@
 const WATCHERS: usize = 3;
 
 /// Does the duties for as long as the process lives.
-pub async fn run(control: Control, outside: Outside) {
+pub async fn run(control: Control, outside: Clients) {
     let Some(duties) = outside.duties else {
         return;
     };
@@ -141,7 +141,7 @@
         if self.holder().is_some() {
             self.order().await;
         }
-        if let Some(word) = self.control.take_word() {
+        if let Some(word) = self.control.take_lease_notice() {
             self.lease.heard(word).await;
         }
         // Who holds the duties says so to all; only when nobody does, the first ones look at the lease.
@@ -154,7 +154,7 @@
         self.hand_over().await;
         // Failure: a holder that cannot reach the store goes on saying that it holds the duties. Symptom: nobody takes
         // them over, and nothing is reported. It says so only as long as it may act.
-        self.control.hold(self.holder().is_some(), self.lease.word());
+        self.control.set_duties(self.holder().is_some(), self.lease.word());
         if self.holder().is_some() {
             self.roll_out().await;
         }
@@ -226,7 +226,7 @@
         let word = number
             .filter(|_| self.is_answered)
             .map(|number| Word::GaveUp { number });
-        self.control.hold(false, word);
+        self.control.set_duties(false, word);
         let Some(number) = number else {
             return;
         };
@@ -244,9 +244,9 @@
     }
 
     /// Returns the right to make one call now.
-    pub(super) fn holder(&self) -> Option<Holder> {
+    pub(super) fn holder(&self) -> Option<FencingToken> {
         let number = self.lease.permit(false)?;
-        Some(Holder {
+        Some(FencingToken {
             entry: self.control.shared().settings.name.clone(),
             number,
         })
@@ -336,13 +336,13 @@
                     Market::Reclaimable => here.reclaimable += 1,
                 }
             }
-            for (zone, count) in self.control.foreign(&service.name) {
+            for (zone, count) in self.control.unstable_endpoints(&service.name) {
                 present.entry(zone).or_default().foreign = count;
             }
             let now = shared.clock.now();
             let planner = self.planners.entry(service.name.clone());
             let planner = planner.or_insert_with(|| Planner::new(shared.settings.capacity));
-            let reading = self.control.reading(&service.name);
+            let reading = self.control.prompt_demand(&service.name);
             let orders = planner.plan(now, &service.name, scale, &present, reading);
             for order in orders {
                 self.place(order).await;
--- a/bergamotshift-forward/src/follow/document.rs
+++ b/bergamotshift-forward/src/follow/document.rs
@@ -7,7 +7,7 @@
 use slog::info;
 use tokio::time::sleep;
 
-use super::knowledge::pause;
+use super::knowledge::scale_pause;
 use crate::control::Control;
 use crate::observe::Topic;
 use crate::outside::Gap;
@@ -149,15 +149,15 @@
         }
         let after = control.document_cursor();
         let result = match after {
-            Some(after) if !self.anew => self.operators.changed(after, wait(rank)).await,
-            _ => self.operators.written().await.map_err(Gap::Failed),
+            Some(after) if !self.anew => self.operators.wait_for_change(after, wait(rank)).await,
+            _ => self.operators.read().await.map_err(Gap::Failed),
         };
         self.anew = result.is_err();
-        control.called("document", result.as_ref().err().and_then(failure));
+        control.record_call("document", result.as_ref().err().and_then(failure));
         match result {
             Ok((written, next)) => control.read_document(written, next),
-            Err(Gap::Forgotten) => {}
-            Err(Gap::Failed(_)) => return pause(PAUSE, control.members()),
+            Err(Gap::Truncated) => {}
+            Err(Gap::Failed(_)) => return scale_pause(PAUSE, control.members()),
         }
         Duration::ZERO
     }
@@ -196,7 +196,7 @@
 /// Returns the error of a call that failed; a gap in the history is an answer.
 pub(super) fn failure(gap: &Gap) -> Option<&bergamotshift_platform::Error> {
     match gap {
-        Gap::Forgotten => None,
+        Gap::Truncated => None,
         Gap::Failed(error) => Some(error),
     }
 }
--- a/bergamotshift-forward/src/follow/members.rs
+++ b/bergamotshift-forward/src/follow/members.rs
@@ -16,9 +16,9 @@
 use slog::info;
 use smol_str::SmolStr;
 
-use super::knowledge::pause;
+use super::knowledge::scale_pause;
 use crate::control::Control;
-use crate::peers::Listed;
+use crate::peers::Contact;
 
 /// The partition of the list.
 const PARTITION: &str = "entry";
@@ -75,9 +75,9 @@
         control.shared().metrics.called("entries", read && written);
         if read && written {
             round += 1;
-            tokio::time::sleep(pause(WRITE, control.members())).await;
+            tokio::time::sleep(scale_pause(WRITE, control.members())).await;
         } else {
-            tokio::time::sleep(pause(PAUSE, control.members())).await;
+            tokio::time::sleep(scale_pause(PAUSE, control.members())).await;
         }
     }
 }
@@ -87,10 +87,10 @@
     let settings = &control.shared().settings;
     let row = Row {
         address: settings.listen.peers,
-        at: control.shared().tally.today().as_secs(),
+        at: control.shared().tally.unix_time().as_secs(),
         zone: settings.zone.clone(),
         core_share: control.core_share(),
-        every: pause(WRITE, control.members()).as_secs(),
+        every: scale_pause(WRITE, control.members()).as_secs(),
         busy: control.busy(),
     };
     let Ok(body) = postcard::to_stdvec(&row) else {
@@ -109,7 +109,7 @@
 }
 
 async fn read(control: &Control, table: &Rc<dyn Table>) -> bool {
-    let today = control.shared().tally.today();
+    let today = control.shared().tally.unix_time();
     let mut after: Option<SmolStr> = None;
     let mut busy = Vec::new();
     let (mut others, mut is_back) = (0, false);
@@ -128,7 +128,7 @@
                     let is_own = *name == control.shared().settings.name.as_str();
                     is_back |= is_own;
                     others += usize::from(!is_own);
-                    control.named(&Listed {
+                    control.named(&Contact {
                         entry: name::Entry::new(name),
                         address: row.address,
                         zone: row.zone,
