--- a/bergamotshift-capacity/src/bench/capacity.rs
+++ b/bergamotshift-capacity/src/bench/capacity.rs
@@ -1,4 +1,4 @@
-//! A capacity policy over a day: what it costs, and how much urgent work it keeps in target.
+//! Simulation of a capacity policy over a day, which measures its cost and the urgent work kept in target.
 
 use core::time::Duration;
 
@@ -15,42 +15,42 @@
 use crate::policy;
 use crate::policy::Situation;
 
-/// A day, in seconds.
+/// Length of a day, in seconds.
 pub const DAY: u64 = 24 * 3_600;
 
 const TICK: u64 = 15;
 const SECONDS_PER_HOUR: f64 = 3_600.0;
 const TICK_HOURS: f64 = TICK as f64 / SECONDS_PER_HOUR;
-/// What runs before the day begins is not measured; this time fills the fleet.
+/// Time at the start of a run in which the fleet is built up and nothing is measured, in seconds.
 const WARM_UP: u64 = 900;
-/// How much of the noise of one tick is left at the next.
+/// Share of the noise of one tick that carries over to the next.
 const NOISE_PERSISTENCE: f64 = 0.8;
 
-/// Deferred work that arrives at once; times are in seconds.
+/// A batch of deferred work that arrives at once. Times are in seconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Batch {
-    /// When it arrives.
+    /// Time of arrival.
     pub at: u64,
-    /// When it has to be done.
+    /// Time by which the work has to be done.
     pub deadline: u64,
-    /// How much it is, in units.
+    /// Amount of work, in units.
     pub work: f64,
 }
 
-/// What a policy is put through.
+/// The load and the losses that a policy is tested with.
 #[derive(Clone, Debug)]
 pub struct Scenario {
-    /// Urgent work, in units per second, by second.
+    /// Urgent work in units per second, as a function of the time in seconds.
     pub urgent: fn(u64) -> f64,
-    /// The largest change of it by chance, in one tick, as a part of it.
+    /// Maximum random change of the urgent work in one tick, as a share of it.
     pub noise: f64,
-    /// How many zones sell VMs.
+    /// Number of zones that sell VMs.
     pub zones: usize,
-    /// Zones that are lost.
+    /// Losses of zones.
     pub losses: Vec<Loss>,
-    /// Deferred work.
+    /// Batches of deferred work.
     pub batches: Vec<Batch>,
-    /// How long it lasts, in seconds.
+    /// Duration of the run, in seconds.
     pub span: u64,
 }
 
@@ -67,26 +67,26 @@
     }
 }
 
-/// What a policy achieved; money is in currency units.
+/// Results of a run. Costs are in currency units.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Figures {
-    /// What the VMs cost.
+    /// Cost of the VMs.
     pub cost: f64,
-    /// The part of urgent work that found room at once.
+    /// Share of urgent work for which there was capacity at once.
     pub in_target: f64,
-    /// The part of deferred work that was not done by its deadline.
+    /// Share of deferred work that was not done by its deadline.
     pub missed: f64,
-    /// VMs bought.
+    /// Number of VMs bought.
     pub starts: u64,
-    /// VMs given back.
+    /// Number of VMs given back.
     pub stops: u64,
-    /// The cheapest that any policy could pay that knows all beforehand, in parts of VMs and without any spare.
+    /// Lower bound of the cost with perfect foresight, fractional VMs and no spare capacity.
     pub bound: f64,
-    /// The same with what carries the loss of any one zone, spread evenly.
+    /// Same as `bound`, but with the capacity to survive the loss of any one zone, spread evenly over the zones.
     pub spare_bound: f64,
 }
 
-/// Runs a scenario with the policy of this name, if there is one.
+/// Runs a scenario with the policy registered as `name`, or returns `None` when there is none.
 pub fn run(name: &str, settings: policy::Settings, scenario: &Scenario) -> Option<Figures> {
     let mut policy = policy::build(name, settings)?;
     let mut platform = Platform::new(scenario.zones);
@@ -120,12 +120,12 @@
     Some(meter.figures(&platform, &load))
 }
 
-/// Returns whether something that happens at `at` falls on this tick.
+/// Returns whether an event at time `at` falls on the tick at `second`.
 const fn due(at: u64, second: u64) -> bool {
     at.next_multiple_of(TICK) == second
 }
 
-/// Work as it comes and waits.
+/// Generator of urgent work and queue of deferred work.
 #[derive(Debug)]
 struct Load<'a> {
     scenario: &'a Scenario,
@@ -147,7 +147,7 @@
         }
     }
 
-    /// Lets deferred work arrive, and returns the urgent work of the moment.
+    /// Adds deferred work that has arrived, and returns the current urgent work.
     fn advance(&mut self, second: u64) -> f64 {
         let batches = self.scenario.batches.iter().filter(|batch| due(batch.at, second));
         let batches = batches.map(|batch| (Instant::from_secs(batch.deadline), batch.work));
@@ -162,11 +162,11 @@
         Demand { urgent, deferrable }
     }
 
-    /// Does deferred work, the earliest deadline first, and returns how much was done.
-    fn work_off(&mut self, now: Instant, room: f64) -> f64 {
+    /// Does up to `capacity` units of deferred work, the earliest deadline first, and returns the amount done.
+    fn work_off(&mut self, now: Instant, capacity: f64) -> f64 {
         const DONE: f64 = 1e-6;
         self.waiting.sort_by_key(|(deadline, _)| *deadline);
-        let mut left = room.max(0.0);
+        let mut left = capacity.max(0.0);
         for (_, work) in &mut self.waiting {
             let step = work.min(left);
             *work -= step;
@@ -175,11 +175,11 @@
         let late = self.waiting.iter().filter(|(deadline, _)| *deadline <= now);
         self.missed += late.map(|(_, work)| work).sum::<f64>();
         self.waiting.retain(|(deadline, work)| *work > DONE && *deadline > now);
-        room.max(0.0) - left
+        capacity.max(0.0) - left
     }
 }
 
-/// Adds the figures up.
+/// Accumulator of the figures.
 #[derive(Debug)]
 struct Meter {
     figures: Figures,
@@ -187,7 +187,7 @@
     served: f64,
     cheapest: f64,
     mean: f64,
-    /// How many times the urgent work has to be there so that any one zone can go.
+    /// Factor by which capacity has to exceed the urgent work so that any one zone can be lost.
     redundancy: f64,
 }
 
--- a/bergamotshift-capacity/src/bench/jobs.rs
+++ b/bergamotshift-capacity/src/bench/jobs.rs
@@ -1,4 +1,4 @@
-//! Deferred jobs in zones whose room changes: how long they take, and what is computed a second time.
+//! Simulation of deferred jobs in zones with changing capacity, which measures their latency and recomputation.
 
 use bergamotshift_core::prelude::*;
 use rand::RngExt;
@@ -9,55 +9,60 @@
 use crate::steal::Job;
 use crate::steal::View;
 
-/// How many zones there are.
+/// Number of zones.
 pub const ZONES: usize = 4;
-/// How many jobs a zone runs at once when nothing else does.
+/// Number of jobs that a zone runs at once when there is no other work.
 pub const SLOTS: f64 = 12.0;
-/// How many jobs one run has.
+/// Number of jobs in one run.
 pub const JOBS: u64 = 2_000;
 
-/// How old figures of other zones are, in seconds.
+/// Age of the known states of the zones, in seconds.
 const REPORT_LAG: usize = 5;
-/// The time in which jobs arrive, in seconds.
+/// Time span in which jobs arrive, in seconds.
 const ARRIVAL_SPAN: u64 = 2_700;
-/// The mean work of a job, in seconds.
+/// Approximate mean work of a job, in seconds.
 const MEAN_WORK: f64 = 60.0;
-/// The part of a job's work that its home zone has cached.
+/// Share of a job's work that its home zone has cached.
 const CACHED_SHARE: f64 = 0.3;
-/// From arrival to deadline, in seconds.
+/// Time from arrival to deadline, in seconds.
 const DEADLINE_AFTER: u64 = 900;
 
-/// What balancers are put through.
+/// The arrivals and capacities that a balancer is tested with.
 #[derive(Clone, Copy, Debug)]
 pub struct Case {
-    /// The zone in which a job arrives, by its number.
+    /// Zone in which a job arrives, as a function of its id.
     pub origin: fn(u64) -> usize,
-    /// Slots left to deferred jobs, by second and zone; a zone without any is lost.
-    pub room: fn(u64, usize) -> f64,
+    /// Slots available to deferred jobs, as a function of second and zone. A zone without slots is lost.
+    pub slots: fn(u64, usize) -> f64,
 }
 
-/// What became of the jobs.
+/// Results of one or more runs.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Figures {
-    /// Seconds from arrival to end, on average.
+    /// Mean time from arrival to end, in seconds.
     pub mean: f64,
-    /// Seconds from arrival to end, at most.
+    /// Maximum time from arrival to end, in seconds.
     pub longest: f64,
-    /// Jobs that ended after their deadline.
+    /// Number of jobs that ended after their deadline.
     pub missed: u64,
-    /// The part of all work that was cached elsewhere and computed a second time.
+    /// Share of all work that was cached in another zone and computed again.
     pub recomputed: f64,
-    /// How many times a job moved between zones.
+    /// Number of moves of jobs between zones.
     pub moved: u64,
 }
 
-/// Averages several seeds with the balancer of this name, if there is one; the longest and the counts are of all runs.
+/// Runs the balancer registered as `name` with several seeds, or returns `None` when there is none.
+///
+/// The mean and the recomputed share are averaged over the runs, the counts are summed, and the longest time is the
+/// maximum.
 pub fn average(case: &Case, name: &str, seeds: u64) -> Option<Figures> {
     let runs = (0..seeds).map(|seed| Some(Simulation::new(case, Some(steal::build(name)?), seed).run()));
     runs.sum()
 }
 
-/// Averages several seeds with one queue, from which every zone takes at once as if it had everything cached.
+/// Runs several seeds with one shared queue, from which every zone takes jobs as if it had all prompts cached.
+///
+/// The results are a bound for balancers and are combined as in [`average`].
 pub fn bound(case: &Case, seeds: u64) -> Figures {
     (0..seeds).map(|seed| Simulation::new(case, None, seed).run()).sum()
 }
@@ -101,14 +106,19 @@
 struct Simulation<'a> {
     case: &'a Case,
     balancer: Option<Box<dyn Balancer>>,
-    /// Jobs by number, and the numbers in the order of their arrival.
+    /// Jobs by id.
     arrivals: Vec<Arrival>,
+    /// Ids of the jobs that have not arrived yet, the latest first.
     pending: Vec<usize>,
     zones: Vec<Zone>,
+    /// Queue for all zones, used instead of a balancer.
     shared_queue: Vec<Job>,
+    /// Ring buffer of the states of all zones in the last seconds.
     reports: Vec<Vec<View>>,
     figures: Figures,
+    /// Number of jobs that have ended.
     ended: u64,
+    /// Work of the jobs that have ended, in units.
     work: f64,
 }
 
@@ -143,26 +153,26 @@
     }
 
     fn step(&mut self, second: u64) {
-        let slot = second as usize % REPORT_LAG;
-        let known = core::mem::take(&mut self.reports[slot]);
+        let report_index = second as usize % REPORT_LAG;
+        let known = core::mem::take(&mut self.reports[report_index]);
         while let Some(job) = self.pending.pop_if(|job| self.arrivals[*job].second <= second) {
             let job = self.arrivals[job].job;
             self.enqueue(second, job.home, job, &known);
         }
         for zone in 0..ZONES {
-            let room = (self.case.room)(second, zone);
-            if room <= 0.0 {
+            let slots = (self.case.slots)(second, zone);
+            if slots <= 0.0 {
                 self.lose_zone(second, zone, &known);
             }
-            let free = (room - self.zones[zone].running.len() as f64).max(0.0) as usize;
+            let free = (slots - self.zones[zone].running.len() as f64).max(0.0) as usize;
             self.steal(zone, free, &known);
             self.start(zone, free);
         }
         self.work_off(second + 1);
-        self.reports[slot] = (0..ZONES).map(|zone| self.report(second, zone)).collect();
+        self.reports[report_index] = (0..ZONES).map(|zone| self.report(second, zone)).collect();
     }
 
-    /// Puts a job into a queue.
+    /// Adds a job to the queue of a zone, or to the shared queue when there is no balancer.
     fn enqueue(&mut self, second: u64, origin: usize, job: Job, known: &[View]) {
         let Some(balancer) = &mut self.balancer else {
             self.shared_queue.push(job);
@@ -173,7 +183,7 @@
         self.zones[zone].waiting.push(job);
     }
 
-    /// Lets the jobs of a lost zone start anew from the next one.
+    /// Enqueues the jobs of a lost zone again, with the next zone as their origin.
     fn lose_zone(&mut self, second: u64, zone: usize, known: &[View]) {
         let lost = core::mem::take(&mut self.zones[zone]);
         let running = lost.running.into_iter().map(|run| run.job);
@@ -182,14 +192,14 @@
         }
     }
 
-    /// Lets a zone with more room than jobs take some from another.
+    /// Lets a zone with more free slots than waiting jobs take jobs from another zone.
     fn steal(&mut self, thief: usize, free: usize, known: &[View]) {
-        let room = free.saturating_sub(self.zones[thief].waiting.len());
-        let Some(balancer) = self.balancer.as_mut().filter(|_| room > 0) else {
+        let unused_slots = free.saturating_sub(self.zones[thief].waiting.len());
+        let Some(balancer) = self.balancer.as_mut().filter(|_| unused_slots > 0) else {
             return;
         };
         let mut views = known.to_vec();
-        views[thief].free_slots = room as f64;
+        views[thief].free_slots = unused_slots as f64;
         let Some(theft) = balancer.steal(thief, &views) else {
             return;
         };
@@ -200,7 +210,7 @@
         self.zones[thief].waiting.extend(jobs);
     }
 
-    /// Starts jobs by deadline, from the zone's queue or from the one for all.
+    /// Starts jobs by deadline, from the zone's queue or else from the shared queue.
     fn start(&mut self, index: usize, free: usize) {
         let zone = &mut self.zones[index];
         zone.waiting.sort_by_key(|job| job.deadline);
@@ -244,7 +254,7 @@
             as_of: Instant::from_secs(second + 1),
             waiting: zone.waiting.iter().map(|job| job.work_in(index)).sum(),
             running: zone.running.iter().map(|run| run.remaining).sum(),
-            rate: (self.case.room)(second, index),
+            rate: (self.case.slots)(second, index),
             free_slots: 0.0,
         }
     }
--- a/bergamotshift-capacity/src/bench/market.rs
+++ b/bergamotshift-capacity/src/bench/market.rs
@@ -1,31 +1,31 @@
-//! What the model's platform sells, and when it does not.
+//! Offers of the simulated platform, and losses of zones.
 
 use bergamotshift_core::prelude::*;
 
 use crate::market::Offer;
 use crate::market::Pool;
 
-/// Zones and their reclaimable prices per hour, in thousandths of the currency unit.
+/// Zones and their prices of a reclaimable VM per hour, in thousandths of a currency unit.
 const ZONES: [(&str, u64); 5] = [("a", 900), ("b", 1_000), ("c", 1_050), ("d", 1_200), ("e", 1_000)];
 const MICROS_PER_MILLI: u64 = 1_000;
-/// How many times the reclaimable price a VM costs on demand.
+/// Ratio of the on-demand price to the reclaimable price.
 const ON_DEMAND_FACTOR: u64 = 3;
 
-/// A loss of a zone; times are in seconds.
+/// The loss of a zone. Times are in seconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Loss {
-    /// When all VMs of the zone go, without notice.
+    /// Time at which all VMs of the zone are gone, without notice.
     pub at: u64,
-    /// Which zone.
+    /// Zone that is lost.
     pub zone: &'static str,
-    /// How long nothing is sold there.
+    /// Time for which no VMs are sold in the zone.
     pub span: u64,
-    /// Zones that refuse reclaimable VMs for as long.
+    /// Zones that sell no reclaimable VMs for the same time.
     pub refusing: &'static [&'static str],
 }
 
 impl Loss {
-    /// Returns whether a start at this time is refused because of the loss.
+    /// Returns whether the loss causes a start from this pool at this time to be refused.
     pub fn refuses(&self, pool: &Pool, second: u64) -> bool {
         let zone = pool.zone.as_str();
         let here = zone == self.zone || (pool.reclaimable() && self.refusing.contains(&zone));
@@ -33,7 +33,7 @@
     }
 }
 
-/// Returns the offers of the first so many zones; one VM does one unit of work per second within the target.
+/// Returns the offers of the first `zones` zones. One VM does one unit of work per second within the latency target.
 pub fn offers(zones: usize) -> Vec<Offer> {
     let offer = |(zone, price): (&str, u64), market, factor| Offer {
         pool: Pool::new(name::Zone::new(zone), name::Class::new_static("gpu"), market),
@@ -46,7 +46,7 @@
     reclaimable.chain(on_demand).collect()
 }
 
-/// Returns a price in currency units.
+/// Converts a price to currency units.
 pub(super) fn currency_units(price: Price) -> f64 {
     price.as_micros() as f64 / 1e6
 }
--- a/bergamotshift-capacity/src/bench/platform.rs
+++ b/bergamotshift-capacity/src/bench/platform.rs
@@ -1,4 +1,4 @@
-//! The model's platform: it sells VMs, starts them, and takes zones back.
+//! The simulated platform, which sells and starts VMs and reclaims zones.
 
 use core::time::Duration;
 
@@ -13,7 +13,7 @@
 use crate::policy::Action;
 use crate::policy::Event;
 
-/// From a purchase until the VM serves.
+/// Time from a purchase until the VM serves.
 const BOOT_TIME: Duration = Duration::from_secs(150);
 
 #[derive(Debug)]
@@ -36,13 +36,13 @@
         }
     }
 
-    /// Takes a zone back, and returns what the policy is told.
+    /// Removes all VMs of a zone, and returns the events for the policy.
     pub(super) fn lose_zone(&mut self, zone: &str) -> Vec<Event> {
         let gone = self.vms.extract_if(.., |vm| vm.pool.zone.as_str() == zone);
         gone.map(|vm| Event::Reclaimed(vm.pool)).collect()
     }
 
-    /// Lets VMs come up, and drained ones end their work.
+    /// Makes VMs live whose boot time has passed, and draining VMs idle.
     pub(super) fn advance(&mut self, now: Instant) {
         let up: Vec<_> = self.ready.extract_if(.., |(at, _)| *at <= now).collect();
         for vm in &mut self.vms {
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Carries an action out, and returns what the policy is told of a start.
+    /// Executes an action, and returns the event for the policy if the action is a start.
     pub(super) fn carry_out(&mut self, now: Instant, action: Action, losses: &[Loss]) -> Option<Event> {
         let second = now.as_micros() / 1_000_000;
         match action {
@@ -89,13 +89,13 @@
         });
     }
 
-    /// Returns the work per second that VMs do.
+    /// Returns the capacity of the live VMs, in units of work per second.
     pub(super) fn live(&self) -> f64 {
         let live = self.vms.iter().filter(|vm| matches!(vm.phase, Phase::Live(_)));
         live.map(|vm| vm.rate).sum()
     }
 
-    /// Returns what all VMs cost per hour.
+    /// Returns the price of all VMs per hour, in currency units.
     pub(super) fn price(&self) -> f64 {
         let offer = |vm: &Vm| self.offers.iter().find(|offer| offer.pool == vm.pool);
         let price = |vm: &Vm| offer(vm).map_or(0.0, |offer| market::currency_units(offer.price));
--- a/bergamotshift-capacity/src/demand.rs
+++ b/bergamotshift-capacity/src/demand.rs
@@ -1,30 +1,30 @@
-//! How much work a service is asked for, and how much of it capacity has to follow.
+//! Demand for work on a service, and its smoothing into the demand that capacity follows.
 
 use core::time::Duration;
 use std::collections::VecDeque;
 
 use bergamotshift_core::prelude::*;
 
-/// Work asked for, in units per second.
+/// Demand for work, in units per second.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Demand {
-    /// Work that has to be done as it comes, also when a zone is lost.
+    /// Work that has to be done as it arrives, even when a zone is lost.
     pub urgent: f64,
-    /// The pace at which deferred work has to be done to meet its deadlines; see [`pace`].
+    /// Rate at which deferred work has to be done to meet its deadlines; see [`required_rate`].
     pub deferrable: f64,
 }
 
 impl Demand {
-    /// Returns all work.
+    /// Returns the sum of urgent and deferrable work.
     pub const fn total(self) -> f64 {
         self.urgent + self.deferrable
     }
 }
 
-/// Returns the steady pace, in units per second, that meets the deadlines of all waiting jobs.
+/// Returns the constant rate, in units per second, that meets the deadlines of all waiting jobs.
 ///
-/// Jobs are pairs of deadline and remaining work. A job whose deadline is closer than `least` counts as due then, so
-/// that a late one asks for much and not for everything.
+/// Jobs are pairs of deadline and remaining work. A job has at least `min_remaining` left to its deadline, so that the
+/// rate for a late job is high but bounded.
 pub fn required_rate(now: Instant, min_remaining: Duration, jobs: impl IntoIterator<Item = (Instant, f64)>) -> f64 {
     let mut jobs: Vec<_> = jobs.into_iter().collect();
     jobs.sort_by_key(|(deadline, _)| *deadline);
@@ -37,16 +37,16 @@
     rate
 }
 
-/// How demand is damped before capacity follows it.
+/// Settings for the smoothing of demand before capacity follows it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Settings {
-    /// The time over which demand is averaged.
+    /// Time constant of the average over demand.
     pub window: Duration,
-    /// How long demand has to stay above the average before capacity follows it at once.
+    /// Time for which demand has to stay above the average before capacity follows it at once.
     pub confirm_time: Duration,
-    /// How far ahead capacity has to be ready: the time from a purchase until the VM serves.
+    /// Time from the purchase of a VM until it serves, by which capacity has to be ordered ahead of demand.
     pub lead_time: Duration,
-    /// How long demand has to stay lower before capacity follows it down.
+    /// Time for which demand has to stay lower before capacity follows it down.
     pub hold_time: Duration,
 }
 
@@ -61,29 +61,29 @@
     }
 }
 
-/// Damps one figure: up with its trend, down only after it stayed down.
+/// Smooths one value: follows it up along its trend, and down only after it stayed low.
 ///
-/// Failure: demand is noisy and capacity follows each swing. Symptom: VMs are started and stopped in turn, each paid
-/// for while it loads weights and serves nobody. The figure is averaged, led by its trend over the time a start
-/// takes, and the largest value of the hold time counts; so a VM is given up only when it was not needed for that
-/// long. A step that lasts is not averaged away: what every reading of the `confirm` time reached counts at once.
+/// If capacity followed every swing of a noisy demand, VMs would be started and stopped in turn, each paid for while it
+/// loads weights and serves nobody. The value is therefore averaged and extrapolated along its trend over the lead
+/// time, and the largest result within the hold time counts. A VM is given up only when it was not needed for that
+/// long. A lasting step is not averaged away: the lowest reading within the confirm time counts at once.
 #[derive(Clone, Debug)]
 pub struct Damper {
     settings: Settings,
     fast_average: f64,
     slow_average: f64,
     updated_at: Option<Instant>,
-    /// Rising readings by time: the front is the smallest of the confirm time.
+    /// Increasing readings by time. The front is the smallest within the confirm time.
     lows: VecDeque<(Instant, f64)>,
-    /// Falling values by time: the front is the largest of the hold time.
+    /// Decreasing results by time. The front is the largest within the hold time.
     peaks: VecDeque<(Instant, f64)>,
 }
 
-/// How much slower the average is against which the trend is taken.
+/// Ratio of the time constants of the slow and the fast average, whose difference gives the trend.
 const SLOW_FACTOR: f64 = 4.0;
 
 impl Damper {
-    /// Makes a damper that has seen nothing.
+    /// Creates a damper without any readings.
     pub const fn new(settings: Settings) -> Self {
         Self {
             settings,
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Notes a reading and returns the figure that capacity has to follow.
+    /// Adds a reading and returns the smoothed value that capacity has to follow.
     pub fn observe(&mut self, now: Instant, reading: f64) -> f64 {
         self.update_averages(now, reading);
         while self.lows.back().is_some_and(|(_, low)| *low >= reading) {
@@ -119,9 +119,9 @@
         self.slow_average += (reading - self.slow_average) * (1.0 - (-span / SLOW_FACTOR).exp());
     }
 
-    /// Returns by how much the figure will have risen when a start of now serves; a fall is not led.
+    /// Returns the predicted rise until a VM that is started now serves, or zero when the value falls.
     fn predicted_rise(&self) -> f64 {
-        // On a steady slope the two averages lie their lags' difference apart.
+        // On a constant slope, the averages differ by the slope times the difference of their lags.
         let lag = self.settings.window.as_secs_f64() * (SLOW_FACTOR - 1.0);
         let slope = (self.fast_average - self.slow_average) / lag;
         let ahead = self.settings.lead_time + self.settings.window;
@@ -129,7 +129,7 @@
     }
 }
 
-/// Adds a value to a sorted window, drops what is older than `span`, and returns the window's extreme.
+/// Adds a value to a sorted window, drops values older than `span`, and returns the window's extreme value.
 fn window_extreme(window: &mut VecDeque<(Instant, f64)>, now: Instant, value: f64, span: Duration) -> f64 {
     window.push_back((now, value));
     while window.front().is_some_and(|(at, _)| now.since(*at) > span) {
--- a/bergamotshift-capacity/src/duty/fleet.rs
+++ b/bergamotshift-capacity/src/duty/fleet.rs
@@ -1,4 +1,4 @@
-//! The service's VMs, as far as they are known.
+//! Known state of the service's VMs.
 
 use core::time::Duration;
 use std::collections::BTreeMap;
@@ -13,7 +13,8 @@
 use crate::market::Pool;
 use crate::market::Vm;
 
-/// Where a VM is on its way out; the order is that of the way, and no mark is unset.
+/// Progress of one incarnation of a VM towards its end. Later stages compare as greater and are never left for earlier
+/// ones.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Stage {
     Up,
@@ -22,36 +23,42 @@
     Stopped,
 }
 
+/// Known state of one VM.
 #[derive(Clone, Debug)]
 struct Row {
     pool: Pool,
     incarnation: Incarnation,
-    since: Instant,
+    /// Time when the VM was bought or first listed.
+    known_since: Instant,
+    /// Time of the first report of the VM's endpoint.
     serving_since: Option<Instant>,
+    /// Time of the last report of the VM's endpoint.
     last_report: Option<Instant>,
+    /// Whether the platform's list has shown the VM.
     listed: bool,
+    /// Whether the VM did not serve within the boot timeout.
     overdue: bool,
     stage: Stage,
-    /// When the last order for it was given.
+    /// Time of the last order for the VM.
     last_order: Instant,
 }
 
 impl Row {
-    const fn new(since: Instant, pool: Pool) -> Self {
+    const fn new(known_since: Instant, pool: Pool) -> Self {
         Self {
             pool,
             incarnation: Incarnation::new(0),
-            since,
+            known_since,
             serving_since: None,
             last_report: None,
             listed: false,
             overdue: false,
             stage: Stage::Up,
-            last_order: since,
+            last_order: known_since,
         }
     }
 
-    /// Returns how the policy sees it, unless it was given back or has not come up.
+    /// Returns the phase that the policy sees, or `None` when the VM was given back or is overdue.
     const fn phase(&self) -> Option<Phase> {
         match (self.stage, self.serving_since) {
             (Stage::Stopped, _) => None,
@@ -64,21 +71,23 @@
     }
 }
 
+/// The VMs of the service by name.
 #[derive(Debug, Default)]
 pub(super) struct Fleet {
     rows: BTreeMap<name::Vm, Row>,
 }
 
 impl Fleet {
-    /// Notes a VM that was sold; the list shows it later.
+    /// Adds a VM that was bought and may not be listed yet.
     pub(super) fn add_purchased(&mut self, now: Instant, vm: name::Vm, pool: Pool) {
         self.rows.entry(vm).or_insert_with(|| Row::new(now, pool));
     }
 
-    /// Takes the platform's list over, and returns the pools of VMs that it took back.
+    /// Applies the platform's VM list and returns the pools of VMs that were reclaimed.
     ///
-    /// Failure: the list lags. Symptoms: a VM just sold is missing, a VM given back or leaving is shown as live.
-    /// One that was never listed is not taken for gone, and marks of an incarnation are never unset.
+    /// The list is delayed: a VM that was just sold can be missing, and a VM that was given back or is leaving can be
+    /// shown as live. A VM that was never listed is therefore not considered gone, and the list never moves an
+    /// incarnation back to an earlier stage.
     pub(super) fn update_listings(&mut self, now: Instant, listings: &[Listing]) -> Vec<Pool> {
         let mut reclaimed = Vec::new();
         for listing in listings {
@@ -103,6 +112,7 @@
         reclaimed
     }
 
+    /// Records that a VM's endpoint responds, and whether it is idle.
     pub(super) fn record_serving(&mut self, now: Instant, vm: &name::Vm, idle: bool) {
         if let Some(row) = self.rows.get_mut(vm) {
             row.serving_since.get_or_insert(now);
@@ -113,9 +123,9 @@
         }
     }
 
-    /// Returns the pools of VMs that have just become overdue; the policy no longer counts on them.
+    /// Marks VMs that have not served in time as overdue, and returns their pools. The policy no longer sees these VMs.
     pub(super) fn mark_overdue(&mut self, now: Instant, boot_timeout: Duration) -> Vec<Pool> {
-        let late = |row: &&mut Row| row.phase() == Some(Phase::Starting) && now.since(row.since) >= boot_timeout;
+        let late = |row: &&mut Row| row.phase() == Some(Phase::Starting) && now.since(row.known_since) >= boot_timeout;
         let rows = self.rows.values_mut().filter(late);
         rows.map(|row| {
             row.overdue = true;
@@ -124,14 +134,14 @@
         .collect()
     }
 
-    /// Returns overdue VMs that are certainly not up.
+    /// Returns overdue VMs whose start has failed.
     ///
-    /// Failure: the holder is cut off from a zone, or has just taken over. Symptom: VMs that serve their own zone look
-    /// as if they never came up, and stopping them would cut requests. Only where another VM of the zone is heard is
-    /// silence taken for a failed start.
+    /// A holder that is cut off from a zone, or has just taken over, receives no reports from VMs that do serve, and
+    /// stopping them would cut requests. A silent VM therefore counts as failed only if another VM of its zone has
+    /// reported within `max_age`.
     pub(super) fn failed_starts(&self, now: Instant, max_age: Duration) -> Vec<name::Vm> {
-        let heard = |row: &&Row| row.last_report.is_some_and(|at| now.since(at) <= max_age);
-        let zones: BTreeSet<_> = self.rows.values().filter(heard).map(|row| &row.pool.zone).collect();
+        let reported = |row: &&Row| row.last_report.is_some_and(|at| now.since(at) <= max_age);
+        let zones: BTreeSet<_> = self.rows.values().filter(reported).map(|row| &row.pool.zone).collect();
         let failed = |row: &Row| row.overdue && row.phase().is_none() && row.stage == Stage::Up;
         let rows = self
             .rows
@@ -140,17 +150,19 @@
         rows.map(|(vm, _)| vm.clone()).collect()
     }
 
-    /// Drains a VM; only a report after that may call it idle, as it may have got work until then.
+    /// Drains a VM. Only a later report may mark it as idle, because it may have received work until now.
     pub(super) fn drain(&mut self, now: Instant, vm: name::Vm) -> Option<Order> {
         self.set_stage(now, &vm, Stage::Draining { idle: false })?;
         Some(Order::Drain(vm))
     }
 
+    /// Gives a VM back.
     pub(super) fn stop(&mut self, now: Instant, vm: name::Vm) -> Option<Order> {
         self.set_stage(now, &vm, Stage::Stopped)?;
         Some(Order::Stop(vm))
     }
 
+    /// Moves a VM to a stage by an order.
     fn set_stage(&mut self, now: Instant, vm: &name::Vm, stage: Stage) -> Option<()> {
         let row = self.rows.get_mut(vm)?;
         row.stage = stage;
@@ -158,7 +170,7 @@
         Some(())
     }
 
-    /// Gives orders again that show no effect: a drained VM still works, a stopped one is still listed.
+    /// Repeats orders without a visible effect: a drained VM is not idle, or a stopped VM is still listed.
     pub(super) fn retry_orders(&mut self, now: Instant, interval: Duration) -> Vec<Order> {
         let mut orders = Vec::new();
         for (vm, row) in &mut self.rows {
@@ -175,6 +187,7 @@
         orders
     }
 
+    /// Returns the VMs as the policy sees them, with their rates from `rate`.
     pub(super) fn vms(&self, rate: impl Fn(&Pool) -> f64) -> impl Iterator<Item = Vm> {
         self.rows.iter().filter_map(move |(name, row)| {
             Some(Vm {
--- a/bergamotshift-capacity/src/duty/mod.rs
+++ b/bergamotshift-capacity/src/duty/mod.rs
@@ -1,20 +1,20 @@
-//! The capacity duty of one service: from the platform's answers and lists to orders.
+//! The capacity duty of one service, which turns responses and VM lists of the platform into orders.
 //!
-//! Whoever holds the duty's lease feeds a [`Kernel`] with what it hears and carries out its orders. The kernel keeps
-//! apart what was ordered, sold, listed and serving, each of which is known later than the one before, and shows a
-//! [`Policy`] one picture of them.
+//! The holder of the duty's lease passes its observations to a [`Kernel`] and executes the orders that it returns. The
+//! kernel tracks separately which VMs are ordered, sold, listed and serving, each of which becomes known later than the
+//! one before, and presents a combined state to a [`Policy`].
 //!
 //! ```
 //! use bergamotshift_capacity::duty::{Kernel, Order, Settings};
 //! use bergamotshift_capacity::prelude::*;
 //! use bergamotshift_core::prelude::*;
 //!
-//! let policy = policy::build(policy::DEFAULT, policy::Settings::default()).expect("it registers itself");
+//! let policy = policy::build(policy::DEFAULT, policy::Settings::default()).expect("the policy is registered");
 //! let mut kernel = Kernel::new(Settings::default(), policy, 7);
 //! let pool = |zone| Pool::new(name::Zone::new(zone), name::Class::from("gpu"), Market::Reclaimable);
 //! let offers = ["a", "b"].map(|zone| Offer { pool: pool(zone), price: Price::from_micros(1), rate: 1.0 });
 //! let demand = Demand { urgent: 1.0, deferrable: 0.0 };
-//! assert!(kernel.tick(Instant::ZERO, &offers, demand).is_empty(), "a new holder looks before it buys");
+//! assert!(kernel.tick(Instant::ZERO, &offers, demand).is_empty(), "a new holder waits for the VM list first");
 //! let orders = kernel.tick(Instant::from_secs(60), &offers, demand);
 //! assert!(matches!(orders[..], [Order::Start { .. }, Order::Start { .. }]));
 //! ```
@@ -38,39 +38,39 @@
 use crate::policy::Policy;
 use crate::policy::Situation;
 
-/// Names one purchase, so that it can be asked for again without being made twice.
+/// Idempotency token of a purchase, with which the request can be repeated without buying twice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Token {
-    /// The fencing number of the lease under which it was ordered.
+    /// Fencing number of the lease under which the purchase was ordered.
     pub fencing: u64,
-    /// Counts the holder's purchases.
+    /// Sequence number of the purchase under that lease, starting at 1.
     pub number: u64,
 }
 
-/// What the holder of the duty does. Every order may be carried out twice without harm.
+/// An order for the holder of the duty. Orders are idempotent.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Order {
-    /// It buys a VM, once per token.
+    /// Buy a VM, once per token.
     Start {
-        /// Names the purchase.
+        /// Token of the purchase.
         token: Token,
-        /// What is bought.
+        /// Pool to buy from.
         pool: Pool,
     },
-    /// It lets a VM finish its work.
+    /// Let a VM finish its work and send it no more.
     Drain(name::Vm),
-    /// It gives a VM back.
+    /// Give a VM back.
     Stop(name::Vm),
 }
 
-/// How long the duty waits for others.
+/// Timeouts and intervals of the duty.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Settings {
-    /// From a purchase until the VM has to serve.
+    /// Time from a purchase until the VM has to serve.
     pub boot_timeout: Duration,
-    /// Until an order without an effect is given again.
+    /// Time after which an order without a visible effect is repeated.
     pub retry_interval: Duration,
-    /// How far the platform's list may lag, and so how long a new holder buys nothing.
+    /// Maximum delay of the platform's VM list, during which a new holder buys nothing.
     pub max_list_lag: Duration,
 }
 
@@ -84,6 +84,7 @@
     }
 }
 
+/// A purchase that the platform has not answered yet.
 #[derive(Clone, Debug)]
 struct Purchase {
     pool: Pool,
@@ -91,7 +92,7 @@
     last_sent: Instant,
 }
 
-/// Decides for one service while its lease is held.
+/// Decision logic for one service while its lease is held.
 #[derive(Debug)]
 pub struct Kernel {
     settings: Settings,
@@ -104,7 +105,7 @@
 }
 
 impl Kernel {
-    /// Makes the kernel of a new holder, under its lease's fencing number.
+    /// Creates the kernel of a new holder with the fencing number of its lease.
     pub fn new(settings: Settings, policy: Box<dyn Policy>, fencing: u64) -> Self {
         Self {
             settings,
@@ -117,35 +118,35 @@
         }
     }
 
-    /// Notes that a purchase was made.
+    /// Records that a purchase succeeded.
     pub fn record_purchase(&mut self, now: Instant, token: Token, vm: name::Vm) {
-        // An answer may come twice, or after the purchase was given up: then the list shows the VM.
+        // A response may arrive twice, or after the purchase has expired; in the latter case the list shows the VM.
         if let Some(purchase) = self.purchases.remove(&token) {
             self.policy.event(now, &Event::Started(purchase.pool.clone()));
             self.fleet.add_purchased(now, vm, purchase.pool);
         }
     }
 
-    /// Notes that a purchase was refused.
+    /// Records that a purchase was refused.
     pub fn record_refusal(&mut self, now: Instant, token: Token) {
         if let Some(purchase) = self.purchases.remove(&token) {
             self.policy.event(now, &Event::Refused(purchase.pool));
         }
     }
 
-    /// Notes the platform's list of the service's VMs.
+    /// Records the platform's current list of the service's VMs.
     pub fn record_listings(&mut self, now: Instant, listings: &[Listing]) {
         for pool in self.fleet.update_listings(now, listings) {
             self.policy.event(now, &Event::Reclaimed(pool));
         }
     }
 
-    /// Notes that a VM's endpoint answers, and whether nothing runs there.
+    /// Records that a VM's endpoint responds, and whether it is idle.
     pub fn record_serving(&mut self, now: Instant, vm: &name::Vm, idle: bool) {
         self.fleet.record_serving(now, vm, idle);
     }
 
-    /// Returns what has to be done now.
+    /// Returns the orders to execute now.
     pub fn tick(&mut self, now: Instant, offers: &[Offer], demand: Demand) -> Vec<Order> {
         let started_at = *self.started_at.get_or_insert(now);
         let mut orders = self.repeat_purchases(now);
@@ -158,8 +159,8 @@
         };
         for action in self.policy.plan(now, &situation) {
             match action {
-                // Failure: the last holder bought just before it lost the lease. Symptom: its purchases are not
-                // listed yet, and the new holder buys them again. After the list's lag it sees them.
+                // The previous holder may have bought VMs just before it lost the lease. The list does not show them
+                // yet, so the new holder would buy them again. It buys nothing until the list must show them.
                 Action::Start(_) if now.since(started_at) < self.settings.max_list_lag => {}
                 Action::Start(pool) => orders.push(self.start(now, pool)),
                 Action::Drain(vm) => orders.extend(self.fleet.drain(now, vm)),
@@ -170,6 +171,7 @@
         orders
     }
 
+    /// Creates a purchase under a new token.
     fn start(&mut self, now: Instant, pool: Pool) -> Order {
         self.purchase_count += 1;
         let token = Token {
@@ -185,7 +187,7 @@
         Order::Start { token, pool }
     }
 
-    /// Orders purchases without an answer again, under the same token.
+    /// Repeats unanswered purchases under the same token.
     fn repeat_purchases(&mut self, now: Instant) -> Vec<Order> {
         let mut orders = Vec::new();
         for (token, purchase) in &mut self.purchases {
@@ -198,7 +200,7 @@
         orders
     }
 
-    /// Gives up what took too long, and tells the policy to try elsewhere.
+    /// Gives up purchases and VMs that took too long, so that the policy tries other pools, and stops failed VMs.
     fn expire(&mut self, now: Instant) -> Vec<Order> {
         let boot_timeout = self.settings.boot_timeout;
         let expired = self
@@ -213,7 +215,7 @@
         failed.into_iter().filter_map(|vm| self.fleet.stop(now, vm)).collect()
     }
 
-    /// Returns the picture that the policy sees; a purchase without an answer counts as a VM that starts.
+    /// Returns the VMs as the policy sees them. An unanswered purchase counts as a starting VM.
     fn vms(&self, offers: &[Offer]) -> Vec<Vm> {
         let rate = |pool: &Pool| {
             let offer = offers.iter().find(|offer| offer.pool == *pool);
--- a/bergamotshift-capacity/src/market.rs
+++ b/bergamotshift-capacity/src/market.rs
@@ -1,76 +1,76 @@
-//! What can be bought, and what was.
+//! VMs that the platform offers, and VMs that were bought.
 
 use bergamotshift_core::prelude::*;
 use serde::Deserialize;
 use serde::Serialize;
 
-/// A kind of VM that the platform sells: a class in a zone on a market.
+/// A capacity pool of the platform: the VMs of one class in one zone on one market.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Serialize, Deserialize)]
 pub struct Pool {
-    /// The availability zone.
+    /// Availability zone.
     pub zone: name::Zone,
-    /// The machine class.
+    /// Machine class.
     pub class: name::Class,
-    /// The market.
+    /// Market on which the VMs are sold.
     pub market: Market,
 }
 
 impl Pool {
-    /// Makes a pool.
+    /// Creates a pool.
     pub const fn new(zone: name::Zone, class: name::Class, market: Market) -> Self {
         Self { zone, class, market }
     }
 
-    /// Returns whether its VMs may be reclaimed.
+    /// Returns whether the platform may reclaim VMs of this pool.
     pub fn reclaimable(&self) -> bool {
         self.market == Market::Reclaimable
     }
 }
 
-/// What a pool costs and brings.
+/// Price and performance of the VMs in a pool.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Offer {
-    /// What is sold.
+    /// Pool that is offered.
     pub pool: Pool,
-    /// The price of one VM per hour.
+    /// Price of one VM per hour.
     pub price: Price,
-    /// Units of work per second that one VM does while it meets the latency target.
+    /// Work that one VM does while it meets the latency target, in units per second.
     pub rate: f64,
 }
 
 impl Offer {
-    /// Returns the price of one unit of work per second.
+    /// Returns the hourly price per unit of work per second, in millionths of a currency unit.
     pub fn price_per_rate(&self) -> f64 {
         self.price.as_micros() as f64 / self.rate
     }
 }
 
-/// Where a VM stands.
+/// Lifecycle phase of a VM.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// It was bought and does not serve yet.
+    /// The VM was bought and does not serve yet.
     Starting,
-    /// It serves since then.
+    /// The VM has served since the given time.
     Live(Instant),
-    /// It gets no new work.
+    /// The VM gets no new work.
     Draining {
-        /// Whether nothing runs there any longer.
+        /// Whether no work runs on the VM any more.
         idle: bool,
     },
-    /// It was given notice.
+    /// The VM has received a reclaim notice.
     Leaving,
 }
 
 /// One VM of the service.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Vm {
-    /// Its name.
+    /// Name of the VM.
     pub name: name::Vm,
-    /// What it was bought as.
+    /// Pool that the VM was bought from.
     pub pool: Pool,
-    /// Units of work per second that it does.
+    /// Work that the VM does, in units per second.
     pub rate: f64,
-    /// Where it stands.
+    /// Lifecycle phase.
     pub phase: Phase,
 }
--- a/bergamotshift-capacity/src/placement/assignment.rs
+++ b/bergamotshift-capacity/src/placement/assignment.rs
@@ -1,4 +1,4 @@
-//! The wanted placement, built item by item.
+//! Construction of the desired placement, item by item.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -10,23 +10,27 @@
 use super::Order;
 use super::Settings;
 
-/// Differences of rates below this are rounding.
+/// Tolerance for rounding errors in rates.
 const EPSILON: f64 = 1e-9;
 
+/// A host with its unassigned capacity and the items that it should hold.
 #[derive(Debug)]
 struct Allocation<'a> {
     host: &'a Host,
+    /// Unassigned work, in units per second.
     remaining_rate: f64,
+    /// Memory that no wanted item takes, in bytes.
     free_memory: u64,
     wanted: BTreeSet<&'a name::Model>,
 }
 
+/// The desired placement under construction.
 #[derive(Debug)]
 pub(super) struct Assignment<'a> {
     allocations: Vec<Allocation<'a>>,
     items: BTreeMap<&'a name::Model, &'a Item>,
     zones: usize,
-    /// Loads in the order in which they are needed.
+    /// Required loads, as host index and item, in the order of assignment.
     loads: Vec<(usize, &'a name::Model)>,
 }
 
@@ -47,9 +51,9 @@
         }
     }
 
-    /// Gives an item room in small pieces, each in the zone where it has least.
+    /// Assigns capacity to an item in shares, each in the zone where the item has the least so far.
     ///
-    /// Urgent items get so much that what is left without any one zone carries their demand.
+    /// Urgent items get enough capacity that the rest covers their demand when any one zone is lost.
     pub(super) fn assign(&mut self, item: &'a Item, settings: Settings) {
         let demand = item.demand * (1.0 + settings.headroom);
         let zones = self.zones as f64;
@@ -78,7 +82,9 @@
         }
     }
 
-    /// Picks the host for an item's next piece: the zone with least of it, then one that holds it, then the emptiest.
+    /// Picks the host for an item's next share.
+    ///
+    /// Prefers the zone in which the item has the least, then a host that has it loaded, then the most free capacity.
     fn pick(&self, item: &Item, assigned: &BTreeMap<&name::Zone, f64>, used_hosts: &BTreeSet<usize>) -> Option<usize> {
         let fits = |index: &usize| {
             let allocation = &self.allocations[*index];
@@ -98,7 +104,7 @@
         (0..self.allocations.len()).filter(fits).min_by_key(order)
     }
 
-    /// Returns the memory that an item still needs on a host, its base included.
+    /// Returns the memory that an item still needs on a host, including its base model.
     fn missing_memory(&self, index: usize, item: &Item) -> u64 {
         let needed = |name: &&name::Model| !self.allocations[index].wanted.contains(*name);
         let names = core::iter::once(&item.name).chain(item.base.as_ref());
@@ -106,8 +112,9 @@
         names.filter(needed).map(size).sum()
     }
 
+    /// Places an item and its base model on a host.
     fn place(&mut self, index: usize, item: &'a Item) {
-        // The base comes first, as an adapter cannot be loaded without it.
+        // The base model comes first, because an adapter cannot be loaded without it.
         for name in item.base.iter().chain(core::iter::once(&item.name)) {
             let size = self.items.get(name).map_or(0, |item| item.size);
             let allocation = &mut self.allocations[index];
@@ -120,7 +127,7 @@
         }
     }
 
-    /// Returns the orders; a host that lacks memory for a load first gives up what is not wanted there.
+    /// Returns the orders. A host without enough memory for a load first unloads items that are not wanted there.
     pub(super) fn orders(self) -> Vec<Order> {
         let mut orders = Vec::new();
         let mut free_memory: Vec<_> = self
@@ -153,12 +160,14 @@
         orders
     }
 
+    /// Returns the host's memory that no loaded item takes.
     fn free_memory(&self, allocation: &Allocation<'_>) -> u64 {
         let held: u64 = allocation.host.held.iter().map(|name| self.size(name)).sum();
         allocation.host.memory.saturating_sub(held)
     }
 
-    /// Returns what a host holds and is not wanted there, the least asked for last.
+    /// Returns the items that are loaded on a host and not wanted there, in descending order of demand. They are
+    /// unloaded from the end.
     fn evictable<'b>(&self, allocation: &Allocation<'b>) -> Vec<&'b name::Model> {
         let held = allocation.host.held.iter();
         let mut evictable: Vec<_> = held.filter(|name| !allocation.wanted.contains(name)).collect();
@@ -167,12 +176,14 @@
         evictable
     }
 
-    /// Returns an item's size; one that is no longer configured counts as nothing, and goes first.
+    /// Returns an item's size, or zero when it is no longer configured. Such an item has no demand and is unloaded
+    /// first.
     fn size(&self, name: &name::Model) -> u64 {
         self.items.get(name).map_or(0, |item| item.size)
     }
 }
 
+/// Converts a value to integer millionths, which can be ordered.
 fn micros(figure: f64) -> u64 {
     (figure * 1e6) as u64
 }
--- a/bergamotshift-capacity/src/placement/loader.rs
+++ b/bergamotshift-capacity/src/placement/loader.rs
@@ -1,4 +1,4 @@
-//! How many loads run at once.
+//! Limit on concurrent loads.
 
 use core::time::Duration;
 use std::collections::BTreeMap;
@@ -7,25 +7,25 @@
 
 use super::Order;
 
-/// Lets loads begin as fast as the weight store can serve them.
+/// Limits concurrent loads to the number that the weight store serves at full rate.
 ///
-/// Failure: a zone is replaced and all its VMs load weights at once. Symptom: the store divides its rate among them
-/// and none is ready for long. Only so many load at once that each gets its full rate, the most needed first, so the
-/// first is ready as early as it can be and the last no later.
+/// When a zone is replaced and all its VMs load weights at once, the store divides its bandwidth among them and no VM
+/// is ready for a long time. With the limit each load gets its full rate, so the first VM is ready as early as possible
+/// and the last one no later than without the limit.
 #[derive(Clone, Debug)]
 pub struct Loader {
-    /// Bytes per second that the store gives in all.
+    /// Total bandwidth of the store, in bytes per second.
     store_rate: f64,
-    /// Bytes per second that one load can use.
+    /// Maximum rate of one load, in bytes per second.
     load_rate: f64,
     running: BTreeMap<(name::Vm, name::Model), Instant>,
 }
 
-/// How many times its expected time a load may take before its place is given away.
+/// Multiple of its expected duration after which a load no longer counts as running.
 const TIMEOUT_FACTOR: f64 = 4.0;
 
 impl Loader {
-    /// Makes a loader; rates are in bytes per second.
+    /// Creates a loader. Rates are in bytes per second.
     pub const fn new(store_rate: f64, load_rate: f64) -> Self {
         Self {
             store_rate,
@@ -34,15 +34,15 @@
         }
     }
 
-    /// Returns how many loads may run at once.
+    /// Returns the maximum number of concurrent loads, which is at least one.
     pub fn slots(&self) -> usize {
         ((self.store_rate / self.load_rate) as usize).max(1)
     }
 
-    /// Returns the orders that are issued now, and notes the loads among them.
+    /// Returns the orders to issue now, and counts the loads among them as running.
     ///
-    /// A load that is already running is not repeated. A VM's unloads go out with its first load that is let through,
-    /// and not before: memory is not given up for a load that has to wait.
+    /// A load that is already running is not repeated. Unloads of a VM are issued together with its first admitted
+    /// load, so that no memory is given up for a load that has to wait.
     pub fn admit(&mut self, now: Instant, orders: &[Order], size: impl Fn(&name::Model) -> u64) -> Vec<Order> {
         self.running.retain(|_, expires_at| now < *expires_at);
         let mut admitted = Vec::new();
@@ -68,7 +68,7 @@
         admitted
     }
 
-    /// Notes that a load ended, well or not.
+    /// Records that a load ended, successfully or not.
     pub fn ended(&mut self, vm: &name::Vm, item: &name::Model) {
         self.running.remove(&(vm.clone(), item.clone()));
     }
--- a/bergamotshift-capacity/src/placement/mod.rs
+++ b/bergamotshift-capacity/src/placement/mod.rs
@@ -1,7 +1,7 @@
-//! Which models and adapters lie on which VM, and which role each VM has.
+//! Placement of models and adapters on VMs, and the roles of the VMs.
 //!
-//! [`plan`] compares what is wanted with what is loaded and returns orders; [`Loader`] lets as many begin as the weight
-//! store's rate allows; [`roles`] splits a zone's VMs between prompts and answers.
+//! [`plan`] compares the desired placement with the loaded models and returns orders. [`Loader`] limits concurrent
+//! loads to the bandwidth of the weight store. [`roles`] splits a zone's VMs between prefill and decode.
 //!
 //! ```
 //! use bergamotshift_capacity::placement::{plan, Host, Item, Order, Settings};
@@ -11,7 +11,7 @@
 //! let items = [Item { name: name::Model::from("planner"), size: 30, base: None, demand: 0.5, urgent: true }];
 //! let orders = plan(&[host("vm-1", "a"), host("vm-2", "b")], &items, Settings::default());
 //! assert!(orders.iter().all(|order| matches!(order, Order::Load { .. })));
-//! assert_eq!(orders.len(), 2, "urgent work is kept in two zones");
+//! assert_eq!(orders.len(), 2, "urgent models are placed in two zones");
 //! ```
 
 mod assignment;
@@ -28,38 +28,38 @@
 pub use self::role::Split;
 pub use self::role::roles;
 
-/// A model, or an adapter to one.
+/// A model, or an adapter to a model.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Item {
-    /// Its name.
+    /// Name of the model or adapter.
     pub name: name::Model,
-    /// The memory it takes, in bytes.
+    /// Memory that the weights take, in bytes.
     pub size: u64,
-    /// The model that has to lie beside it, for an adapter.
+    /// Model that has to be loaded on the same VM, for an adapter.
     pub base: Option<name::Model>,
-    /// Work asked of it, in units per second.
+    /// Demand for the item, in units of work per second.
     pub demand: f64,
-    /// Whether its work has to go on when a zone is lost.
+    /// Whether the item has to be served when a zone is lost.
     pub urgent: bool,
 }
 
-/// A VM that serves, and what it holds or is loading.
+/// A serving VM with the items that it has loaded or is loading.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Host {
-    /// Its name.
+    /// Name of the VM.
     pub vm: name::Vm,
-    /// Its availability zone.
+    /// Availability zone.
     pub zone: name::Zone,
-    /// Units of work per second that it does.
+    /// Work that the VM does, in units per second.
     pub rate: f64,
     /// Memory for weights, in bytes.
     pub memory: u64,
-    /// What it holds or is loading.
+    /// Items that are loaded or loading.
     pub held: BTreeSet<name::Model>,
 }
 
 impl Host {
-    /// Makes a host that holds nothing.
+    /// Creates a host with nothing loaded.
     pub const fn new(vm: name::Vm, zone: name::Zone, rate: f64, memory: u64) -> Self {
         Self {
             vm,
@@ -71,29 +71,29 @@
     }
 }
 
-/// What an endpoint is told.
+/// An order to an endpoint.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Order {
-    /// It loads an item.
+    /// Load an item.
     Load {
-        /// Which VM.
+        /// VM of the endpoint.
         vm: name::Vm,
-        /// What.
+        /// Item to load.
         item: name::Model,
     },
-    /// It gives an item up.
+    /// Unload an item.
     Unload {
-        /// Which VM.
+        /// VM of the endpoint.
         vm: name::Vm,
-        /// What.
+        /// Item to unload.
         item: name::Model,
     },
 }
 
-/// How much room items get.
+/// Settings of the placement.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Settings {
-    /// What is kept above an item's demand, as a part of it.
+    /// Capacity kept above an item's demand, as a share of it.
     pub headroom: f64,
 }
 
@@ -103,10 +103,10 @@
     }
 }
 
-/// Returns the orders that lead to a good placement, the most needed first.
+/// Returns the orders that lead to the desired placement. Urgent items come first, then those with the most demand.
 ///
-/// Orders repeat the same wish until it is met, so one that is lost or carried out twice does no harm. What is loaded
-/// stays where it is unless its memory is needed: an item whose demand swings is not loaded twice.
+/// The same orders are returned until they are executed, so an order that is lost or executed twice does no harm. Items
+/// stay loaded until their memory is needed, so that an item with varying demand is not loaded again and again.
 pub fn plan(hosts: &[Host], items: &[Item], settings: Settings) -> Vec<Order> {
     let mut assignment = Assignment::new(hosts, items);
     let mut order: Vec<_> = items.iter().collect();
--- a/bergamotshift-capacity/src/placement/role.rs
+++ b/bergamotshift-capacity/src/placement/role.rs
@@ -1,9 +1,9 @@
-//! Which VMs compute prompts and which generate answers.
+//! Split of VMs between computing prompts (prefill) and generating answers (decode).
 
 use serde::Deserialize;
 use serde::Serialize;
 
-/// What a VM's engine is used for.
+/// The kind of work that a VM's engine is used for.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
@@ -11,18 +11,18 @@
     /// Prompts and answers.
     #[default]
     Mixed,
-    /// Prompts; answers go on elsewhere.
+    /// Prompts only; the answers are generated on other VMs.
     Prefill,
-    /// Answers.
+    /// Answers only.
     Decode,
 }
 
-/// When a zone's VMs get roles.
+/// Settings for the split of a zone's VMs.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Split {
-    /// The fewest VMs of a zone that are split; fewer stay mixed, as one lost would take a whole role with it.
+    /// Minimum number of VMs in a zone that is split. With fewer, the loss of one VM could remove a whole role.
     pub min_vms: usize,
-    /// By how many VMs the split has to be off before it is changed.
+    /// Maximum deviation from the ideal split, in VMs, at which the split is left unchanged.
     pub tolerance: f64,
 }
 
@@ -35,10 +35,10 @@
     }
 }
 
-/// Returns the roles of a zone's VMs, given those they have and the prompts' part of the work.
+/// Returns the roles of a zone's VMs, given their present roles and the share of prefill in the work.
 ///
-/// The split keeps still until it is off by more than the band, and changes as few VMs as it can: a change of role
-/// empties an engine's cache.
+/// The split is left unchanged within the tolerance, and otherwise changes as few VMs as possible, because a change of
+/// role empties an engine's cache.
 pub fn roles(present: &[Role], prefill_share: f64, split: Split) -> Vec<Role> {
     let count = present.len();
     if count < split.min_vms {
@@ -55,7 +55,7 @@
     assign(present, wanted)
 }
 
-/// Keeps as many prompt VMs as are wanted, and takes the rest from the front.
+/// Assigns `wanted` prefill VMs, keeping present ones first and then taking others from the front.
 fn assign(present: &[Role], wanted: usize) -> Vec<Role> {
     let mut roles = vec![Role::Decode; present.len()];
     let mut left = wanted;
--- a/bergamotshift-capacity/src/policy/backoff.rs
+++ b/bergamotshift-capacity/src/policy/backoff.rs
@@ -1,4 +1,4 @@
-//! Pauses after refused starts, per pool.
+//! Backoff after refused starts and reclaims, per pool.
 
 use std::collections::BTreeMap;
 
@@ -8,16 +8,17 @@
 use super::Settings;
 use crate::market::Pool;
 
+/// The pause of a pool, and the number of refusals that led to it.
 #[derive(Clone, Copy, Debug)]
 struct Pause {
     until: Instant,
     refusals: u32,
 }
 
-/// Remembers which pools are not worth asking for at the moment.
+/// The pools from which no VM is requested for now.
 ///
-/// Failure: a zone is reclaimed and replacements are refused there. Symptom: all starts go on being asked for where
-/// none is sold, and the service stays short. A refused pool pauses, longer each time, and starts go elsewhere.
+/// When a zone is reclaimed and replacements are refused there, requests that keep going to the same pool would leave
+/// the service short of capacity. A refused pool is therefore avoided, longer each time, and VMs are started elsewhere.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Backoff {
     pauses: BTreeMap<Pool, Pause>,
@@ -39,6 +40,7 @@
         }
     }
 
+    /// Returns whether VMs may be requested from the pool.
     pub(super) fn is_available(&self, now: Instant, pool: &Pool) -> bool {
         self.pauses.get(pool).is_none_or(|pause| now >= pause.until)
     }
@@ -54,7 +56,7 @@
         self.pauses.insert(pool.clone(), Pause { until, refusals });
     }
 
-    /// What the platform takes back it does not sell again at once.
+    /// Pauses the pool for the maximum backoff, because the platform does not sell at once what it has just reclaimed.
     fn reclaimed(&mut self, now: Instant, pool: &Pool, settings: &Settings) {
         let until = now + settings.max_backoff;
         let refusals = self.pauses.get(pool).map_or(0, |pause| pause.refusals);
--- a/bergamotshift-capacity/src/policy/mod.rs
+++ b/bergamotshift-capacity/src/policy/mod.rs
@@ -1,6 +1,6 @@
-//! How many VMs of which class in which zone and on which market.
+//! Capacity policies, which decide how many VMs to run of which class, in which zone and on which market.
 //!
-//! Policies register themselves; [`DEFAULT`] is the one that the measurements in the decision page speak for.
+//! Policies register themselves by name. [`DEFAULT`] is the policy that the measurements favour.
 
 mod backoff;
 mod peak;
@@ -21,67 +21,67 @@
 use crate::market::Pool;
 use crate::market::Vm;
 
-/// The name of the policy that is used unless settings choose another.
+/// Name of the default policy.
 pub const DEFAULT: &str = "spread";
 
-/// What a policy sees at a tick.
+/// Input of a policy at a tick.
 #[derive(Clone, Copy, Debug)]
 pub struct Situation<'a> {
-    /// What can be bought.
+    /// VMs that can be bought.
     pub offers: &'a [Offer],
-    /// The service's VMs.
+    /// VMs of the service.
     pub vms: &'a [Vm],
-    /// The work asked for at the moment.
+    /// Current demand.
     pub demand: Demand,
 }
 
-/// What a policy wants done.
+/// A change of capacity that a policy requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// A VM is bought.
+    /// Buy a VM from a pool.
     Start(Pool),
-    /// A VM gets no new work.
+    /// Send no new work to a VM.
     Drain(name::Vm),
-    /// A drained VM is given back.
+    /// Give back a drained VM.
     Stop(name::Vm),
 }
 
-/// What a policy is told between ticks.
+/// A platform event that a policy receives between ticks.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// The platform sold a VM.
+    /// The platform sold a VM from the pool.
     Started(Pool),
-    /// The platform refused to sell one, or it did not come up in time.
+    /// The platform refused to sell a VM from the pool, or the VM did not serve in time.
     Refused(Pool),
-    /// The platform took VMs of this kind back.
+    /// The platform reclaimed a VM of the pool.
     Reclaimed(Pool),
 }
 
-/// Decides on a service's capacity.
+/// A strategy for a service's capacity.
 pub trait Policy: fmt::Debug {
-    /// Returns what has to be done now.
+    /// Returns the actions to take now.
     fn plan(&mut self, now: Instant, situation: &Situation<'_>) -> Vec<Action>;
 
-    /// Notes what became of an action, or of a VM.
+    /// Handles an event.
     fn event(&mut self, now: Instant, event: &Event);
 }
 
-/// What policies are told by the operators.
+/// Operator settings of the policies.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Settings {
-    /// The most urgent work ever expected, for policies that hold capacity for it.
+    /// Highest expected urgent demand, in units per second, for policies that hold capacity for the peak.
     pub peak: f64,
-    /// The part of capacity that policies without spread aim to use.
+    /// Share of the capacity, from 0 to 1, that policies without redundancy across zones aim to use.
     pub target_utilisation: f64,
-    /// What is kept above the damped demand, as a part of it; what carries the loss of a zone is kept besides.
+    /// Capacity kept above the smoothed urgent demand, as a share of it and in addition to the reserve for a lost zone.
     pub headroom: f64,
-    /// How far capacity has to lie beyond the need, as a part of it, before VMs are given up.
+    /// Capacity above the need, as a share of it, from which VMs are given up.
     pub scale_in_margin: f64,
-    /// How demand is damped; its hold is also a VM's shortest life.
+    /// Smoothing of demand. Its hold time is also the minimum time that a VM serves.
     pub damping: demand::Settings,
-    /// The first pause after a refused start; it doubles up to `pause_cap`.
+    /// Backoff after the first refused start. It doubles with each further one, up to `max_backoff`.
     pub initial_backoff: Duration,
-    /// The longest pause after refused starts.
+    /// Maximum backoff after refused starts, and the backoff after a reclaim.
     pub max_backoff: Duration,
 }
 
@@ -99,12 +99,12 @@
     }
 }
 
-/// A capacity policy that can be chosen by name.
+/// The descriptor under which a policy is registered.
 #[derive(Clone, Copy, Debug)]
 pub struct Kind {
-    /// Its name.
+    /// Name that selects the policy in the settings.
     pub name: &'static str,
-    /// Makes one.
+    /// Constructor of the policy.
     pub build: fn(Settings) -> Box<dyn Policy>,
 }
 
@@ -116,7 +116,7 @@
 
 plugin::inventory::collect!(Kind);
 
-/// Makes the policy of this name, if one registered itself under it.
+/// Builds the policy registered as `name`, or returns `None` when there is none.
 pub fn build(name: &str, settings: Settings) -> Option<Box<dyn Policy>> {
     plugin::find::<Kind>(name).map(|kind| (kind.build)(settings))
 }
--- a/bergamotshift-capacity/src/policy/peak.rs
+++ b/bergamotshift-capacity/src/policy/peak.rs
@@ -1,4 +1,4 @@
-//! A baseline: on-demand VMs for the highest demand, always.
+//! Baseline policy: on-demand VMs for the peak demand at all times.
 
 use bergamotshift_core::plugin;
 use bergamotshift_core::prelude::*;
@@ -19,7 +19,7 @@
     Kind { name: "static-peak", build: |settings| Box::new(StaticPeak { settings, backoff: Backoff::new() }) }
 }
 
-/// Holds on-demand VMs for the peak with any one zone lost, and never gives one up.
+/// Holds enough on-demand VMs for the peak demand with any one zone lost, and never gives one up.
 #[derive(Debug)]
 struct StaticPeak {
     settings: Settings,
--- a/bergamotshift-capacity/src/policy/purchase.rs
+++ b/bergamotshift-capacity/src/policy/purchase.rs
@@ -1,4 +1,4 @@
-//! The cheapest VMs to buy so that the fleet carries its demand with any one zone lost.
+//! Search for the cheapest purchase that lets the fleet cover its demand with any one zone lost.
 
 use std::collections::BTreeMap;
 
@@ -10,11 +10,12 @@
 use crate::market::Offer;
 use crate::market::Pool;
 
-/// Returns the cheapest purchase beside what is there, or as near to it as the offers come.
+/// Returns the cheapest purchase that covers `need` together with `have`, or as much of it as the offers allow.
 ///
-/// The cap on a zone's capacity is tried at each size. Under a cap, the cheapest zones are filled up to it, until what
-/// remains without one full zone carries the urgent work: a low cap spreads over dear zones, a high one buys more in
-/// cheap ones. The deferrable work's rest goes to the cheapest zone, as it need not survive the loss of one.
+/// Each possible cap on the capacity of a zone is tried. Under a cap, zones are filled up to it, the cheapest first,
+/// until the capacity without one full zone covers the urgent work. A low cap spreads VMs over expensive zones, a high
+/// cap buys more in cheap zones. The rest of the deferrable work goes to the cheapest zone, because it need not survive
+/// the loss of a zone.
 pub(super) fn cheapest<'a>(have: &Tally, offers: impl Iterator<Item = &'a Offer>, need: Demand) -> Vec<Pool> {
     let offers = best_per_zone(offers);
     let Some(min_rate) = offers.iter().map(|offer| offer.rate).reduce(f64::min) else {
@@ -27,14 +28,14 @@
         under_cap(have, &offers, need, cap)
     });
     let cost = |plan: &Vec<&Offer>| plan.iter().map(|offer| offer.price).sum::<Price>();
-    // Of plans that cost the same the first has the lowest cap, so the widest spread.
+    // Among plans of the same cost, the first has the lowest cap and therefore the widest spread over zones.
     let plan = plans
         .min_by_key(cost)
         .unwrap_or_else(|| best_effort(have, &offers, need));
     plan.into_iter().map(|offer| offer.pool.clone()).collect()
 }
 
-/// Returns each zone's cheapest offer, the cheapest zone first.
+/// Returns the cheapest offer of each zone, ordered by price per unit of work.
 fn best_per_zone<'a>(offers: impl Iterator<Item = &'a Offer>) -> Vec<&'a Offer> {
     let mut best: BTreeMap<&name::Zone, &Offer> = BTreeMap::new();
     for offer in offers {
@@ -48,6 +49,7 @@
     best
 }
 
+/// Returns the purchase under a cap on each zone's capacity, or `None` when the zones cannot cover the urgent work.
 fn under_cap<'a>(have: &Tally, offers: &[&'a Offer], need: Demand, cap: f64) -> Option<Vec<&'a Offer>> {
     let mut tally = have.clone();
     let mut purchase = Vec::new();
@@ -65,7 +67,7 @@
     Some(purchase)
 }
 
-/// Buys for all work at once where too few zones sell for the loss of one to be carried.
+/// Returns a purchase that covers all work without a zone lost, used when too few zones sell to allow for a loss.
 fn best_effort<'a>(have: &Tally, offers: &[&'a Offer], need: Demand) -> Vec<&'a Offer> {
     let mut tally = have.clone();
     let mut purchase = Vec::new();
@@ -75,6 +77,7 @@
     purchase
 }
 
+/// Adds VMs of one offer until the total capacity covers all work.
 fn fill_total<'a>(tally: &mut Tally, offer: &'a Offer, need: Demand, purchase: &mut Vec<&'a Offer>) {
     while tally.total() + EPSILON < need.total() {
         tally.add(&offer.pool.zone, offer.rate);
--- a/bergamotshift-capacity/src/policy/reactive.rs
+++ b/bergamotshift-capacity/src/policy/reactive.rs
@@ -1,4 +1,4 @@
-//! A baseline: reclaimable VMs for a target utilisation of the moment.
+//! Baseline policy: reclaimable VMs that keep a target utilisation under the current demand.
 
 use bergamotshift_core::plugin;
 use bergamotshift_core::prelude::*;
@@ -21,7 +21,7 @@
     Kind { name: "reactive", build: |settings| Box::new(Reactive { settings, backoff: Backoff::new() }) }
 }
 
-/// Follows demand at a fixed utilisation, evenly over the zones, reclaimable first.
+/// Follows demand at a fixed utilisation, spread evenly over the zones, with reclaimable VMs first.
 #[derive(Debug)]
 struct Reactive {
     settings: Settings,
--- a/bergamotshift-capacity/src/policy/spread.rs
+++ b/bergamotshift-capacity/src/policy/spread.rs
@@ -1,4 +1,4 @@
-//! The default: the cheapest spread that carries urgent work with any one zone lost.
+//! Default policy: the cheapest spread over zones that covers urgent work with any one zone lost.
 
 use bergamotshift_core::plugin;
 use bergamotshift_core::prelude::*;
@@ -22,10 +22,10 @@
     Kind { name: super::DEFAULT, build: |settings| Box::new(Spread::new(settings)) }
 }
 
-/// The part of the VMs that may be given up at one tick.
+/// Divisor of the fleet size that gives the maximum number of VMs to drain at one tick.
 const DRAIN_DIVISOR: usize = 10;
 
-/// Buys reclaimable VMs over the zones, and on-demand ones only for urgent work that those cannot carry.
+/// Buys reclaimable VMs across the zones, and on-demand VMs only for urgent work that these cannot cover.
 #[derive(Debug)]
 struct Spread {
     settings: Settings,
@@ -46,6 +46,7 @@
         }
     }
 
+    /// Returns the smoothed demand, with headroom on top of the urgent work.
     fn smoothed_need(&mut self, now: Instant, demand: Demand) -> Demand {
         let factor = 1.0 + self.settings.headroom;
         Demand {
@@ -54,7 +55,7 @@
         }
     }
 
-    /// Returns what has to be bought: reclaimable where it is sold, on demand for urgent work where it is not.
+    /// Returns the VMs to buy: reclaimable ones, or from all markets when these cannot cover the urgent work.
     fn purchases(&self, now: Instant, situation: &Situation<'_>, need: Demand) -> Vec<Action> {
         let mut tally = Tally::planned(situation.vms);
         if tally.covers(need) {
@@ -78,14 +79,15 @@
             ..need
         };
         if !tally.covers(urgent) {
-            // Bought anew from all markets: reclaimable VMs in one zone alone would not help beside them.
+            // Plans again from all markets instead of adding to the reclaimable purchase: reclaimable VMs that are all
+            // in one zone do not help against the loss of a zone.
             let have = Tally::planned(situation.vms);
             pools = purchase::cheapest(&have, situation.offers.iter().filter(available), urgent);
         }
         pools.into_iter().map(Action::Start).collect()
     }
 
-    /// Buys one reclaimable VM in place of one on demand, at most one each hold time.
+    /// Returns the start of a reclaimable VM that replaces an on-demand one, at most once per hold time.
     fn replacement(&mut self, now: Instant, situation: &Situation<'_>) -> Option<Action> {
         let hold = self.settings.damping.hold_time;
         let expensive =
@@ -102,9 +104,9 @@
         Some(Action::Start(offer.pool.clone()))
     }
 
-    /// Returns the VMs that can go: the dearest first, then those of the largest zone.
+    /// Returns the drains of VMs that are not needed: the most expensive first, then those of the largest zone.
     ///
-    /// Only VMs that serve count as remaining, so a replacement serves before what it replaces is drained.
+    /// Only VMs that serve count as remaining capacity, so a VM is drained only after its replacement serves.
     fn drains(&self, now: Instant, situation: &Situation<'_>, need: Demand) -> Vec<Action> {
         let mut tally = Tally::live(situation.vms);
         let factor = 1.0 + self.settings.scale_in_margin;
@@ -159,13 +161,13 @@
     }
 }
 
-/// Returns the stops of all VMs that have drained.
+/// Returns stop actions for all VMs that are drained and idle.
 pub(super) fn stops(vms: &[Vm]) -> Vec<Action> {
     let drained = vms.iter().filter(|vm| vm.phase == Phase::Draining { idle: true });
     drained.map(|vm| Action::Stop(vm.name.clone())).collect()
 }
 
-/// Returns what a VM costs per unit of work; one that is no longer sold counts as the dearest.
+/// Returns the price of a VM per unit of work. VMs that are no longer offered count as the most expensive.
 fn price_per_rate(offers: &[Offer], vm: &Vm) -> f64 {
     let offer = offers.iter().find(|offer| offer.pool == vm.pool);
     offer.map_or(f64::INFINITY, Offer::price_per_rate)
--- a/bergamotshift-capacity/src/policy/tally.rs
+++ b/bergamotshift-capacity/src/policy/tally.rs
@@ -1,4 +1,4 @@
-//! Capacity by zone, and what of it a lost zone leaves.
+//! Capacity by zone, and the capacity that remains when a zone is lost.
 
 use std::collections::BTreeMap;
 
@@ -8,10 +8,10 @@
 use crate::market::Phase;
 use crate::market::Vm;
 
-/// Figures are sums of rates; differences below this are rounding.
+/// Tolerance for rounding errors in sums of rates.
 pub(super) const EPSILON: f64 = 1e-9;
 
-/// Work per second that VMs can do, by zone.
+/// Capacity of VMs by zone, in units of work per second.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Tally {
     zones: BTreeMap<name::Zone, f64>,
@@ -19,12 +19,12 @@
 }
 
 impl Tally {
-    /// Counts VMs that serve or soon will.
+    /// Sums the capacity of VMs that serve or are starting.
     pub(super) fn planned(vms: &[Vm]) -> Self {
         Self::of(vms, |phase| matches!(phase, Phase::Starting | Phase::Live(_)))
     }
 
-    /// Counts VMs that serve.
+    /// Sums the capacity of VMs that serve.
     pub(super) fn live(vms: &[Vm]) -> Self {
         Self::of(vms, |phase| matches!(phase, Phase::Live(_)))
     }
@@ -59,9 +59,9 @@
         self.zones.values().copied().fold(0.0, f64::max)
     }
 
-    /// Returns whether urgent work is carried with any one zone lost, and all work with none.
+    /// Returns whether the capacity covers urgent work with any one zone lost, and all work with none lost.
     ///
-    /// What is kept against the loss of a zone is not idle: deferrable work uses it until then.
+    /// The reserve for a lost zone is not idle: deferrable work uses it until a zone is lost.
     pub(super) fn covers(&self, need: Demand) -> bool {
         let without_largest = self.total - self.largest();
         without_largest + EPSILON >= need.urgent && self.total + EPSILON >= need.total()
--- a/bergamotshift-capacity/src/prelude.rs
+++ b/bergamotshift-capacity/src/prelude.rs
@@ -1,4 +1,4 @@
-//! The types that users of the crate need most.
+//! Re-exports of the types that most callers need.
 
 pub use crate::demand;
 pub use crate::demand::Demand;
--- a/bergamotshift-capacity/src/steal/both.rs
+++ b/bergamotshift-capacity/src/steal/both.rs
@@ -1,4 +1,4 @@
-//! Pushing on arrival, and stealing to correct it.
+//! Pushing on arrival, with stealing as a later correction.
 
 use bergamotshift_core::plugin;
 use bergamotshift_core::prelude::*;
--- a/bergamotshift-capacity/src/steal/local.rs
+++ b/bergamotshift-capacity/src/steal/local.rs
@@ -1,4 +1,4 @@
-//! A baseline: every job runs in the zone where it arrived.
+//! Baseline balancer: every job runs in the zone where it arrived.
 
 use bergamotshift_core::plugin;
 use bergamotshift_core::prelude::*;
--- a/bergamotshift-capacity/src/steal/mod.rs
+++ b/bergamotshift-capacity/src/steal/mod.rs
@@ -1,8 +1,8 @@
-//! In which zone deferred jobs wait, and whether they move.
+//! Balancing of deferred jobs between zones.
 //!
-//! Balancers register themselves. They differ in who acts: `push` places a job by what the arrival's entry knows of
-//! the zones, `steal` leaves it where it arrived until a zone with room takes it, `local` never moves it. [`DEFAULT`]
-//! is the one that the measurements in the decision page speak for.
+//! Balancers register themselves by name. `push` places a job on arrival, based on what the receiving entry knows of
+//! the zones. `steal` leaves a job where it arrived until a zone with free slots takes it. `local` never moves a job.
+//! [`DEFAULT`] is the balancer that did best in the measurements.
 //!
 //! ```
 //! use bergamotshift_capacity::steal::{self, View};
@@ -10,8 +10,8 @@
 //!
 //! let full = View { waiting: 100.0, rate: 10.0, ..View::default() };
 //! let idle = View { rate: 10.0, free_slots: 4.0, ..View::default() };
-//! let mut thief = steal::build("steal").expect("it registers itself");
-//! let theft = thief.steal(1, &[full, idle]).expect("there is something to take");
+//! let mut balancer = steal::build("steal").expect("the balancer is registered");
+//! let theft = balancer.steal(1, &[full, idle]).expect("zone 0 has waiting jobs");
 //! assert_eq!(theft.victim, 0);
 //! ```
 
@@ -25,26 +25,26 @@
 use bergamotshift_core::plugin;
 use bergamotshift_core::prelude::*;
 
-/// The name of the balancer that is used unless settings choose another.
+/// Name of the default balancer.
 pub const DEFAULT: &str = "steal";
 
-/// A deferred job that waits.
+/// A waiting deferred job.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Job {
-    /// Which job.
+    /// Id of the job.
     pub id: u64,
-    /// Its work, in units, where nothing of it is cached.
+    /// Work of the job when nothing is cached, in units.
     pub work: f64,
-    /// How much of that is saved in the zone that has its prompt's prefix cached.
+    /// Part of the work that is saved in the zone that has the prompt's prefix cached, in units.
     pub cached_work: f64,
-    /// The zone that has it cached, by index.
+    /// Index of the zone that has the prompt's prefix cached.
     pub home: usize,
-    /// When it has to be done.
+    /// Time by which the job has to be done.
     pub deadline: Instant,
 }
 
 impl Job {
-    /// Returns the work it takes in a zone.
+    /// Returns the work that the job takes in a zone.
     pub fn work_in(&self, zone: usize) -> f64 {
         if zone == self.home {
             self.work - self.cached_work
@@ -54,28 +54,28 @@
     }
 }
 
-/// What is known of a zone, some time late.
+/// State of a zone at an earlier time.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct View {
-    /// When that was.
+    /// Time of the state.
     pub as_of: Instant,
-    /// Work that waits there, in units.
+    /// Work of the waiting jobs, in units.
     pub waiting: f64,
-    /// Work that is left of the jobs that run there, in units.
+    /// Remaining work of the running jobs, in units.
     pub running: f64,
-    /// Units of work per second that deferred jobs get there.
+    /// Capacity for deferred jobs, in units of work per second.
     pub rate: f64,
-    /// Jobs that could start there at once.
+    /// Number of jobs that could start at once.
     pub free_slots: f64,
 }
 
 impl View {
-    /// Returns how long the waiting work lasts, in seconds.
+    /// Returns the time that the waiting work takes, in seconds.
     pub fn wait_seconds(&self) -> f64 {
         self.seconds_for(self.waiting)
     }
 
-    /// Returns how long this much work lasts there, in seconds.
+    /// Returns the time that `work` units take in the zone, in seconds.
     fn seconds_for(&self, work: f64) -> f64 {
         if work > 0.0 {
             work / self.rate.max(f64::MIN_POSITIVE)
@@ -85,33 +85,33 @@
     }
 }
 
-/// A zone's wish to take jobs from another.
+/// A decision of one zone to take jobs from another.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Theft {
-    /// Whose jobs, by index.
+    /// Index of the zone to take jobs from.
     pub victim: usize,
-    /// The most jobs to take.
+    /// Maximum number of jobs to take.
     pub max_jobs: usize,
 }
 
-/// Decides where deferred jobs wait.
+/// A strategy that decides in which zone deferred jobs wait.
 pub trait Balancer: fmt::Debug {
-    /// Returns the zone in which a job that arrived in `origin` waits.
+    /// Returns the zone in which a job that arrived in zone `origin` waits.
     fn place(&mut self, now: Instant, origin: usize, job: &Job, zones: &[View]) -> usize;
 
-    /// Returns from whom a zone with room takes jobs.
+    /// Returns the theft that zone `thief` with free slots should make, if any.
     fn steal(&mut self, thief: usize, zones: &[View]) -> Option<Theft>;
 
-    /// Returns which of the victim's waiting jobs go, by index, in descending order.
+    /// Returns the indices of the victim's waiting jobs to take, in descending order.
     fn select(&self, waiting: &[Job], victim: usize, max_jobs: usize) -> Vec<usize>;
 }
 
-/// A balancer that can be chosen by name.
+/// The descriptor under which a balancer is registered.
 #[derive(Clone, Copy, Debug)]
 pub struct Kind {
-    /// Its name.
+    /// Name that selects the balancer in the settings.
     pub name: &'static str,
-    /// Makes one.
+    /// Constructor of the balancer.
     pub build: fn() -> Box<dyn Balancer>,
 }
 
@@ -123,7 +123,7 @@
 
 plugin::inventory::collect!(Kind);
 
-/// Makes the balancer of this name, if one registered itself under it.
+/// Builds the balancer registered as `name`, or returns `None` when there is none.
 pub fn build(name: &str) -> Option<Box<dyn Balancer>> {
     plugin::find::<Kind>(name).map(|kind| (kind.build)())
 }
--- a/bergamotshift-capacity/src/steal/pull.rs
+++ b/bergamotshift-capacity/src/steal/pull.rs
@@ -1,9 +1,9 @@
-//! Stealing: a zone with room takes waiting jobs from the zone that is furthest behind.
+//! Work stealing: a zone with free slots takes waiting jobs from the zone with the longest wait.
 //!
-//! After Arafat et al., "Work stealing for GPU-accelerated parallel programs in a global address space framework"
-//! (2015): a queue is kept by how well its jobs suit where they are, and a thief takes from the end that suits the
-//! victim least. There the ends are tasks better on a CPU or a GPU; here they are jobs whose prompts the victim has
-//! cached and jobs that lose nothing by leaving.
+//! Follows Arafat et al., "Work stealing for GPU-accelerated parallel programs in a global address space framework"
+//! (2015): a queue is ordered by how well its jobs suit the victim, and a thief takes those that suit it least. In the
+//! paper the order is between tasks that run better on a CPU or on a GPU; here it is between jobs whose prompts the
+//! victim has cached and jobs that lose nothing by moving.
 
 use bergamotshift_core::plugin;
 use bergamotshift_core::prelude::*;
@@ -18,10 +18,11 @@
     Kind { name: super::DEFAULT, build: || Box::new(Steal) }
 }
 
-/// Waits shorter than this, in seconds, are worth no move.
+/// Minimum wait of a victim for a theft to be worthwhile, in seconds.
 const MIN_WAIT: f64 = 1.0;
 
-/// A victim keeps what it will start itself soon; of the rest a thief takes what it has room for.
+/// Lets a thief take as many jobs as it has free slots, but at most half of the victim's waiting jobs, so that the
+/// victim keeps those that it will soon start itself.
 #[derive(Debug)]
 pub(super) struct Steal;
 
@@ -38,7 +39,7 @@
         (max_jobs > 0 && zones[victim].wait_seconds() > MIN_WAIT).then_some(Theft { victim, max_jobs })
     }
 
-    /// Takes jobs that lose least by leaving, up to half of those waiting.
+    /// Selects the jobs that lose the least cached work by moving, up to half of those waiting.
     fn select(&self, waiting: &[Job], victim: usize, max_jobs: usize) -> Vec<usize> {
         let loss = |index: &usize| {
             let job = &waiting[*index];
--- a/bergamotshift-capacity/src/steal/push.rs
+++ b/bergamotshift-capacity/src/steal/push.rs
@@ -1,4 +1,4 @@
-//! Pushing: a job goes where it is expected to be done first.
+//! Pushing: a job is placed in the zone where it is expected to complete first.
 
 use std::collections::VecDeque;
 
@@ -15,7 +15,7 @@
     Kind { name: "push", build: || Box::new(Push::default()) }
 }
 
-/// Places each job by the zones' last figures and its own placements since those were read.
+/// Places each job based on the zones' last known states and the placements made since.
 #[derive(Debug, Default)]
 pub(super) struct Push {
     placements: VecDeque<Placement>,
@@ -29,7 +29,7 @@
 }
 
 impl Push {
-    /// Forgets placements that every zone's figure already holds.
+    /// Drops placements that are already included in the state of every zone.
     fn prune(&mut self, zones: &[View]) {
         let oldest = zones.iter().map(|zone| zone.as_of).min().unwrap_or_default();
         while self.placements.front().is_some_and(|placement| placement.at < oldest) {
@@ -37,6 +37,7 @@
         }
     }
 
+    /// Returns the work placed in a zone that its state does not include yet.
     fn unreported_work(&self, zone: usize, view: &View) -> f64 {
         let unreported = |placement: &&Placement| placement.zone == zone && placement.at >= view.as_of;
         self.placements
@@ -54,7 +55,7 @@
             let view = &zones[*zone];
             let worked_off = now.since(view.as_of).as_secs_f64() * view.rate;
             let ahead = view.waiting + view.running + self.unreported_work(*zone, view) - worked_off;
-            // What runs is worked off in turn with what waits; the job itself then takes its time.
+            // Running and waiting jobs are processed first; then the job itself takes one second per unit of work.
             view.seconds_for(ahead) + job.work_in(*zone)
         };
         let zone = (0..zones.len()).min_by(|left, right| completion(left).total_cmp(&completion(right)));
--- a/bergamotshift-capacity/tests/capacity.rs
+++ b/bergamotshift-capacity/tests/capacity.rs
@@ -1,4 +1,4 @@
-//! Capacity policies side by side, in virtual time.
+//! Comparison of the capacity policies in virtual time.
 
 mod common;
 
@@ -11,7 +11,7 @@
 use bergamotshift_capacity::prelude::*;
 use common::check;
 
-/// A day with office hours and an evening peak of ten, in VMs' worth of urgent work.
+/// Urgent work of a day with office hours and an evening peak of about ten, in VMs' worth of work.
 fn day(second: u64) -> f64 {
     let hour = (second % DAY) as f64 / 3_600.0;
     let office = 4.0 * (-((hour - 12.0) / 4.0).powi(2)).exp();
@@ -19,12 +19,12 @@
     1.5 + office + evening
 }
 
-/// A night with few urgent requests.
+/// Urgent work of a night with few requests.
 fn night(_: u64) -> f64 {
     1.5
 }
 
-/// Demand that rises to four times its level within a tick, for four hours.
+/// Urgent work that rises to four times its level within one tick, for four hours.
 fn step(second: u64) -> f64 {
     if (36_000..50_400).contains(&second) { 8.0 } else { 2.0 }
 }
@@ -106,9 +106,9 @@
 
 #[test]
 fn default_policy_keeps_urgent_work_in_target_at_a_fraction_of_the_peak() {
-    // A zone is lost in the evening peak while two others refuse to sell; in the worst case another goes ten minutes
-    // later. Callers see their target kept only if the other zones already carry the urgent work. The static
-    // baseline does so at several times the price; the reactive one only where its spare happens to be enough.
+    // A zone is lost in the evening peak while two others refuse to sell, and in the worst case another ten minutes
+    // later. The target is kept only if the remaining zones already have the capacity for the urgent work. The static
+    // baseline does so at several times the price, the reactive one only if its spare capacity happens to suffice.
     for (name, scenario) in scenarios() {
         println!("{name}");
         for policy in ["static-peak", "reactive", policy::DEFAULT] {
@@ -129,8 +129,8 @@
 
 #[test]
 fn noisy_load_does_not_flap() {
-    // The load stays level with swings of a third in both directions, each some ticks long. A policy that follows
-    // it starts and stops a VM with each swing; the damped one buys for the swings once and keeps that.
+    // The load is level, with swings of a third in both directions that last some ticks. A policy without smoothing
+    // starts and stops a VM with each swing; the default policy buys for the swings once and keeps the VMs.
     let level = Scenario {
         urgent: |_| 6.0,
         noise: 0.2,
--- a/bergamotshift-capacity/tests/common/mod.rs
+++ b/bergamotshift-capacity/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Committed bounds of figures that are measured in virtual time.
+//! Comparison of simulation results with committed bounds.
 
 use std::collections::BTreeMap;
 
@@ -12,7 +12,7 @@
     margin: f64,
 }
 
-/// Checks that a figure, the lower the better, exceeds its committed one by no more than its margin.
+/// Asserts that a figure, of which lower is better, exceeds the committed value by no more than its margin.
 #[track_caller]
 pub fn check(name: &str, figure: f64) {
     let bounds: BTreeMap<String, Bound> = toml::from_str(include_str!("../../bounds.toml")).unwrap();
--- a/bergamotshift-capacity/tests/duty.rs
+++ b/bergamotshift-capacity/tests/duty.rs
@@ -1,4 +1,4 @@
-//! The capacity duty against a platform whose answers and lists are late or lost.
+//! The capacity duty when responses and VM lists of the platform are late or lost.
 
 use std::net::Ipv4Addr;
 use std::net::SocketAddr;
@@ -70,7 +70,7 @@
     orders.iter().filter_map(purchase).collect()
 }
 
-/// Makes a kernel that holds a serving VM in each zone since the first second.
+/// Returns a kernel with a VM in each zone that has served since second 200.
 fn settled() -> Kernel {
     let mut kernel = kernel();
     assert_eq!(tick(&mut kernel, 0, 2.0), []);
@@ -87,8 +87,8 @@
 
 #[test]
 fn new_holder_does_not_buy_what_the_last_one_just_bought() {
-    // The last holder bought three VMs and lost its lease; the list shows them half a minute later. The new holder
-    // waits that long, sees them and buys nothing.
+    // The previous holder bought three VMs and lost its lease, and the list shows them half a minute later. A new
+    // holder that did not wait for the list would buy them again.
     let mut kernel = kernel();
     for second in [0, 10, 20] {
         assert_eq!(tick(&mut kernel, second, 2.0), []);
@@ -99,8 +99,8 @@
 
 #[test]
 fn purchase_without_an_answer_is_repeated_under_its_token() {
-    // The platform's answers are lost. The same three purchases are asked for again, no others; when the answers come
-    // twice, each VM is counted once.
+    // The platform's responses are lost. The same three purchases are repeated, and no others. When the responses
+    // arrive twice, each VM is counted once.
     let mut kernel = kernel();
     tick(&mut kernel, 0, 2.0);
     let first = purchases(&tick(&mut kernel, 60, 2.0));
@@ -115,9 +115,9 @@
 
 #[test]
 fn vm_that_never_serves_is_given_back_and_bought_elsewhere() {
-    // Three VMs are sold and two come up. After the boot time the third counts as a refused start: its zone pauses and
-    // the others are asked. It is stopped only once another VM of its zone is heard: until then the zone may be cut
-    // off and the VM may serve its callers.
+    // Three VMs are bought and two serve. After the boot timeout the third counts as a refused start, and replacements
+    // are bought in the other zones. It is stopped only when another VM of its zone reports: until then the holder may
+    // be cut off from the zone while the VM serves its callers.
     let mut kernel = kernel();
     tick(&mut kernel, 0, 2.0);
     for (token, zone) in purchases(&tick(&mut kernel, 60, 2.0)) {
@@ -141,8 +141,8 @@
 
 #[test]
 fn holder_that_is_cut_off_from_a_zone_stops_nothing_there() {
-    // A new holder sees three VMs in the list and hears of none, as it is cut off from all zones but the platform.
-    // However long that lasts it stops none of them; when it hears of them again they count.
+    // A new holder sees three VMs in the list but receives no reports from them, because it can reach only the
+    // platform. It must stop none of them, however long that lasts. When they report again, they count as capacity.
     let mut kernel = kernel();
     tick(&mut kernel, 0, 2.0);
     kernel.record_listings(at(10), &ZONES.map(|zone| listing(zone, 1, State::Live)));
@@ -164,8 +164,8 @@
 
 #[test]
 fn reclaimed_vm_is_replaced_elsewhere_although_the_list_lags() {
-    // One VM gets notice. It counts no longer, its zone pauses, and a list of a moment ago that shows it as live does
-    // not bring it back; its next incarnation does count.
+    // One VM receives a reclaim notice. It no longer counts, its pool is paused, and a delayed list that still shows it
+    // as live does not bring it back. Its next incarnation counts again.
     let mut kernel = settled();
     let left = |state| {
         [
@@ -203,8 +203,8 @@
 
 #[test]
 fn scale_in_stops_only_what_is_idle_after_its_drain() {
-    // Demand falls to nothing. A VM that was idle before its drain may have got work since, so only a report after it
-    // counts. Its stop is repeated until the list shows it no longer.
+    // Demand falls to zero. A VM that was idle before its drain may have received work since, so only a report after
+    // the drain counts. The stop is repeated until the list no longer shows the VM.
     let mut kernel = settled();
     let mut second = 300;
     let drained = loop {
--- a/bergamotshift-capacity/tests/placement.rs
+++ b/bergamotshift-capacity/tests/placement.rs
@@ -1,4 +1,4 @@
-//! Models and adapters on VMs.
+//! Placement of models and adapters on VMs, concurrent loads and roles.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -37,7 +37,7 @@
     }
 }
 
-/// Carries orders out and returns the hosts after them.
+/// Executes orders and returns the resulting hosts.
 fn carry_out(mut hosts: Vec<Host>, orders: &[Order]) -> Vec<Host> {
     for order in orders {
         let (vm, item, load) = match order {
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn urgent_models_lie_in_every_zone_they_need() {
+fn urgent_models_survive_the_loss_of_any_zone() {
     let items = [item("planner", 40, 6.0, true), item("map", 40, 1.0, false)];
     let hosts = carry_out(hosts(12), &plan(&hosts(12), &items, Settings::default()));
     assert_eq!(zones_of(&hosts, "planner").len(), 4);
@@ -85,7 +85,8 @@
 
 #[test]
 fn placed_models_stay_when_demand_swings() {
-    // A swing in demand must not load the same weights again and again; what is held stays until its memory is needed.
+    // Varying demand must not cause the same weights to be loaded again and again. Loaded models stay until their
+    // memory is needed.
     let wanted = |planner, map| [item("planner", 40, planner, true), item("map", 40, map, false)];
     let settings = Settings::default();
     let hosts = carry_out(hosts(4), &plan(&hosts(4), &wanted(1.0, 1.0), settings));
@@ -104,7 +105,7 @@
         item("map", 30, 0.1, false),
         item("planner", 50, 0.5, false),
     ];
-    // The item without demand still wants one place and finds none beside the others.
+    // The item without demand still needs one host, but does not fit beside the others.
     let orders = plan(&hosts, &items, Settings::default());
     let unload = Order::Unload {
         vm: name::Vm::new("vm-0"),
@@ -138,8 +139,8 @@
 
 #[test]
 fn loads_are_bounded_by_the_weight_store() {
-    // A lost zone is replaced and eight loads are wanted at once; the store serves two at full rate. The others begin
-    // as those end, or when one is so late that it counts as lost.
+    // A lost zone is replaced and eight loads are requested at once, of which the store serves two at full rate.
+    // Further loads start when one ends, or when one has taken so long that it counts as lost.
     let mut loader = Loader::new(20.0, 10.0);
     let orders: Vec<_> = (0..8).map(|vm| load(vm, "planner")).collect();
     let size = |_: &name::Model| 40;
@@ -151,7 +152,7 @@
 }
 
 #[test]
-fn roles_are_split_and_keep_still() {
+fn roles_are_split_and_stay_within_the_tolerance() {
     use Role::Decode as D;
     use Role::Mixed as M;
     use Role::Prefill as P;
--- a/bergamotshift-capacity/tests/policy.rs
+++ b/bergamotshift-capacity/tests/policy.rs
@@ -1,4 +1,4 @@
-//! The default capacity policy, decision by decision.
+//! Decisions of the default capacity policy.
 
 use core::time::Duration;
 use std::collections::BTreeMap;
@@ -89,8 +89,8 @@
 
 #[test]
 fn spread_follows_prices() {
-    // Six VMs' worth of urgent work. Over four zones of one price that takes eight, two in each; where one zone is
-    // dear, nine over the other three cost less; with two cheap zones alone, six in each.
+    // The urgent work needs six VMs. With four zones of the same price, eight VMs cover it, two in each zone. If one
+    // zone is expensive, nine VMs in the other three cost less. With only two cheap zones, six VMs are needed in each.
     let table = [
         (
             [10, 10, 10, 10],
@@ -106,8 +106,8 @@
 }
 
 #[test]
-fn deferrable_work_uses_what_is_kept_against_a_loss() {
-    // Three VMs' worth of urgent work takes four; one deferred VM's worth fits beside it, a second needs one more.
+fn deferrable_work_uses_the_reserve_for_a_lost_zone() {
+    // Urgent work for three VMs takes four. Deferrable work for one VM fits into the reserve, for two it needs a fifth.
     for (deferrable, count) in [(0.0, 4), (1.0, 4), (2.0, 5)] {
         let demand = Demand {
             urgent: 3.0,
@@ -125,8 +125,8 @@
 
 #[test]
 fn refused_starts_go_elsewhere_and_back_off() {
-    // The platform refuses the cheapest zone. The next tick asks the others, and the refused zone again only after
-    // its pause, which doubles.
+    // The platform refuses VMs in the cheapest zone. The policy then buys in other zones, and tries the refused zone
+    // again only after a backoff, which doubles.
     let mut policy = spread();
     let offers = offers([10, 11, 12, 13]);
     let refuse = |policy: &mut dyn Policy, second| {
@@ -147,20 +147,21 @@
 
 #[test]
 fn on_demand_covers_only_what_reclaimable_cannot() {
-    // Reclaimable VMs are refused in three zones: the fourth alone cannot carry the loss of itself, so on-demand VMs
-    // stand in. Later all zones sell again, and the dear VMs are replaced one by one: bought first, drained after.
+    // Reclaimable VMs are refused in three zones. The fourth zone alone cannot cover its own loss, so on-demand VMs are
+    // bought. Later all zones sell again, and the on-demand VMs are replaced one by one, each drained only after its
+    // replacement serves.
     let mut policy = spread();
     let offers = offers([10; 4]);
     for zone in ["a", "b", "c"] {
         policy.event(Instant::ZERO, &Event::Refused(pool(zone, Market::Reclaimable)));
     }
     let counts = starts(&plan(&mut *policy, 0, &offers, &[], 3.0));
-    let dear: usize = counts
+    let on_demand: usize = counts
         .iter()
         .filter(|((_, reclaimable), _)| !reclaimable)
         .map(|(_, count)| count)
         .sum();
-    assert_eq!((dear, counts.values().sum::<usize>()), (3, 4), "{counts:?}");
+    assert_eq!((on_demand, counts.values().sum::<usize>()), (3, 4), "{counts:?}");
 
     let mut vms = live(&["d"], Market::Reclaimable);
     vms.push(vm(1, pool("a", Market::OnDemand), Phase::Live(Instant::ZERO)));
@@ -182,8 +183,8 @@
 
 #[test]
 fn scale_in_waits_drains_and_then_stops() {
-    // Demand falls from six to three. Nothing happens within the hold time; then VMs are drained one at a time, and
-    // stopped only when nothing runs on them.
+    // Demand falls from six to three. Nothing happens within the hold time. Then VMs are drained one at a time, and
+    // stopped only when they are idle.
     let mut policy = spread();
     let offers = offers([10; 4]);
     let mut vms = live(&["a", "b", "c", "d", "a", "b", "c", "d"], Market::Reclaimable);
--- a/bergamotshift-capacity/tests/steal.rs
+++ b/bergamotshift-capacity/tests/steal.rs
@@ -1,4 +1,4 @@
-//! Deferred jobs in four zones: pushing, stealing and one queue for all, in virtual time.
+//! Comparison of the balancers for deferred jobs in four zones, in virtual time.
 
 mod common;
 
@@ -13,23 +13,23 @@
 
 const EVEN: Case = Case {
     origin: |id| id as usize % ZONES,
-    room: |_, _| SLOTS,
+    slots: |_, _| SLOTS,
 };
 
 const ONE_ZONE: Case = Case { origin: |_| 0, ..EVEN };
 
-/// Urgent work takes a zone for ten minutes, then the next: what pushing knew of rates is soon wrong.
+/// Urgent work occupies one zone for ten minutes, then the next, so the rates that pushing relies on are soon wrong.
 const URGENT_MOVES: Case = Case {
-    room: |second, zone| {
+    slots: |second, zone| {
         let taken = (second / 600) as usize % ZONES == zone;
         if taken { 1.0 } else { SLOTS }
     },
     ..EVEN
 };
 
-/// A zone is lost after twenty minutes for half an hour; its jobs start anew elsewhere.
+/// A zone is lost after twenty minutes for half an hour, and its jobs start again elsewhere.
 const ZONE_LOST: Case = Case {
-    room: |second, zone| {
+    slots: |second, zone| {
         let lost = zone == 1 && (1_200..3_000).contains(&second);
         if lost { 0.0 } else { SLOTS }
     },
@@ -37,10 +37,10 @@
 };
 
 #[test]
-fn stealing_beats_pushing_and_nears_one_queue() {
-    // Jobs wait in the zone of their caller. Pushing decides once, by figures that are five seconds old; when urgent
-    // work or a lost zone then takes the room it counted on, the jobs are late. A zone that takes jobs when it has
-    // room decides at the last moment, and moves only those.
+fn stealing_beats_pushing_and_approaches_one_shared_queue() {
+    // Pushing decides once, based on states that are five seconds old. When urgent work or the loss of a zone then
+    // takes the capacity that it relied on, the jobs are late. Stealing decides when a zone has free slots, and moves
+    // only the jobs that it can start.
     let cases = [
         ("even", EVEN),
         ("one_zone", ONE_ZONE),
--- a/bergamotshift-route/tests/reclaim.rs
+++ b/bergamotshift-route/tests/reclaim.rs
@@ -169,6 +169,8 @@
             })
             .sum();
         let carried = notice.shared_link as f64 * window.as_secs_f64();
-        whole && bytes as f64 <= carried && plan.iter().all(|step| step.after + step.duration <= window.max(step.duration))
+        whole
+            && bytes as f64 <= carried
+            && plan.iter().all(|step| step.after + step.duration <= window.max(step.duration))
     }
 }
