--- a/bergamotshift-capacity/src/steal/mod.rs
+++ b/bergamotshift-capacity/src/steal/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! Balancers register themselves by name. `push` places a job on arrival, based on what the receiving entry knows of
 //! the zones. `steal` leaves a job where it arrived until a zone with free slots takes it. `local` never moves a job.
-//! [`DEFAULT`] is the balancer that did best in the measurements.
+//! [`DEFAULT`] is the balancer that the measurements favour.
 //!
 //! ```
 //! use bergamotshift_capacity::steal::{self, View};
