--- a/bergamotshift-forward/src/choice/cache_index.rs
+++ b/bergamotshift-forward/src/choice/cache_index.rs
@@ -1,4 +1,4 @@
-//! Remembers which endpoints hold which parts of prompts.
+//! Estimates which endpoints hold which parts of prompts in their caches.
 
 use core::time::Duration;
 use std::collections::HashMap;
@@ -10,38 +10,39 @@
 
 use crate::dialect::Part;
 
-/// How long a part is taken to stay in an endpoint's cache after its last use, whatever room there is.
-const MEMORY: Duration = Duration::from_mins(1);
+/// Time after its last use for which a part is assumed to stay in an endpoint's cache, however much space is left there.
+const RETENTION: Duration = Duration::from_mins(1);
 
-/// The part of an engine's memory that its cache is taken to have; the rest holds requests under way.
-const CACHED: f64 = 0.7;
+/// Fraction of an engine's memory that its cache is assumed to take; the rest holds requests in flight.
+const CACHE_FRACTION: f64 = 0.7;
 
-/// The most parts remembered of one endpoint; about fifty bytes each.
-const MOST_PARTS: usize = 2_048;
+/// Largest number of parts recorded per endpoint, at about fifty bytes each.
+const MAX_PARTS: usize = 2_048;
 
-/// How long a reading is told to the other entries: several rounds of telling.
-const TOLD: Duration = Duration::from_secs(2);
+/// Time for which a cached part is announced to the other entries: several rounds of gossip.
+const ANNOUNCE_DURATION: Duration = Duration::from_secs(2);
 
-/// The most readings told at once; some kilobytes, for the keeper of a zone that chooses for dozens of requests a second.
-const MOST_TOLD: usize = 256;
+/// Largest number of cached parts announced at once: some kilobytes, for the keeper of a zone that chooses for dozens of
+/// requests per second.
+const MAX_ANNOUNCED: usize = 256;
 
-/// One part read by one endpoint.
+/// Prompt part that an endpoint was chosen to prefill, and is then assumed to hold in its cache.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct CachedPart {
-    /// The endpoint, by its hash.
+    /// Hash of the endpoint.
     pub endpoint: u64,
-    /// The part.
+    /// The prompt part.
     pub part: Part,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Held {
     tokens: u32,
-    at: Instant,
+    used: Instant,
 }
 
-/// What one endpoint is taken to hold.
+/// Estimated content of one endpoint's cache.
 #[derive(Debug, Default)]
 struct Cache {
     parts: HashMap<u64, Held>,
@@ -49,11 +50,11 @@
 }
 
 impl Cache {
-    /// Notes that a part was used; returns whether it was not held before.
-    fn hold(&mut self, part: Part, at: Instant) -> bool {
+    /// Records that a part was used; returns whether it was not held before.
+    fn insert(&mut self, part: Part, used: Instant) -> bool {
         let held = Held {
             tokens: part.tokens,
-            at,
+            used,
         };
         let before = self.parts.insert(part.id, held);
         self.tokens -= before.map_or(0, |before| u64::from(before.tokens));
@@ -61,50 +62,50 @@
         before.is_none()
     }
 
-    /// Drops what was used longest ago until no more than `room` tokens are held; returns what was dropped.
-    fn fit(&mut self, room: u64) -> Vec<u64> {
-        let mut dropped = Vec::new();
-        while self.tokens > room || self.parts.len() > MOST_PARTS {
-            let oldest = self.parts.iter().min_by_key(|(_, held)| held.at);
+    /// Evicts the least recently used parts until no more than `capacity` tokens are held; returns the evicted ones.
+    fn evict(&mut self, capacity: u64) -> Vec<u64> {
+        let mut evicted = Vec::new();
+        while self.tokens > capacity || self.parts.len() > MAX_PARTS {
+            let oldest = self.parts.iter().min_by_key(|(_, held)| held.used);
             let Some(id) = oldest.map(|(id, _)| *id) else {
                 break;
             };
-            self.drop(id);
-            dropped.push(id);
+            self.remove(id);
+            evicted.push(id);
         }
-        dropped
+        evicted
     }
 
-    /// Drops what was not used for a time; returns what was dropped.
-    fn expire(&mut self, now: Instant, memory: Duration) -> Vec<u64> {
-        let old = self.parts.iter().filter(|(_, held)| now.since(held.at) >= memory);
+    /// Removes the parts that were not used for `retention`; returns the removed ones.
+    fn expire(&mut self, now: Instant, retention: Duration) -> Vec<u64> {
+        let old = self.parts.iter().filter(|(_, held)| now.since(held.used) >= retention);
         let old: Vec<u64> = old.map(|(id, _)| *id).collect();
         for id in &old {
-            self.drop(*id);
+            self.remove(*id);
         }
         old
     }
 
-    fn drop(&mut self, id: u64) {
+    fn remove(&mut self, id: u64) {
         if let Some(held) = self.parts.remove(&id) {
             self.tokens -= u64::from(held.tokens);
         }
     }
 }
 
-/// Which endpoints hold which parts, for this entry and for those that tell it.
+/// Index of the endpoints that hold each prompt part, from the choices of this entry and of those that announce theirs.
 ///
-/// Failure: engines drop what they used longest ago when their memory is full, and requests go on to where their parts
-/// were. Symptom: engines read again what others still hold, and streams begin later than expected. An engine is taken to
-/// hold no more than its cache has room for, and to drop what it used longest ago.
+/// An engine is assumed to hold no more than its cache has space for, and to evict the least recently used parts.
+/// Otherwise requests would go on to engines that evicted their parts, which would then prefill what others still hold,
+/// and streams would begin later than expected.
 #[derive(Debug)]
 pub struct CacheIndex {
     caches: HashMap<u64, Cache>,
-    /// The endpoints that hold each part.
+    /// Endpoints that hold each part.
     holders: HashMap<u64, Vec<u64>>,
-    told: VecDeque<(Instant, CachedPart)>,
-    /// The tokens that one endpoint's cache holds.
-    room: u64,
+    announced: VecDeque<(Instant, CachedPart)>,
+    /// Number of tokens that the cache of one endpoint holds.
+    capacity: u64,
 }
 
 impl Default for CacheIndex {
@@ -112,47 +113,49 @@
         Self {
             caches: HashMap::new(),
             holders: HashMap::new(),
-            told: VecDeque::new(),
-            room: u64::MAX,
+            announced: VecDeque::new(),
+            capacity: u64::MAX,
         }
     }
 }
 
 impl CacheIndex {
-    /// Sets the tokens that one engine's memory holds.
+    /// Sets the number of tokens that the memory of one engine holds.
     pub fn set_memory(&mut self, memory: u64) {
-        self.room = (memory as f64 * CACHED) as u64;
+        self.capacity = (memory as f64 * CACHE_FRACTION) as u64;
     }
 
-    /// Notes that an endpoint reads these parts by this entry's choice; the last one is the request's own and told to nobody,
-    /// and so is what the endpoint held already.
+    /// Records that an endpoint prefills these parts by this entry's choice.
+    ///
+    /// The last part is the request's own and is not announced, and neither are parts that the endpoint held already.
     pub fn record_choice(&mut self, now: Instant, endpoint: u64, parts: &[Part]) {
-        for (place, part) in parts.iter().enumerate() {
-            let reading = CachedPart { endpoint, part: *part };
-            let is_news = !self.holds(part.id, endpoint);
-            self.record(now, reading);
-            if is_news && place + 1 < parts.len() {
-                self.told.push_back((now, reading));
+        for (index, part) in parts.iter().enumerate() {
+            let cached = CachedPart { endpoint, part: *part };
+            let is_new = !self.holds(part.id, endpoint);
+            self.record(now, cached);
+            if is_new && index + 1 < parts.len() {
+                self.announced.push_back((now, cached));
             }
         }
-        while self.told.len() > MOST_TOLD {
-            self.told.pop_front();
+        while self.announced.len() > MAX_ANNOUNCED {
+            self.announced.pop_front();
         }
     }
 
-    /// Notes that an endpoint reads a part.
-    pub fn record(&mut self, now: Instant, reading: CachedPart) {
-        let cache = self.caches.entry(reading.endpoint).or_default();
-        if cache.hold(reading.part, now) {
-            let holders = self.holders.entry(reading.part.id).or_default();
-            holders.push(reading.endpoint);
+    /// Records that an endpoint prefills a part.
+    pub fn record(&mut self, now: Instant, cached: CachedPart) {
+        let cache = self.caches.entry(cached.endpoint).or_default();
+        if cache.insert(cached.part, now) {
+            let holders = self.holders.entry(cached.part.id).or_default();
+            holders.push(cached.endpoint);
         }
-        for dropped in cache.fit(self.room) {
-            forget(&mut self.holders, dropped, reading.endpoint);
+        for evicted in cache.evict(self.capacity) {
+            remove_holder(&mut self.holders, evicted, cached.endpoint);
         }
     }
 
-    /// Returns how many tokens at the beginning of a prompt each endpoint holds that holds any.
+    /// Returns the number of tokens at the beginning of a prompt that each endpoint holds, by its hash; endpoints that do
+    /// not hold the first part are left out.
     pub fn held_by_endpoint(&self, parts: &[Part]) -> HashMap<u64, u64> {
         let first = parts.first().and_then(|part| self.holders.get(&part.id));
         let holders = first.into_iter().flatten();
@@ -161,13 +164,13 @@
             .collect()
     }
 
-    /// Returns what this entry had read lately, for the other entries.
+    /// Returns the parts that were recently prefilled by this entry's choice, for the other entries.
     pub fn announced(&mut self, now: Instant) -> Vec<CachedPart> {
-        self.told.retain(|(at, _)| now.since(*at) < TOLD);
-        self.told.iter().map(|(_, reading)| *reading).collect()
+        self.announced.retain(|(at, _)| now.since(*at) < ANNOUNCE_DURATION);
+        self.announced.iter().map(|(_, cached)| *cached).collect()
     }
 
-    /// Returns how many tokens at the beginning of a prompt an endpoint holds.
+    /// Returns the number of tokens at the beginning of a prompt that an endpoint holds.
     pub fn held_tokens(&self, parts: &[Part], endpoint: u64) -> u64 {
         let Some(cache) = self.caches.get(&endpoint) else {
             return 0;
@@ -186,20 +189,24 @@
         self.holders.contains_key(&part)
     }
 
-    /// Forgets what has not been used for long, and what endpoints hold that are gone.
-    pub fn expire(&mut self, now: Instant, is_there: impl Fn(u64) -> bool) {
+    /// Removes the parts that have not been used for long, and all parts of endpoints that are gone.
+    pub fn expire(&mut self, now: Instant, is_present: impl Fn(u64) -> bool) {
         for (endpoint, cache) in &mut self.caches {
-            let memory = if is_there(*endpoint) { MEMORY } else { Duration::ZERO };
-            for dropped in cache.expire(now, memory) {
-                forget(&mut self.holders, dropped, *endpoint);
+            let retention = if is_present(*endpoint) {
+                RETENTION
+            } else {
+                Duration::ZERO
+            };
+            for expired in cache.expire(now, retention) {
+                remove_holder(&mut self.holders, expired, *endpoint);
             }
         }
         self.caches.retain(|_, cache| !cache.parts.is_empty());
     }
 }
 
-/// Takes an endpoint out of those that hold a part.
-fn forget(holders: &mut HashMap<u64, Vec<u64>>, part: u64, endpoint: u64) {
+/// Removes an endpoint from the holders of a part.
+fn remove_holder(holders: &mut HashMap<u64, Vec<u64>>, part: u64, endpoint: u64) {
     if let Some(of_part) = holders.get_mut(&part) {
         of_part.retain(|holder| *holder != endpoint);
         if of_part.is_empty() {
--- a/bergamotshift-forward/src/choice/mod.rs
+++ b/bergamotshift-forward/src/choice/mod.rs
@@ -1,7 +1,8 @@
-//! Chooses the endpoint that is expected to answer a request soonest.
+//! Chooses the endpoint that is expected to answer a request first.
 //!
-//! A plain service's endpoints differ by the requests that are under way there. A model engine reads a prompt before
-//! its first event, so what is still unread there counts, and so does the part of this prompt that its cache holds.
+//! For a plain service, endpoints differ by their requests in flight. A model engine prefills a prompt before it sends
+//! its first event, so the prompt tokens that are still to be prefilled there count too, and so does the part of the
+//! prompt that its cache holds already.
 
 mod cache_index;
 
@@ -20,85 +21,87 @@
 use crate::view::Canary;
 use crate::view::Service;
 
-/// What choices are weighed with.
+/// Parameters of the cost estimate by which endpoints are compared.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Settings {
-    /// Prompt tokens that an engine reads in a millisecond, while it also decodes.
-    pub read_rate: f64,
-    /// What a request under way adds to the time to the first event, in milliseconds: its share of each step.
-    pub company: f64,
-    /// How long a plain request takes, in milliseconds; only what lies beyond the places waits.
-    pub work: f64,
-    /// How long a request waits for a place of a model engine, for each one that waits before it, in milliseconds.
-    pub turn: f64,
-    /// What an endpoint that fails every request counts as slower, in milliseconds, and one whose zone is silent.
-    pub trouble: f64,
-    /// What another availability zone counts as slower, in milliseconds: about one way there and back.
-    pub distance: f64,
-    /// The same where the own zone has endpoints enough. What the entries of another zone have under way there is known
-    /// late in a large fleet, so a choice there is a guess.
-    pub far: f64,
-    /// How many of a service's endpoints are enough for a zone.
-    pub enough: usize,
-    /// What sets the endpoint apart on which all entries agree for a part that nobody has read, in milliseconds.
-    pub agreement: f64,
-    /// The time to set a transfer of cached parts up, in milliseconds.
-    pub transfer: f64,
-    /// The least tokens that are worth a transfer.
-    pub transferred: u64,
-    /// What moving a cached token counts beside its time, in milliseconds, since memory that moves is paid for.
-    pub moved: f64,
-    /// The same for reading a token that some engine holds.
-    pub reread: f64,
+    /// Prompt tokens that an engine prefills per millisecond while it also decodes.
+    pub prefill_rate: f64,
+    /// Time that each request in flight adds to the time to the first event, in milliseconds: its share of each step.
+    pub request_overhead: f64,
+    /// Duration of a plain request, in milliseconds; a request waits only while all slots are taken.
+    pub plain_request_time: f64,
+    /// Time that a request waits for a slot of a model engine per request that waits before it, in milliseconds.
+    pub slot_wait: f64,
+    /// Penalty of an endpoint that fails every request, and of one in a silent availability zone, in milliseconds.
+    pub failure_penalty: f64,
+    /// Penalty of an endpoint in another availability zone, in milliseconds: about one round trip.
+    pub zone_round_trip: f64,
+    /// Penalty of an endpoint in another availability zone while the own zone has enough endpoints, in milliseconds. In
+    /// a large fleet, the requests that entries of another zone have in flight there are known late, so such a choice is
+    /// based on stale load.
+    pub remote_zone_penalty: f64,
+    /// Number of endpoints of a service that are enough for an availability zone.
+    pub enough_endpoints: usize,
+    /// Penalty of every endpoint but the one that all entries agree on, for a prompt part that no endpoint holds, in
+    /// milliseconds.
+    pub home_penalty: f64,
+    /// Time to set up a transfer of cached parts, in milliseconds.
+    pub transfer_setup: f64,
+    /// Smallest number of tokens that is worth a transfer.
+    pub min_transfer: u64,
+    /// Cost of transferring a cached token beside its time, in milliseconds, since memory that moves is paid for.
+    pub transfer_cost: f64,
+    /// Cost of prefilling a token that another engine holds beside its time, in milliseconds.
+    pub recompute_cost: f64,
 }
 
 impl Default for Settings {
     fn default() -> Self {
         Self {
-            read_rate: 50.0,
-            company: 1.5,
-            work: 30.0,
-            turn: 100.0,
-            trouble: 1_500.0,
-            distance: 1.0,
-            far: 150.0,
-            enough: 10,
-            agreement: 30.0,
-            transfer: 3.0,
-            transferred: 256,
-            moved: 0.0133,
-            reread: 0.024,
+            prefill_rate: 50.0,
+            request_overhead: 1.5,
+            plain_request_time: 30.0,
+            slot_wait: 100.0,
+            failure_penalty: 1_500.0,
+            zone_round_trip: 1.0,
+            remote_zone_penalty: 150.0,
+            enough_endpoints: 10,
+            home_penalty: 30.0,
+            transfer_setup: 3.0,
+            min_transfer: 256,
+            transfer_cost: 0.0133,
+            recompute_cost: 0.024,
         }
     }
 }
 
-/// A choice for a request.
+/// Endpoint that was chosen for a request.
 #[derive(Clone, Debug)]
 pub struct Choice {
     /// The endpoint.
     pub endpoint: Arc<Endpoint>,
-    /// Prompt tokens that it is expected to read.
+    /// Prompt tokens that it is expected to prefill.
     pub unread: u64,
-    /// Another endpoint, from which it gets parts of the prompt that it does not hold.
+    /// Address of another endpoint, from which it fetches cached parts of the prompt that it does not hold.
     pub source: Option<SocketAddr>,
-    /// The expected time to its answer, in milliseconds.
+    /// Expected time to its answer, in milliseconds.
     pub cost: f64,
 }
 
-/// What a choice is made for.
+/// Request that needs an endpoint.
 #[derive(Clone, Copy, Debug)]
 pub struct Request<'a> {
-    /// What the caller asks for.
+    /// Fields of the caller's request head that matter for the choice.
     pub ask: &'a Ask,
-    /// What the service's model engines are like; `None` for a plain service.
+    /// Properties of the service's model engines; `None` for a plain service.
     pub engine: Option<Engine>,
-    /// The entry's own availability zone.
+    /// Availability zone of this entry.
     pub own_zone: &'a name::Zone,
-    /// The zone in which the request is to stay, when that has endpoints enough; set by [`choose`].
+    /// Availability zone in which the request should stay; set by [`choose`] when that zone has enough endpoints.
     pub preferred_zone: Option<&'a name::Zone>,
-    /// Endpoints that had the request already.
+    /// Endpoints that are left out since they had the request already, by their hashes.
     pub tried: &'a [u64],
-    /// Endpoints that are not to be chosen, from which cached parts of the prompt may come.
+    /// Endpoints that are not candidates, but from which cached parts of the prompt may be fetched.
     pub cache_sources: &'a [Arc<Endpoint>],
 }
 
@@ -109,81 +112,83 @@
     }
 }
 
-/// Chooses among a service's endpoints; `None` when none takes work.
+/// Chooses among a service's endpoints; returns `None` when none of them takes requests.
 ///
-/// An endpoint that could not be reached lately is taken only when all others are gone: it may be back.
+/// An endpoint that could not be reached lately is chosen only when no other is left, as it may be back.
 pub fn choose(
     settings: &Settings,
     now: Instant,
     endpoints: &[Arc<Endpoint>],
     request: &Request<'_>,
-    recall: &CacheIndex,
+    cache_index: &CacheIndex,
 ) -> Option<Choice> {
-    let here = endpoints
+    let local = endpoints
         .iter()
         .filter(|endpoint| !endpoint.is_leaving() && endpoint.registration.zone == *request.own_zone);
     let request = &Request {
-        preferred_zone: (here.count() >= settings.enough).then_some(request.own_zone),
+        preferred_zone: (local.count() >= settings.enough_endpoints).then_some(request.own_zone),
         ..*request
     };
-    let open = || {
-        let taking = endpoints
+    let available = || {
+        let open = endpoints
             .iter()
             .filter(|endpoint| !endpoint.is_leaving() && endpoint.closed_until(now).is_none());
-        taking.filter(|endpoint| !request.tried.contains(&endpoint.hash))
+        open.filter(|endpoint| !request.tried.contains(&endpoint.hash))
     };
     let prompt = request
         .engine
-        .map(|engine| Prompt::new(now, engine, endpoints, request, recall));
-    let cost = |endpoint: &Arc<Endpoint>| weigh(settings, endpoint, request, prompt.as_ref());
+        .map(|engine| Prompt::new(now, engine, endpoints, request, cache_index));
+    let estimated = |endpoint: &Arc<Endpoint>| estimate(settings, endpoint, request, prompt.as_ref());
     let best = |candidates: &mut dyn Iterator<Item = &Arc<Endpoint>>| {
-        candidates.map(cost).min_by(|a, b| a.cost.total_cmp(&b.cost))
+        candidates.map(estimated).min_by(|a, b| a.cost.total_cmp(&b.cost))
     };
-    let reachable = || open().filter(|endpoint| !endpoint.health.is_paused(now));
+    let reachable = || available().filter(|endpoint| !endpoint.health.is_paused(now));
     let is_likely = |endpoint: &&Arc<Endpoint>| {
         request.is_near(endpoint) || prompt.as_ref().is_some_and(|prompt| prompt.held(endpoint) > 0)
     };
-    // What lies in another zone and holds nothing of the prompt counts as `far` slower at least. With thousands of endpoints
-    // most need not be weighed, which is most of the time that a keeper takes for a choice.
+    // An endpoint in another zone that holds nothing of the prompt costs at least `remote_zone_penalty`, so a cheaper
+    // likely one need not be compared with it. With thousands of endpoints, the estimates are most of the time that a
+    // keeper takes for a choice.
     let likely = best(&mut reachable().filter(is_likely));
     likely
-        .filter(|choice| choice.cost <= settings.far)
+        .filter(|choice| choice.cost <= settings.remote_zone_penalty)
         .or_else(|| best(&mut reachable()))
-        .or_else(|| best(&mut open()))
+        .or_else(|| best(&mut available()))
 }
 
-/// Chooses among the endpoints of the version that a request goes to; `None` when no endpoint takes work.
+/// Chooses among the endpoints of the canary if there is one, and otherwise or when none of those takes the request,
+/// among the service's other endpoints; returns `None` when no endpoint takes requests.
 ///
-/// Failure: the endpoints of a new version have gone, or all of them are too busy. Symptom: its share of the callers is
-/// refused while the version in force has room. What finds no place at one version goes to the other, if that serves
-/// everybody.
+/// Without this fallback, the canary's share of the callers would be refused when its endpoints have gone or are all too
+/// busy, although the version in force has room.
 pub fn choose_with_canary(
     settings: &Settings,
     now: Instant,
     service: &Service,
     canary: Option<&Canary>,
     request: &Request<'_>,
-    recall: &CacheIndex,
+    cache_index: &CacheIndex,
 ) -> Option<Choice> {
     let at_canary = canary.and_then(|canary| {
         let request = Request {
             cache_sources: &service.endpoints,
             ..*request
         };
-        choose(settings, now, &canary.endpoints, &request, recall)
+        choose(settings, now, &canary.endpoints, &request, cache_index)
     });
-    at_canary.or_else(|| choose(settings, now, &service.endpoints, request, recall))
+    at_canary.or_else(|| choose(settings, now, &service.endpoints, request, cache_index))
 }
 
-/// What is known of where a prompt's parts are.
+/// Prompt of a request, with the endpoints that hold parts of it.
 struct Prompt<'a> {
     engine: Engine,
     ask: &'a Ask,
-    /// How many tokens of the prompt's beginning each endpoint holds that holds any.
+    /// Number of tokens at the beginning of the prompt that each endpoint holds, by its hash; endpoints that hold none
+    /// are left out.
     held: HashMap<u64, u64>,
-    /// The endpoint on which all entries agree for a part that nobody has read.
+    /// Endpoint that all entries agree on for a shared part that no endpoint holds.
     home: Option<u64>,
-    /// The endpoint that holds most of the prompt's beginning, leaving ones included, and how many tokens.
+    /// Endpoint that holds most of the prompt's beginning, leaving ones included, and its number of tokens.
     holder: Option<(&'a Arc<Endpoint>, u64)>,
 }
 
@@ -193,74 +198,90 @@
         engine: Engine,
         endpoints: &'a [Arc<Endpoint>],
         request: &Request<'a>,
-        recall: &CacheIndex,
+        cache_index: &CacheIndex,
     ) -> Self {
         let ask = request.ask;
-        let held = recall.held_by_endpoint(&ask.parts);
+        let held = cache_index.held_by_endpoint(&ask.parts);
         let sources = endpoints.iter().chain(request.cache_sources);
         let reachable = sources.filter(|endpoint| !endpoint.health.is_paused(now));
         let holders = reachable.filter_map(|endpoint| held.get(&endpoint.hash).map(|held| (endpoint, *held)));
         let holder = holders.max_by_key(|(_, held)| *held);
-        let known = ask.shared().is_some_and(|part| recall.is_known(part.id));
-        let open = endpoints
+        let is_known = ask.shared().is_some_and(|part| cache_index.is_known(part.id));
+        let candidates = endpoints
             .iter()
             .filter(|endpoint| !endpoint.is_leaving() && request.is_near(endpoint));
         Self {
             engine,
             ask,
             held,
-            home: if known {
+            home: if is_known {
                 None
             } else {
-                home(ask, open.map(|endpoint| endpoint.hash))
+                home(ask, candidates.map(|endpoint| endpoint.hash))
             },
             holder,
         }
     }
 }
 
-/// Returns the endpoint on which all entries agree for a prompt's shared part, by rendezvous hash.
+/// Returns the endpoint that all entries agree on for a prompt's shared part, by rendezvous hash.
 fn home(ask: &Ask, endpoints: impl Iterator<Item = u64>) -> Option<u64> {
     let part = ask.shared()?;
     endpoints.max_by_key(|hash| xxh3_64_with_seed(&part.id.to_le_bytes(), *hash))
 }
 
-fn weigh(settings: &Settings, endpoint: &Arc<Endpoint>, request: &Request<'_>, prompt: Option<&Prompt<'_>>) -> Choice {
+/// Estimates the time to an endpoint's answer, with penalties in milliseconds.
+fn estimate(
+    settings: &Settings,
+    endpoint: &Arc<Endpoint>,
+    request: &Request<'_>,
+    prompt: Option<&Prompt<'_>>,
+) -> Choice {
     let running = f64::from(endpoint.running());
     let slots = f64::from(endpoint.registration.slots.max(1));
-    let away = match request.preferred_zone {
+    let zone_penalty = match request.preferred_zone {
         _ if endpoint.registration.zone == *request.own_zone => 0.0,
-        Some(_) => settings.far,
-        None => settings.distance,
+        Some(_) => settings.remote_zone_penalty,
+        None => settings.zone_round_trip,
+    };
+    let silence_penalty = if endpoint.is_silent() {
+        settings.failure_penalty
+    } else {
+        0.0
+    };
+    let health_penalty = settings.failure_penalty * endpoint.health.trouble() + silence_penalty;
+    let wait = if prompt.is_some() {
+        settings.slot_wait
+    } else {
+        settings.plain_request_time
     };
-    let silence = if endpoint.is_silent() { settings.trouble } else { 0.0 };
-    let trouble = settings.trouble * endpoint.health.trouble() + silence;
-    let turn = if prompt.is_some() { settings.turn } else { settings.work };
-    let beyond = (running + 1.0 - slots).max(0.0) * turn;
+    let queue_time = (running + 1.0 - slots).max(0.0) * wait;
     let mut choice = Choice {
         endpoint: Arc::clone(endpoint),
         unread: 0,
         source: None,
-        cost: trouble + away + beyond,
+        cost: health_penalty + zone_penalty + queue_time,
     };
     match prompt {
         Some(prompt) => {
-            choice.cost += prompt.weigh(settings, &mut choice.unread, &mut choice.source, endpoint);
-            choice.cost += running * settings.company;
+            choice.cost += prompt.estimate(settings, &mut choice.unread, &mut choice.source, endpoint);
+            choice.cost += running * settings.request_overhead;
         }
-        None => choice.cost += running / slots * settings.work,
+        None => choice.cost += running / slots * settings.plain_request_time,
     }
     choice
 }
 
 impl Prompt<'_> {
-    /// Returns how many tokens of the prompt's beginning an endpoint holds.
+    /// Returns the number of tokens at the beginning of the prompt that an endpoint holds.
     fn held(&self, endpoint: &Endpoint) -> u64 {
         self.held.get(&endpoint.hash).copied().unwrap_or_default()
     }
 
-    /// Returns the expected time until an endpoint has read the prompt, with what it reads and what it gets from where.
-    fn weigh(
+    /// Returns the expected time until an endpoint has prefilled the prompt, in milliseconds.
+    ///
+    /// Sets `unread` to the tokens that it prefills, and `source` to the endpoint from which it fetches cached parts.
+    fn estimate(
         &self,
         settings: &Settings,
         unread: &mut u64,
@@ -270,23 +291,23 @@
         let held = self.held(endpoint);
         let total = u64::from(self.ask.size.unwrap_or_default().prompt);
         let elsewhere = self.holder.filter(|(holder, _)| holder.hash != endpoint.hash);
-        let more = elsewhere.map_or(0, |(_, tokens)| tokens.saturating_sub(held));
+        let held_elsewhere = elsewhere.map_or(0, |(_, tokens)| tokens.saturating_sub(held));
         let mut time = 0.0;
-        let mut gets = 0;
+        let mut transferred = 0;
         if let (Some((holder, _)), Some(per_token)) = (elsewhere, self.engine.transfer)
-            && more >= settings.transferred
+            && held_elsewhere >= settings.min_transfer
         {
-            gets = more;
-            time += settings.transfer + more as f64 * (per_token + settings.moved);
+            transferred = held_elsewhere;
+            time += settings.transfer_setup + held_elsewhere as f64 * (per_token + settings.transfer_cost);
             *source = Some(holder.registration.address);
         }
-        time += (more - gets) as f64 * settings.reread;
-        *unread = total.saturating_sub(held + gets);
-        let agreed = if self.home.is_some_and(|home| home != endpoint.hash) {
-            settings.agreement
+        time += (held_elsewhere - transferred) as f64 * settings.recompute_cost;
+        *unread = total.saturating_sub(held + transferred);
+        let home_penalty = if self.home.is_some_and(|home| home != endpoint.hash) {
+            settings.home_penalty
         } else {
             0.0
         };
-        time + agreed + (endpoint.unread() + *unread) as f64 / settings.read_rate
+        time + home_penalty + (endpoint.unread() + *unread) as f64 / settings.prefill_rate
     }
 }
