--- a/bergamotshift-forward/src/choice/cache_index.rs
+++ b/bergamotshift-forward/src/choice/cache_index.rs
@@ -10,7 +10,8 @@
 
 use crate::dialect::Part;
 
-/// Time after its last use for which a part is assumed to stay in an endpoint's cache, however much space is left there.
+/// Time after its last use for which a part is assumed to stay in an endpoint's cache, however much space is left
+/// there.
 const RETENTION: Duration = Duration::from_mins(1);
 
 /// Fraction of an engine's memory that its cache is assumed to take; the rest holds requests in flight.
@@ -22,8 +23,8 @@
 /// Time for which a cached part is announced to the other entries: several rounds of gossip.
 const ANNOUNCE_DURATION: Duration = Duration::from_secs(2);
 
-/// Largest number of cached parts announced at once: some kilobytes, for the keeper of a zone that chooses for dozens of
-/// requests per second.
+/// Largest number of cached parts announced at once: some kilobytes, for the keeper of a zone that chooses for dozens
+/// of requests per second.
 const MAX_ANNOUNCED: usize = 256;
 
 /// Prompt part that an endpoint was chosen to prefill, and is then assumed to hold in its cache.
@@ -154,8 +155,8 @@
         }
     }
 
-    /// Returns the number of tokens at the beginning of a prompt that each endpoint holds, by its hash; endpoints that do
-    /// not hold the first part are left out.
+    /// Returns the number of tokens at the beginning of a prompt that each endpoint holds, by its hash; endpoints that
+    /// do not hold the first part are left out.
     pub fn held_by_endpoint(&self, parts: &[Part]) -> HashMap<u64, u64> {
         let first = parts.first().and_then(|part| self.holders.get(&part.id));
         let holders = first.into_iter().flatten();
--- a/bergamotshift-forward/src/choice/mod.rs
+++ b/bergamotshift-forward/src/choice/mod.rs
@@ -37,8 +37,8 @@
     /// Penalty of an endpoint in another availability zone, in milliseconds: about one round trip.
     pub zone_round_trip: f64,
     /// Penalty of an endpoint in another availability zone while the own zone has enough endpoints, in milliseconds. In
-    /// a large fleet, the requests that entries of another zone have in flight there are known late, so such a choice is
-    /// based on stale load.
+    /// a large fleet, the requests that entries of another zone have in flight there are known late, so such a choice
+    /// is based on stale load.
     pub remote_zone_penalty: f64,
     /// Number of endpoints of a service that are enough for an availability zone.
     pub enough_endpoints: usize,
@@ -159,8 +159,8 @@
 /// Chooses among the endpoints of the canary if there is one, and otherwise or when none of those takes the request,
 /// among the service's other endpoints; returns `None` when no endpoint takes requests.
 ///
-/// Without this fallback, the canary's share of the callers would be refused when its endpoints have gone or are all too
-/// busy, although the version in force has room.
+/// Without this fallback, the canary's share of the callers would be refused when its endpoints have gone or are all
+/// too busy, although the version in force has room.
 pub fn choose_with_canary(
     settings: &Settings,
     now: Instant,
--- a/bergamotshift-forward/src/duty/progress.rs
+++ b/bergamotshift-forward/src/duty/progress.rs
@@ -26,9 +26,9 @@
 impl Progress {
     /// Returns whether a window that is `due` so long after its end may be reported.
     ///
-    /// Failure: an entry takes the duties over and reports what it heard of the last windows before it was the one that all
-    /// tell. Symptom: a quarter of a window's requests are missing. In a large fleet it waits until all had time to tell it,
-    /// unless the report would come too late.
+    /// Failure: an entry takes the duties over and reports what it heard of the last windows before it was the one that
+    /// all tell. Symptom: a quarter of a window's requests are missing. In a large fleet it waits until all had time to
+    /// tell it, unless the report would come too late.
     pub fn is_settled(&self, due: Duration) -> bool {
         if !self.is_large {
             return self.since_end >= SETTLED;
--- a/bergamotshift-forward/src/duty/task.rs
+++ b/bergamotshift-forward/src/duty/task.rs
@@ -25,8 +25,8 @@
 use super::lease::Lease;
 use super::progress::Progress;
 use super::rollouts::Directed;
+use crate::capacity::Counts;
 use crate::capacity::Planner;
-use crate::capacity::Present;
 use crate::control::Control;
 use crate::outside::Duties;
 use crate::outside::Holder;
@@ -136,8 +136,9 @@
             self.leave().await;
             return;
         }
-        // Failure: the store is silent, and each renewal of the lease waits for it. Symptom: a zone is reclaimed meanwhile,
-        // and nothing is ordered for it until the lease has lapsed. While the lease stands, orders come first.
+        // Failure: the store is silent, and each renewal of the lease waits for it. Symptom: a zone is reclaimed
+        // meanwhile, and nothing is ordered for it until the lease has lapsed. While the lease stands, orders come
+        // first.
         if self.holder().is_some() {
             self.order().await;
         }
@@ -181,11 +182,11 @@
 
     /// Gives the duties up when the store turns this entry away and serves others.
     ///
-    /// Failure: the store turns the holder's VM away, its lease lapses, and whoever watches waits the lease out once more.
-    /// Symptom: for six seconds nobody orders endpoints or reports usage; three zones were reclaimed meanwhile, and half
-    /// of the callers were late. A holder that is known to be the only one says so, and another entry goes on within a
-    /// second. While the store answers nobody it holds on, since nobody could take its place; and a holder whose last call
-    /// had no answer holds on too, since that call may still be carried out.
+    /// Failure: the store turns the holder's VM away, its lease lapses, and whoever watches waits the lease out once
+    /// more. Symptom: for six seconds nobody orders endpoints or reports usage; three zones were reclaimed meanwhile,
+    /// and half of the callers were late. A holder that is known to be the only one says so, and another entry goes on
+    /// within a second. While the store answers nobody it holds on, since nobody could take its place; and a holder
+    /// whose last call had no answer holds on too, since that call may still be carried out.
     async fn hand_over(&mut self) {
         let is_turned_away = self.is_answered && self.lease.failure().is_some();
         let Some(number) = self.number.filter(|_| is_turned_away) else {
@@ -324,7 +325,7 @@
         let endpoints = self.control.endpoints();
         for service in &document.services {
             let Some(scale) = &service.scale else { continue };
-            let mut present: BTreeMap<name::Zone, Present> = BTreeMap::new();
+            let mut present: BTreeMap<name::Zone, Counts> = BTreeMap::new();
             let own = endpoints
                 .iter()
                 .filter(|endpoint| endpoint.registration.service == service.name);
@@ -337,7 +338,7 @@
                 }
             }
             for (zone, count) in self.control.foreign(&service.name) {
-                present.entry(zone).or_default().foreign = count;
+                present.entry(zone).or_default().rolling_out = count;
             }
             let now = shared.clock.now();
             let planner = self.planners.entry(service.name.clone());
--- a/bergamotshift-forward/src/limits/account.rs
+++ b/bergamotshift-forward/src/limits/account.rs
@@ -20,13 +20,13 @@
 /// When there may be a part; entries tell each other theirs several times a second.
 const SOON: Duration = Duration::from_millis(300);
 
-/// What a process that starts takes to be used up, in bursts, of an organisation that may have been at its limit: what was
-/// owed before its start is not known, and every entry lets one request overdraw its share.
+/// What a process that starts takes to be used up, in bursts, of an organisation that may have been at its limit: what
+/// was owed before its start is not known, and every entry lets one request overdraw its share.
 const INITIAL_DEBT: f64 = 1.25;
 
-/// The same of an organisation that all entries knew to be far below its limit a few seconds before. Entries may be killed
-/// twice within a window, so it gets no whole burst each time: two of these and what the limit lets in between them stay
-/// below the tenth by which a window may exceed a limit.
+/// The same of an organisation that all entries knew to be far below its limit a few seconds before. Entries may be
+/// killed twice within a window, so it gets no whole burst each time: two of these and what the limit lets in between
+/// them stay below the tenth by which a window may exceed a limit.
 pub const INITIAL_DEBT_CALM: f64 = 0.4;
 
 /// An entry's part of a limit.
@@ -127,7 +127,8 @@
         }
     }
 
-    /// Takes no more than `used` bursts to be used up, now that the organisation is known to have been far below its limit.
+    /// Takes no more than `used` bursts to be used up, now that the organisation is known to have been far below its
+    /// limit.
     pub fn cap_debt(&self, now: Instant, part: Quota, used: f64) {
         if part.rate > 0.0 && self.is_open.load(Relaxed) {
             let owed = self.bucket.owed(now).min(part.lasts(used));
@@ -162,9 +163,9 @@
 
     /// Returns the units that were let in here, are not paid for yet and no keeper was told of; it is told now.
     ///
-    /// Failure: a fleet grows, and its entries let callers in by their own shares until each has heard of enough others;
-    /// whoever keeps the zone then grants the burst once more. Symptom: the organisation uses its burst twice. What was
-    /// let in moves to the keeper with the first question, before that grants anything to the same entry.
+    /// Failure: a fleet grows, and its entries let callers in by their own shares until each has heard of enough
+    /// others; whoever keeps the zone then grants the burst once more. Symptom: the organisation uses its burst twice.
+    /// What was let in moves to the keeper with the first question, before that grants anything to the same entry.
     pub fn take_unreported(&self, now: Instant) -> u64 {
         let untold = self.untold.swap(0, Relaxed);
         untold.min(self.bucket.owed_units(now))
--- a/bergamotshift-forward/src/limits/keeper.rs
+++ b/bergamotshift-forward/src/limits/keeper.rs
@@ -1,9 +1,9 @@
 //! In a large fleet, the entry that decides for all entries of its availability zone.
 //!
 //! With dozens of entries, each one's share of a limit is smaller than one large request, and what each hears of the
-//! others' work under way is over before it is heard. So one entry of each zone, its *keeper*, grants units of limits and
-//! chooses endpoints for all entries there, which ask it once for each request. The zones share the limits out among them
-//! as the entries of a small fleet do, so a zone that is cut off goes on with its share.
+//! others' work under way is over before it is heard. So one entry of each zone, its *keeper*, grants units of limits
+//! and chooses endpoints for all entries there, which ask it once for each request. The zones share the limits out
+//! among them as the entries of a small fleet do, so a zone that is cut off goes on with its share.
 //!
 //! Nobody elects a keeper: each entry works out from whom it hears who that is. For a moment two entries may both take
 //! themselves for the keeper; the limits' slack is more than what both can grant in that time.
@@ -139,8 +139,8 @@
     pub core_share: u16,
 }
 
-/// Returns the two candidates that come first, on which all entries with the same list agree: of those that may use most
-/// of a core, by hash.
+/// Returns the two candidates that come first, on which all entries with the same list agree: of those that may use
+/// most of a core, by hash.
 pub fn top_two<'a>(candidates: impl Iterator<Item = Candidate<'a>>) -> [Option<&'a name::Entry>; 2] {
     let mut ranked: Vec<_> = candidates
         .map(|one| ((one.core_share, xxh3_64(one.entry.as_str().as_bytes())), one.entry))
--- a/bergamotshift-forward/src/limits/share.rs
+++ b/bergamotshift-forward/src/limits/share.rs
@@ -71,8 +71,8 @@
     since: Instant,
 }
 
-/// This entry's share of one organisation's limit; in a large fleet, the share of its zone, which the zone's keeper uses.
-/// What is said of entries here holds of zones then.
+/// This entry's share of one organisation's limit; in a large fleet, the share of its zone, which the zone's keeper
+/// uses. What is said of entries here holds of zones then.
 ///
 /// All entries hear each other: a share that shrinks does so at once, and one that grows is told first, as a claim. It
 /// is used when every other entry was heard since, and only as far as their own claims leave room.
--- a/bergamotshift-forward/src/rollouts/observer.rs
+++ b/bergamotshift-forward/src/rollouts/observer.rs
@@ -55,7 +55,8 @@
     /// Notes that the answer began.
     ///
     /// Failure: failures end at once, and streams that are sound last for seconds. Symptom: the first answers of a new
-    /// version that ended are failures alone, and a sound one is condemned. A stream counts as good from its first event on.
+    /// version that ended are failures alone, and a sound one is condemned. A stream counts as good from its first
+    /// event on.
     pub fn began(&mut self) {
         if core::mem::take(&mut self.is_waiting) {
             self.note(Answer::Pace(self.waited()));
@@ -83,8 +84,8 @@
 }
 
 impl Drop for Observer {
-    /// Failure: a version answers so late that callers leave before. Symptom: none of its answers counts, and it passes for
-    /// sound. A request that waited long in vain counts as slow.
+    /// Failure: a version answers so late that callers leave before. Symptom: none of its answers counts, and it passes
+    /// for sound. A request that waited long in vain counts as slow.
     fn drop(&mut self) {
         let waited = self.waited();
         if self.is_waiting && waited >= IN_VAIN {
--- a/bergamotshift-forward/tests/kernel/capacity.rs
+++ b/bergamotshift-forward/tests/kernel/capacity.rs
@@ -1,11 +1,11 @@
-//! How many endpoints are ordered.
+//! Plans for the number of endpoints of a service.
 
 use core::time::Duration;
 use std::collections::BTreeMap;
 
 use bergamotshift_core::prelude::*;
+use bergamotshift_forward::capacity::Counts;
 use bergamotshift_forward::capacity::Planner;
-use bergamotshift_forward::capacity::Present;
 use bergamotshift_forward::capacity::Settings;
 use bergamotshift_forward::capacity::cover;
 use bergamotshift_forward::document::Scale;
@@ -30,11 +30,11 @@
     }
 }
 
-fn present(counts: [(u32, u32); 4]) -> BTreeMap<name::Zone, Present> {
-    let present = |(on_demand, reclaimable)| Present {
+fn present(counts: [(u32, u32); 4]) -> BTreeMap<name::Zone, Counts> {
+    let present = |(on_demand, reclaimable)| Counts {
         on_demand,
         reclaimable,
-        ..Present::default()
+        ..Counts::default()
     };
     let pairs = ZONES.iter().zip(counts);
     pairs
@@ -44,8 +44,8 @@
 
 fn planner() -> Planner {
     Planner::new(Settings {
-        reclaimable: 4,
-        least: 7,
+        min_reclaimable: 4,
+        min_endpoints: 7,
         ..Settings::default()
     })
 }
@@ -55,8 +55,8 @@
 }
 
 fn of(orders: &[Order], market: Market) -> Vec<(&str, u32)> {
-    let kind = orders.iter().filter(|order| order.market == market);
-    kind.map(|order| (order.zone.as_str(), order.count)).collect()
+    let of_market = orders.iter().filter(|order| order.market == market);
+    of_market.map(|order| (order.zone.as_str(), order.count)).collect()
 }
 
 #[test]
@@ -79,8 +79,8 @@
     assert!(!plan(&mut planner, at(8_000), [(3, 0); 4]).is_empty());
 }
 
-/// A zone's reclaimable endpoints are taken away, and the platform has none left anywhere. Callers see no overload when
-/// the next zone goes too: on-demand endpoints are ordered for that loss, before it comes.
+/// Guards against an overload when a second zone is reclaimed while the platform has no reclaimable endpoints left.
+/// On-demand endpoints are ordered for that loss before it comes.
 #[test]
 fn while_none_are_to_be_had_the_next_zone_is_made_up_for_ahead() {
     let mut planner = planner();
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn the_refusals_of_a_dry_zone_do_not_give_on_demand_endpoints_back() {
+fn refusals_in_a_zone_without_capacity_do_not_give_on_demand_endpoints_back() {
     let mut planner = planner();
     let present = [(2, 4), (2, 4), (0, 0), (0, 0)];
     let orders = plan(&mut planner, at(0), present);
@@ -124,7 +124,7 @@
 }
 
 #[test]
-fn a_service_without_reclaimable_endpoints_is_left_alone() {
+fn nothing_is_ordered_for_a_service_without_reclaimable_endpoints() {
     let scale = Scale {
         reclaimable_price: None,
         ..scale()
@@ -134,7 +134,7 @@
 }
 
 #[test]
-fn no_zone_is_asked_for_more_than_its_most() {
+fn no_order_exceeds_the_limit_of_a_zone() {
     let mut planner = planner();
     for (now, counts) in [(0, [(3, 0); 4]), (9_000, [(6, 0); 4]), (18_000, [(5, 1); 4])] {
         let orders = planner.plan(at(now), &"planner".into(), &scale(), &present(counts), 1e6);
@@ -142,9 +142,9 @@
     }
 }
 
-/// An entry holds the duties from its first second on, before it has read the endpoints' registrations. It orders
-/// nothing then: taken for a service without endpoints and without demand, a fleet of sixty would be brought down to the
-/// fewest, and its first callers would wait for others to boot.
+/// Guards against orders of an entry that holds the duties from its first second on, before it has read the endpoints'
+/// registrations. It would bring a fleet of sixty down to the minimum, and its first callers would wait for others to
+/// boot.
 #[test]
 fn nothing_is_ordered_before_the_endpoints_are_known() {
     let mut planner = planner();
@@ -158,30 +158,30 @@
     assert!(orders.iter().all(|order| order.count >= 15), "{orders:?}");
 }
 
-/// All entries are killed and start again. The first to take the duties over has measured next to no demand, while
-/// callers come back at once: what serves stays until the demand of a while is known.
+/// Guards against endpoints that are given back after all entries were killed and started again. The new holder of the
+/// duties has measured next to no demand, while callers come back at once.
 #[test]
 fn a_new_holder_gives_nothing_back_before_it_knows_the_demand() {
     let mut planner = planner();
     let wide = Scale { max: 30, ..scale() };
     let serving = present([(0, 20); 4]);
-    for (now, reading) in [(0, 0.0), (1_000, 20_000.0), (14_000, 20_000.0)] {
-        let orders = planner.plan(at(now), &"planner".into(), &wide, &serving, reading);
+    for (now, demand) in [(0, 0.0), (1_000, 20_000.0), (14_000, 20_000.0)] {
+        let orders = planner.plan(at(now), &"planner".into(), &wide, &serving, demand);
         assert!(orders.is_empty(), "{orders:?}");
     }
     let orders = planner.plan(at(16_000), &"planner".into(), &wide, &serving, 20_000.0);
     assert_eq!(orders.len(), 4, "{orders:?}");
 }
 
-/// A fleet starts with the endpoints that its operators ordered, and nobody has asked for anything yet. They are not
-/// given back for want of demand: callers who come a moment later would meet an overload until others have booted.
+/// Guards against endpoints that operators ordered for a new fleet and that are given back before its first request.
+/// Callers who come a moment later would meet an overload until others have booted.
 #[test]
-fn what_operators_provided_stays_until_demand_is_known() {
+fn endpoints_provided_by_operators_stay_until_demand_is_known() {
     let mut planner = planner();
     let provided = [(10, 0); 4];
     let wide = Scale { max: 20, ..scale() };
-    let plan = |planner: &mut Planner, now, counts, reading| {
-        planner.plan(at(now), &"planner".into(), &wide, &present(counts), reading)
+    let plan = |planner: &mut Planner, now, counts, demand| {
+        planner.plan(at(now), &"planner".into(), &wide, &present(counts), demand)
     };
     let orders = plan(&mut planner, 0, provided, 0.0);
     let ordered: u32 = of(&orders, Market::Reclaimable).iter().map(|(_, count)| count).sum();
@@ -195,9 +195,9 @@
     );
 }
 
-/// Two zones have no room for reclaimable endpoints, and on-demand ones are ordered up to all that a zone may have. There
-/// is no place left to ask for reclaimable ones, so no answer ever says that there is room again; the on-demand ones must
-/// be given back all the same, one zone after the other, or they are paid for the rest of the day.
+/// Guards against on-demand endpoints that are paid for the rest of the day, as they fill two zones which had no
+/// capacity for reclaimable ones. No reclaimable ones can be ordered there any more, so no answer tells that there is
+/// capacity again.
 #[test]
 fn on_demand_endpoints_that_fill_a_zone_are_given_back() {
     let mut planner = planner();
@@ -228,8 +228,9 @@
     assert!(of(&orders, Market::OnDemand).contains(&("b", 0)), "{orders:?}");
 }
 
-/// Two zones of four are reclaimed, and then the other two within a second, on a notice that is shorter than endpoints
-/// take to boot. Callers meet half of what they need instead of nothing: that half was ordered when the second zone went.
+/// Guards against a fleet without endpoints when two zones of four are reclaimed, and then the other two within a
+/// second, on a notice that is shorter than the time to boot. Half of the needed endpoints are ordered when the second
+/// zone goes.
 #[test]
 fn two_zones_at_once_leave_half_of_what_is_needed() {
     assert_eq!(cover::on_demand(9, &[9, 9, 9, 9], 0), 0);
@@ -239,10 +240,10 @@
     assert_eq!(cover::on_demand(9, &[0, 0, 0, 0], 4), 9);
 }
 
-/// A zone's notice comes. The loss is made up for in the same look, not after the platform has refused to replace it: the
-/// notice is shorter than the time to boot, so each second counts.
+/// Guards against a loss that is covered only after the platform has refused to replace a reclaimed zone. The notice is
+/// shorter than the time to boot, so each second counts.
 #[test]
-fn a_zone_that_is_reclaimed_is_made_up_for_at_once() {
+fn the_loss_of_a_reclaimed_zone_is_covered_at_once() {
     let mut planner = planner();
     let all = [(0, 4); 4];
     plan(&mut planner, at(0), all);
@@ -252,10 +253,10 @@
     assert_eq!(ordered, 7, "{orders:?}");
 }
 
-/// All reclaimable endpoints boot at the start, and one zone's are ready before another's. The others are on their way:
-/// nothing is ordered for them.
+/// Guards against on-demand orders for zones whose reclaimable endpoints are still booting at the start, while those of
+/// another zone are ready.
 #[test]
-fn zones_that_boot_are_not_made_up_for() {
+fn zones_whose_endpoints_are_booting_are_not_covered() {
     let mut planner = planner();
     for order in plan(&mut planner, at(0), [(0, 0); 4]) {
         planner.accepted(&order);
@@ -264,9 +265,9 @@
     assert!(of(&orders, Market::OnDemand).is_empty(), "{orders:?}");
 }
 
-/// A fleet starts with on-demand endpoints that leave its zones little room for reclaimable ones. Fewer of those fit than are
-/// needed, so the on-demand ones stayed for good. Those that the reclaimable ones make up for are given back, and each step
-/// makes room for more, until nobody is paid for twice.
+/// Guards against on-demand endpoints that stay for good, as a fleet starts with so many that fewer reclaimable ones
+/// fit into its zones than are needed. Those that reclaimable ones replace are given back, and each step makes space
+/// for more.
 #[test]
 fn on_demand_endpoints_give_way_in_steps_where_zones_have_little_room() {
     let mut planner = planner();
@@ -297,10 +298,10 @@
     assert_eq!(on_demand, 0, "{counts:?}");
 }
 
-/// Zones are reclaimed in turn and have no room for seconds. On-demand endpoints that the zones left do not need are given
-/// back meanwhile where reclaimable ones serve; those of the zone without room stay.
+/// Guards against on-demand endpoints that are not needed and stay in every zone while one zone was reclaimed and has
+/// no capacity. They are given back where reclaimable ones serve; those of the zone without capacity stay.
 #[test]
-fn on_demand_endpoints_beyond_the_cover_are_given_back_while_a_zone_is_dry() {
+fn unneeded_on_demand_endpoints_are_given_back_while_a_zone_has_no_capacity() {
     let mut planner = planner();
     plan(&mut planner, at(0), [(3, 4); 4]);
     let order = Order {
@@ -319,15 +320,15 @@
     );
 }
 
-/// Guards against orders that count beside the endpoints of a version that is rolled out: together they are held to a zone's
-/// most, so an order for what serves takes nearly all of it away.
+/// Guards against an order for as many endpoints as serve that takes nearly all of them away, since the platform counts
+/// them together with those of a version that is being rolled out against the zone's limit.
 #[test]
 fn nothing_is_ordered_in_a_zone_while_a_version_is_rolled_out_there() {
     let mut planner = planner();
     plan(&mut planner, at(0), [(0, 4); 4]);
     let mut counts = present([(0, 4); 4]);
     for here in counts.values_mut() {
-        here.foreign = 4;
+        here.rolling_out = 4;
     }
     for now in [1_000, 20_000, 40_000] {
         let orders = planner.plan(at(now), &"planner".into(), &scale(), &counts, 10_000.0);
@@ -335,17 +336,17 @@
     }
 }
 
-/// Guards against a fleet that is brought down to the fewest within a second, since endpoints of others came to stand in its
-/// zones and left no room.
+/// Guards against a fleet that is brought down to the minimum within a second, since on-demand endpoints in its zones
+/// left no space for its reclaimable ones.
 #[test]
-fn what_serves_stays_though_others_fill_its_zone() {
+fn serving_endpoints_stay_while_others_fill_their_zone() {
     let mut planner = planner();
     plan(&mut planner, at(0), [(0, 4); 4]);
     let orders = plan(&mut planner, at(1_000), [(5, 4); 4]);
     assert!(of(&orders, Market::Reclaimable).is_empty(), "{orders:?}");
 }
 
-/// Guards against on-demand endpoints that were started for a new version and are all paid for after it was completed.
+/// Guards against on-demand endpoints that were started for a new version and all stay after its rollout was completed.
 #[test]
 fn a_completed_version_keeps_as_many_on_demand_endpoints_as_are_needed() {
     let wide = Scale { max: 46, ..scale() };
@@ -360,26 +361,26 @@
     assert_eq!(of(&orders, Market::OnDemand).len(), 4);
 }
 
-/// Has a planner see a demand for so many endpoints every quarter of a second up to a time, and returns its last orders.
-fn follow(planner: &mut Planner, seconds: core::ops::Range<u64>, needed: f64) -> Vec<Order> {
-    let reading = needed * Settings::default().reads - 1.0;
+/// Runs a planner every quarter of a second over a span, with a demand for `needed` endpoints; returns its orders.
+fn run(planner: &mut Planner, seconds: core::ops::Range<u64>, needed: f64) -> Vec<Order> {
+    let demand = needed * Settings::default().prefill_rate - 1.0;
     let mut orders = Vec::new();
     for millis in (seconds.start * 1_000..seconds.end * 1_000).step_by(250) {
         let here = present([(0, 6); 4]);
-        let due = planner.plan(at(millis), &"planner".into(), &scale(), &here, reading);
+        let due = planner.plan(at(millis), &"planner".into(), &scale(), &here, demand);
         orders.extend(due);
     }
     orders
 }
 
-/// Guards against endpoints that are given back in the trough of a wave, when the last peak is as old as is remembered although
-/// demand was as high a few seconds ago.
+/// Guards against endpoints that are given back in the trough of a wave, since its peak lies at the beginning of the
+/// window, although demand was nearly as high a few seconds ago.
 #[test]
-fn endpoints_stay_for_the_most_of_the_last_while() {
+fn endpoints_stay_for_the_peak_demand_of_the_window() {
     let mut planner = planner();
-    follow(&mut planner, 0..2, 12.0);
-    let before = follow(&mut planner, 2..15, 11.0);
-    let in_the_trough = follow(&mut planner, 15..25, 2.0);
+    run(&mut planner, 0..2, 12.0);
+    let before = run(&mut planner, 2..15, 11.0);
+    let in_the_trough = run(&mut planner, 15..25, 2.0);
     assert_eq!(before, in_the_trough, "nothing changes while the wave is remembered");
-    assert!(!follow(&mut planner, 25..45, 2.0).is_empty(), "the wave is over");
+    assert!(!run(&mut planner, 25..45, 2.0).is_empty(), "the wave is over");
 }
--- a/bergamotshift-forward/tests/kernel/choice.rs
+++ b/bergamotshift-forward/tests/kernel/choice.rs
@@ -80,8 +80,8 @@
     assert_eq!(choice.source, None);
 }
 
-/// Guards against requests that wait for the busy endpoint that holds their shared part. An idle one begins sooner, as it
-/// fetches the part over the engines' link in milliseconds; without such a link, it prefills the part again.
+/// Guards against requests that wait for the busy endpoint that holds their shared part. An idle one begins sooner, as
+/// it fetches the part over the engines' link in milliseconds; without such a link, it prefills the part again.
 #[test]
 fn an_idle_endpoint_fetches_the_shared_part_from_a_busy_holder() {
     let endpoints = endpoints(8);
@@ -154,8 +154,8 @@
     assert!(cache_index.announced(at(60_000)).is_empty());
 }
 
-/// Guards against requests that go to an engine for a part that it evicted when its memory was full. It would prefill the
-/// whole prompt, while another engine holds the beginning.
+/// Guards against requests that go to an engine for a part that it evicted when its memory was full. It would prefill
+/// the whole prompt, while another engine holds the beginning.
 #[test]
 fn an_engine_holds_no_more_than_its_memory_has_room_for() {
     let part = |id| Part { id, tokens: 100 };
@@ -173,8 +173,8 @@
     assert!(!cache_index.is_known(1), "the engine is gone");
 }
 
-/// Guards against requests that hang at engines of a zone that was cut off without connection resets, until their callers
-/// leave. Engines of other zones come first, however busy they are.
+/// Guards against requests that hang at engines of a zone that was cut off without connection resets, until their
+/// callers leave. Engines of other zones come first, however busy they are.
 #[test]
 fn engines_of_a_silent_zone_are_left_for_last() {
     let endpoints = endpoints(4);
@@ -192,8 +192,8 @@
     );
 }
 
-/// Guards against a shortcut that changes the choice. When the own zone has enough engines, other ones are compared only if
-/// they hold a part of the prompt or all local ones are busy.
+/// Guards against a shortcut that changes the choice. When the own zone has enough engines, other ones are compared
+/// only if they hold a part of the prompt or all local ones are busy.
 #[test]
 fn an_idle_endpoint_of_another_zone_is_chosen_while_the_own_zone_is_busy() {
     let near: Vec<_> = endpoints(12);
--- a/bergamotshift-forward/tests/kernel/growing.rs
+++ b/bergamotshift-forward/tests/kernel/growing.rs
@@ -78,9 +78,10 @@
     }
 }
 
-/// The entries of a fleet start slowly, and each lets callers in by its own share while it knows few of the others. Then all
-/// have heard of one another, and ask the keeper. It does not grant the burst once more: what the entries let in before is
-/// told with their first questions. Together they get the burst, and each entry may overdraw by one request.
+/// The entries of a fleet start slowly, and each lets callers in by its own share while it knows few of the others.
+/// Then all have heard of one another, and ask the keeper. It does not grant the burst once more: what the entries let
+/// in before is told with their first questions. Together they get the burst, and each entry may overdraw by one
+/// request.
 #[test]
 fn a_burst_is_granted_once_while_a_fleet_grows() {
     let fleet = Fleet::new();
@@ -91,8 +92,8 @@
     assert!(alone + asked <= most, "{alone} and {asked} of at most {most}");
 }
 
-/// Half of the entries go on by themselves for longer than the others. What the keeper grants meanwhile is the half of the
-/// burst that it does not take to be used up.
+/// Half of the entries go on by themselves for longer than the others. What the keeper grants meanwhile is the half of
+/// the burst that it does not take to be used up.
 #[test]
 fn entries_that_lag_behind_do_not_double_the_burst() {
     let fleet = Fleet::new();
--- a/bergamotshift-forward/tests/kernel/limits.rs
+++ b/bergamotshift-forward/tests/kernel/limits.rs
@@ -250,8 +250,8 @@
         }
     }
 
-    /// Asks one entry after the other for requests of the usual sizes, one every `pause` milliseconds; returns how many of
-    /// them were asked for and let in.
+    /// Asks one entry after the other for requests of the usual sizes, one every `pause` milliseconds; returns how many
+    /// of them were asked for and let in.
     fn ask(&mut self, span: core::ops::Range<u64>, pause: usize) -> (usize, usize) {
         const SIZES: [u64; 8] = [700, 1_900, 12_000, 800, 200, 25_000, 2_400, 200];
         let mut counts = (0, 0);
@@ -277,9 +277,9 @@
     sums.max().unwrap_or_default()
 }
 
-/// An organisation asks for eight times its limit. All entries are killed, and again three seconds later, each time back
-/// after half a second. It may have been written down as calm a moment before it rose, so each start gives it a part of its
-/// burst; over no window does it get more than the platform allows.
+/// An organisation asks for eight times its limit. All entries are killed, and again three seconds later, each time
+/// back after half a second. It may have been written down as calm a moment before it rose, so each start gives it a
+/// part of its burst; over no window does it get more than the platform allows.
 #[test]
 fn two_restarts_within_a_window_keep_the_limit() {
     for is_calm in [false, true] {
@@ -295,8 +295,8 @@
     }
 }
 
-/// All entries are killed and start again, and callers who ask for half of the limit come back at once. Nearly all of them
-/// are let in within the first second; with the burst taken to be used up, half are refused for the second time.
+/// All entries are killed and start again, and callers who ask for half of the limit come back at once. Nearly all of
+/// them are let in within the first second; with the burst taken to be used up, half are refused for the second time.
 #[test]
 fn callers_of_a_calm_organisation_are_let_in_after_a_restart() {
     let half = |is_calm| Killed::start(0, is_calm).ask(0..1_000, 70);
@@ -367,8 +367,8 @@
     assert_eq!(keeper::top_two(others)[0], second);
 }
 
-/// A zone's keeper ends. Its deputy goes on with the zone's share as that one used it, not with that of a zone which is new
-/// and has to be given room first.
+/// A zone's keeper ends. Its deputy goes on with the zone's share as that one used it, not with that of a zone which is
+/// new and has to be given room first.
 #[test]
 fn a_deputy_goes_on_with_the_share_of_its_zone() {
     let policy = SharePolicy::default();
@@ -381,8 +381,8 @@
     assert!((0.39..=0.41).contains(&next), "it uses {next}");
 }
 
-/// An organisation asks for four times its limit in four zones, in large requests and unevenly. Its zones' keepers together
-/// grant nearly all that the limit holds, and never more than it and its burst.
+/// An organisation asks for four times its limit in four zones, in large requests and unevenly. Its zones' keepers
+/// together grant nearly all that the limit holds, and never more than it and its burst.
 #[test]
 fn zones_together_grant_nearly_all_of_a_limit() {
     const RATE: f64 = 500_000.0;
