--- a/bergamotshift-entry/src/control/death.rs
+++ b/bergamotshift-entry/src/control/death.rs
@@ -88,7 +88,7 @@
         self.regain(endpoint);
         let key = self.fleet.find(endpoint).and_then(|known| known.key);
         if let Some(key) = key {
-            let _ = self.fleet.registry.report(key, report, self.shared.now());
+            let _ = self.fleet.registry.record_report(key, report, self.shared.now());
             self.due(Due::Tick);
         }
     }
@@ -105,7 +105,7 @@
         let key = self.fleet.find(endpoint).and_then(|known| known.key);
         let snapshot = self.shared.publisher.current();
         let row = key.and_then(|key| snapshot.view.find(key));
-        row.map_or(0, |row| row.counter().mark().finished)
+        row.map_or(0, |row| row.counter().totals().finished)
     }
 
     pub(super) fn announced(&mut self, endpoint: &Endpoint) {
@@ -122,7 +122,7 @@
     fn died(&mut self, endpoint: &Endpoint, fingerprint: Option<Fingerprint>) {
         let Some(known) = self.fleet.find(endpoint) else { return };
         let death = Death {
-            victim: known.victim(),
+            instance: known.victim(),
             announced: known.leaving,
             running: fingerprint.into_iter().collect(),
         };
@@ -130,7 +130,7 @@
         if !news && death.running.is_empty() {
             return;
         }
-        self.quarantine.died(self.shared.now(), death);
+        self.quarantine.record_death(self.shared.now(), death);
         self.tell_suspicion(endpoint, fingerprint);
         self.share_suspicions();
         self.due(Due::Now);
--- a/bergamotshift-forward/src/choice/mod.rs
+++ b/bergamotshift-forward/src/choice/mod.rs
@@ -15,7 +15,7 @@
 
 pub use self::cache_index::CacheIndex;
 pub use self::cache_index::CachedPart;
-use crate::dialect::Ask;
+use crate::dialect::Metadata;
 use crate::document::Engine;
 use crate::endpoint::Endpoint;
 use crate::view::Canary;
@@ -91,8 +91,8 @@
 /// Request that needs an endpoint.
 #[derive(Clone, Copy, Debug)]
 pub struct Request<'a> {
-    /// Fields of the caller's request head that matter for the choice.
-    pub ask: &'a Ask,
+    /// Metadata from the caller's request head.
+    pub ask: &'a Metadata,
     /// Properties of the service's model engines; `None` for a plain service.
     pub engine: Option<Engine>,
     /// Availability zone of this entry.
@@ -182,7 +182,7 @@
 /// Prompt of a request, with the endpoints that hold parts of it.
 struct Prompt<'a> {
     engine: Engine,
-    ask: &'a Ask,
+    metadata: &'a Metadata,
     /// Number of tokens at the beginning of the prompt that each endpoint holds, by its hash; endpoints that hold none
     /// are left out.
     held: HashMap<u64, u64>,
@@ -200,24 +200,24 @@
         request: &Request<'a>,
         cache_index: &CacheIndex,
     ) -> Self {
-        let ask = request.ask;
-        let held = cache_index.held_by_endpoint(&ask.parts);
+        let metadata = request.ask;
+        let held = cache_index.held_by_endpoint(&metadata.parts);
         let sources = endpoints.iter().chain(request.cache_sources);
         let reachable = sources.filter(|endpoint| !endpoint.health.is_paused(now));
         let holders = reachable.filter_map(|endpoint| held.get(&endpoint.hash).map(|held| (endpoint, *held)));
         let holder = holders.max_by_key(|(_, held)| *held);
-        let is_known = ask.shared().is_some_and(|part| cache_index.is_known(part.id));
+        let is_known = metadata.shared_part().is_some_and(|part| cache_index.is_known(part.id));
         let candidates = endpoints
             .iter()
             .filter(|endpoint| !endpoint.is_leaving() && request.is_near(endpoint));
         Self {
             engine,
-            ask,
+            metadata,
             held,
             home: if is_known {
                 None
             } else {
-                home(ask, candidates.map(|endpoint| endpoint.hash))
+                home(metadata, candidates.map(|endpoint| endpoint.hash))
             },
             holder,
         }
@@ -225,8 +225,8 @@
 }
 
 /// Returns the endpoint that all entries agree on for a prompt's shared part, by rendezvous hash.
-fn home(ask: &Ask, endpoints: impl Iterator<Item = u64>) -> Option<u64> {
-    let part = ask.shared()?;
+fn home(metadata: &Metadata, endpoints: impl Iterator<Item = u64>) -> Option<u64> {
+    let part = metadata.shared_part()?;
     endpoints.max_by_key(|hash| xxh3_64_with_seed(&part.id.to_le_bytes(), *hash))
 }
 
@@ -249,7 +249,7 @@
     } else {
         0.0
     };
-    let health_penalty = settings.failure_penalty * endpoint.health.trouble() + silence_penalty;
+    let health_penalty = settings.failure_penalty * endpoint.health.failure_rate() + silence_penalty;
     let wait = if prompt.is_some() {
         settings.slot_wait
     } else {
@@ -289,7 +289,7 @@
         endpoint: &Endpoint,
     ) -> f64 {
         let held = self.held(endpoint);
-        let total = u64::from(self.ask.size.unwrap_or_default().prompt);
+        let total = u64::from(self.metadata.size.unwrap_or_default().prompt);
         let elsewhere = self.holder.filter(|(holder, _)| holder.hash != endpoint.hash);
         let held_elsewhere = elsewhere.map_or(0, |(_, tokens)| tokens.saturating_sub(held));
         let mut time = 0.0;
--- a/bergamotshift-forward/src/duty/rollouts.rs
+++ b/bergamotshift-forward/src/duty/rollouts.rs
@@ -61,46 +61,47 @@
         let (Some(directed), Some(number)) = (self.directors.get_mut(service), self.number) else {
             return;
         };
-        let step = directed.director.look(shared.clock.now(), &rollout.sight);
+        let step = directed.director.observe(shared.clock.now(), &rollout.observation);
         if step.cause.is_some() || directed.step.is_multiple_of(STEPS_LOGGED) {
             note(&shared, rollout, &step);
         }
         let directive = directed.directive(number, step.phase, step.share);
-        self.control.direct(service, directive);
+        self.control.apply_directive(service, directive);
         if directed.told == Some(step.state) {
             return;
         }
         let Some(_permit) = self.holder() else { return };
         let told = self
             .lease
-            .within(self.operators.tell(rollout.order.clone(), step.state))
+            .within(self.operators.report_rollout(rollout.order.clone(), step.state))
             .await;
-        self.control.called("rollout", told.as_ref().err());
+        self.control.record_call("rollout", told.as_ref().err());
         let Ok(state) = told else { return };
         info!(shared.log.always(), "rollout told"; "service" => service.as_str(),
             "to" => rollout.order.to.as_str(), "order" => rollout.order.number, "state" => ?state,
-            "age_ms" => rollout.sight.age.as_millis() as u64);
+            "age_ms" => rollout.observation.age.as_millis() as u64);
         let Some(directed) = self.directors.get_mut(service) else {
             return;
         };
         directed.told = Some(state);
         if state.is_final() {
-            directed.director.settled(state);
+            directed.director.set_final_state(state);
             let directive = directed.directive(number, state.into(), 0);
-            self.control.direct(service, directive);
+            self.control.apply_directive(service, directive);
         }
     }
 }
 
 /// Logs the evidence by which an order is directed.
 fn note(shared: &crate::view::Shared, rollout: &Rollout, step: &Step) {
-    let sight = &rollout.sight;
+    let sight = &rollout.observation;
     let (stable, canary) = (sight.evidence.total(false), sight.evidence.total(true));
     info!(shared.log.always(), "rollout directed"; "service" => rollout.order.service.as_str(),
         "to" => rollout.order.to.as_str(), "order" => rollout.order.number,
         "age_ms" => sight.age.as_millis() as u64, "phase" => ?step.phase, "share" => step.share,
-        "stable_endpoints" => sight.stable, "canary_endpoints" => sight.canary, "busy" => sight.busy,
+        "stable_endpoints" => sight.stable_endpoints, "canary_endpoints" => sight.canary_endpoints,
+        "busy" => sight.stable_in_flight,
         "stable_answers" => stable.ended(), "stable_bad" => stable.bad,
         "canary_answers" => canary.ended(), "canary_bad" => canary.bad,
-        "stable_paces" => ?stable.paces, "canary_paces" => ?canary.paces, "cause" => ?step.cause);
+        "stable_paces" => ?stable.latencies, "canary_paces" => ?canary.latencies, "cause" => ?step.cause);
 }
--- a/bergamotshift-forward/src/limits/keeper.rs
+++ b/bergamotshift-forward/src/limits/keeper.rs
@@ -17,7 +17,7 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::dialect::Part;
-use crate::peers::Flown;
+use crate::peers::InFlight;
 
 /// The most entries that do without keepers.
 pub const MAX_WITHOUT_KEEPER: usize = 16;
@@ -76,7 +76,7 @@
     pub generation: Option<Generation>,
     /// All work that the entry has under way.
     #[serde(rename = "flown")]
-    pub in_flight: Vec<Flown>,
+    pub in_flight: Vec<InFlight>,
 }
 
 /// An endpoint that a keeper chose.
--- a/bergamotshift-forward/src/peers/keep.rs
+++ b/bergamotshift-forward/src/peers/keep.rs
@@ -5,12 +5,12 @@
 use ntex::http::Response;
 use ntex::http::StatusCode;
 
-use super::message::Flown;
+use super::message::InFlight;
 use super::permit::Permits;
 use super::question::question;
 use crate::choice;
 use crate::choice::Choice;
-use crate::dialect::Ask;
+use crate::dialect::Metadata;
 use crate::dialect::Size;
 use crate::limits::Keeper;
 use crate::limits::Refused;
@@ -35,7 +35,7 @@
 ///
 /// An entry that takes itself neither for the keeper nor for the deputy decides nothing: the one that asks hears other
 /// entries than this one, and two keepers would give out the zone's share twice.
-pub async fn keep(permits: &Permits, mut request: Request) -> Response {
+pub async fn answer_keep(permits: &Permits, mut request: Request) -> Response {
     let shared = permits.shared();
     let question = match question::<Question>(&mut request, LARGEST).await {
         Ok(question) => question,
@@ -51,9 +51,9 @@
     let answer = decide(permits, &view, &question).await;
     if let Some(placed) = answer.placement {
         let mut ledger = shared.ledger();
-        ledger.placed(&question.entry, placed.endpoint, placed.unread);
+        ledger.record_placement(&question.entry, placed.endpoint, placed.unread);
         if let Some(endpoint) = view.endpoint(placed.endpoint) {
-            ledger.sum(endpoint);
+            ledger.apply_to(endpoint);
         }
     }
     match postcard::to_stdvec(&answer) {
@@ -83,11 +83,11 @@
 }
 
 /// Takes in what an entry of the zone has under way.
-fn told(shared: &Shared, view: &View, now: Instant, entry: &name::Entry, flown: &[Flown]) {
+fn told(shared: &Shared, view: &View, now: Instant, entry: &name::Entry, flown: &[InFlight]) {
     let mut ledger = shared.ledger();
-    let changed = ledger.told(now, entry, flown);
+    let changed = ledger.update(now, entry, flown);
     for endpoint in changed.into_iter().filter_map(|hash| view.endpoint(hash)) {
-        ledger.sum(endpoint);
+        ledger.apply_to(endpoint);
     }
 }
 
@@ -100,8 +100,8 @@
     let Some(accounts) = view.accounts.get(&units.organisation) else {
         return Ok(());
     };
-    accounts.kept.charge(now, units.unreported);
-    accounts.kept.take(now, units.count)
+    accounts.zone.charge(now, units.unreported);
+    accounts.zone.take(now, units.count)
 }
 
 /// Chooses an endpoint for a generation, to which it is granted where the endpoint names a rate; `None` when none takes
@@ -109,8 +109,8 @@
 pub async fn place(permits: &Permits, view: &View, generation: &Generation) -> Option<Placement> {
     for _ in 0..PLACES {
         let choice = choose(permits.shared(), view, generation)?;
-        let is_limited = choice.endpoint.said.throttle.rate().is_some();
-        if is_limited && !permits.ask(&choice.endpoint, "").await {
+        let is_limited = choice.endpoint.signals.throttle.rate().is_some();
+        if is_limited && !permits.acquire(&choice.endpoint, "").await {
             continue;
         }
         let shared = permits.shared();
@@ -131,13 +131,13 @@
 
 fn choose(shared: &Shared, view: &View, generation: &Generation) -> Option<Choice> {
     let service = view.services.get(&generation.service)?;
-    let ask = Ask {
+    let ask = Metadata {
         size: Some(Size {
             prompt: generation.prompt,
             output: 0,
         }),
         parts: generation.parts.clone(),
-        ..Ask::default()
+        ..Metadata::default()
     };
     let request = choice::Request {
         ask: &ask,
@@ -147,7 +147,7 @@
         tried: &generation.avoided,
         cache_sources: &[],
     };
-    let canary = service.canary_of(generation.is_canary);
+    let canary = service.canary_for(generation.is_canary);
     let recall = shared.recall();
     let weights = choice::Settings::default();
     choice::choose_with_canary(&weights, shared.clock.now(), service, canary, &request, &recall)
--- a/bergamotshift-forward/src/rollouts/observer.rs
+++ b/bergamotshift-forward/src/rollouts/observer.rs
@@ -59,7 +59,7 @@
     /// event on.
     pub fn began(&mut self) {
         if core::mem::take(&mut self.is_waiting) {
-            self.note(Answer::Pace(self.waited()));
+            self.note(Answer::Latency(self.waited()));
             self.note(Answer::Good);
         }
     }
@@ -89,7 +89,7 @@
     fn drop(&mut self) {
         let waited = self.waited();
         if self.is_waiting && waited >= IN_VAIN {
-            self.note(Answer::Pace(waited));
+            self.note(Answer::Latency(waited));
         }
     }
 }
--- a/bergamotshift-forward/tests/kernel/choice.rs
+++ b/bergamotshift-forward/tests/kernel/choice.rs
@@ -8,12 +8,12 @@
 use bergamotshift_forward::choice::Request;
 use bergamotshift_forward::choice::Settings;
 use bergamotshift_forward::choice::choose;
-use bergamotshift_forward::dialect::Ask;
+use bergamotshift_forward::dialect::Metadata;
 use bergamotshift_forward::dialect::Part;
 use bergamotshift_forward::dialect::Size;
 use bergamotshift_forward::document::Engine;
 use bergamotshift_forward::endpoint::Endpoint;
-use bergamotshift_forward::endpoint::Seat;
+use bergamotshift_forward::endpoint::RequestGuard;
 
 use crate::support::at;
 use crate::support::registration;
@@ -29,14 +29,14 @@
     (0..count).map(endpoint).collect()
 }
 
-fn ask() -> Ask {
-    Ask {
+fn ask() -> Metadata {
+    Metadata {
         size: Some(Size {
             prompt: 15_000,
             output: 100,
         }),
         parts: vec![Part { id: 1, tokens: 12_000 }, Part { id: 2, tokens: 3_000 }],
-        ..Ask::default()
+        ..Metadata::default()
     }
 }
 
@@ -87,7 +87,7 @@
     let endpoints = endpoints(8);
     let mut cache_index = CacheIndex::default();
     cache_index.record_choice(at(0), endpoints[5].hash, &ask().parts[..1]);
-    let _busy = Seat::take(Arc::clone(&endpoints[5]), 60_000);
+    let _busy = RequestGuard::take(Arc::clone(&endpoints[5]), 60_000);
     let choice = chosen(&endpoints, Some(ENGINE), &cache_index, &[]).expect("one of them");
     assert_ne!(choice.endpoint.hash, endpoints[5].hash);
     assert_eq!(choice.source, Some(endpoints[5].registration.address));
@@ -105,7 +105,7 @@
     let endpoints = endpoints(3);
     let mut cache_index = CacheIndex::default();
     cache_index.record_choice(at(0), endpoints[1].hash, &ask().parts[..1]);
-    endpoints[1].leave();
+    endpoints[1].mark_leaving();
     let choice = chosen(&endpoints, Some(ENGINE), &cache_index, &[]).expect("one of the others");
     assert_ne!(choice.endpoint.hash, endpoints[1].hash);
     assert_eq!(choice.source, Some(endpoints[1].registration.address));
@@ -114,7 +114,7 @@
 #[test]
 fn an_unreachable_endpoint_is_chosen_only_when_no_other_is_left() {
     let endpoints = endpoints(2);
-    endpoints[0].health.lost(at(1_000));
+    endpoints[0].health.record_unreachable(at(1_000));
     let first = chosen(&endpoints, None, &CacheIndex::default(), &[]).expect("the other one");
     assert_eq!(first.endpoint.hash, endpoints[1].hash);
     let second = chosen(&endpoints, None, &CacheIndex::default(), &[endpoints[1].hash]).expect("the lost one");
@@ -126,12 +126,14 @@
     let endpoints = endpoints(2);
     for turn in 0..20 {
         if turn % 5 < 2 {
-            endpoints[0].health.failed();
+            endpoints[0].health.record_failure();
         } else {
-            endpoints[0].health.succeeded();
+            endpoints[0].health.record_success();
         }
     }
-    let _requests: Vec<_> = (0..4).map(|_| Seat::take(Arc::clone(&endpoints[1]), 0)).collect();
+    let _requests: Vec<_> = (0..4)
+        .map(|_| RequestGuard::take(Arc::clone(&endpoints[1]), 0))
+        .collect();
     let choice = chosen(&endpoints, None, &CacheIndex::default(), &[]).expect("one of them");
     assert_eq!(choice.endpoint.hash, endpoints[1].hash);
 }
@@ -140,7 +142,7 @@
 fn no_endpoint_is_chosen_when_all_are_leaving() {
     let endpoints = endpoints(2);
     for endpoint in &endpoints {
-        endpoint.leave();
+        endpoint.mark_leaving();
     }
     assert!(chosen(&endpoints, None, &CacheIndex::default(), &[]).is_none());
 }
@@ -202,7 +204,10 @@
     let cache_index = CacheIndex::default();
     let chosen_first = chosen(&all, Some(ENGINE), &cache_index, &[]).expect("a near one");
     assert_ne!(chosen_first.endpoint.hash, far.hash);
-    let _busy: Vec<_> = near.iter().map(|one| Seat::take(Arc::clone(one), 100_000)).collect();
+    let _busy: Vec<_> = near
+        .iter()
+        .map(|one| RequestGuard::take(Arc::clone(one), 100_000))
+        .collect();
     let chosen_then = chosen(&all, Some(ENGINE), &cache_index, &[]).expect("the far one");
     assert_eq!(chosen_then.endpoint.hash, far.hash);
 }
