--- a/bergamotshift-forward/src/limits/account.rs
+++ b/bergamotshift-forward/src/limits/account.rs
@@ -1,4 +1,4 @@
-//! One organisation's use at this entry.
+//! Rate limit of one organisation at this entry.
 
 use core::sync::atomic::AtomicBool;
 use core::sync::atomic::AtomicU64;
@@ -11,34 +11,35 @@
 use crate::document::Limit;
 use crate::document::Unit;
 
-/// Stands for no limit.
+/// Value of [`Account::burst`] without a limit.
 const UNLIMITED: u64 = u64::MAX;
 
-/// Stands for a part of nothing.
+/// Value of [`Account::burst`] for a quota of nothing.
 const CLOSED: u64 = u64::MAX - 1;
 
-/// When there may be a part; entries tell each other theirs several times a second.
-const SOON: Duration = Duration::from_millis(300);
+/// Time after which a quota of nothing may have grown; entries announce their shares several times per second.
+const CLOSED_RETRY_AFTER: Duration = Duration::from_millis(300);
 
-/// What a process that starts takes to be used up, in bursts, of an organisation that may have been at its limit: what
-/// was owed before its start is not known, and every entry lets one request overdraw its share.
+/// Debt that a starting process assumes for an organisation that may have been at its limit, in bursts. The debt from
+/// before the start is unknown, and every entry lets one request overdraw its share.
 const INITIAL_DEBT: f64 = 1.25;
 
-/// The same of an organisation that all entries knew to be far below its limit a few seconds before. Entries may be
-/// killed twice within a window, so it gets no whole burst each time: two of these and what the limit lets in between
-/// them stay below the tenth by which a window may exceed a limit.
+/// Debt that a starting process assumes for an organisation that all entries knew to be far below its limit a few
+/// seconds before, in bursts. Entries may be killed twice within a window, so not the whole burst is available after
+/// each start: what two such starts make available and what the limit admits between them stay below the tenth by which
+/// a window may exceed a limit.
 pub const INITIAL_DEBT_CALM: f64 = 0.4;
 
-/// An entry's part of a limit.
+/// Part of a limit that an entry may use.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Quota {
-    /// Units per second.
+    /// Rate, in units per second.
     pub rate: f64,
-    /// Units beyond that at once.
+    /// Burst, in units.
     pub burst: f64,
-    /// What the burst is when nothing but this entry's share is counted.
+    /// Burst of this entry's share alone, in units; `burst` may be larger while demand is far below the limit.
     pub share_burst: f64,
-    /// How many times that a process that starts takes to be used up.
+    /// Debt that a starting process assumes, in multiples of `share_burst`.
     pub initial_debt: f64,
 }
 
@@ -54,7 +55,8 @@
 }
 
 impl Quota {
-    /// Returns a part of this one; `burst` is the part of the burst that may be used at once.
+    /// Returns this quota with the rate and the share's burst multiplied by `share`, and the burst multiplied by
+    /// `burst`.
     #[must_use]
     pub fn scaled(self, share: f64, burst: f64) -> Self {
         Self {
@@ -65,31 +67,31 @@
         }
     }
 
-    /// Returns how long so many bursts last at the rate, which is not zero.
-    fn lasts(self, bursts: f64) -> Duration {
+    /// Returns the time in which the rate, which must not be zero, pays for a number of bursts.
+    fn burst_duration(self, bursts: f64) -> Duration {
         Duration::from_secs_f64(self.share_burst / self.rate).mul_f64(bursts)
     }
 }
 
-/// The organisation is over this entry's share of its limit.
+/// Refusal of a request, as its organisation exceeds this entry's share of its limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Refused {
-    /// How long until there is room.
+    /// Time until units are available.
     pub retry_after: Duration,
 }
 
-/// One organisation's use at this entry; lives as long as the process, so that no reload forgets what is owed.
+/// Token bucket of one organisation at this entry; lives as long as the process, so that no reload forgets a debt.
 #[derive(Debug)]
 pub struct Account {
     bucket: Bucket,
-    /// How long the burst lasts at the rate, in nanoseconds, or [`UNLIMITED`] or [`CLOSED`].
+    /// Time in which the rate pays for the burst, in nanoseconds, or [`UNLIMITED`] or [`CLOSED`].
     burst: AtomicU64,
-    /// Whether it ever had a part of a limit.
-    is_open: AtomicBool,
-    /// Units asked for since the last look, refused ones included.
-    asked: AtomicU64,
-    /// Units let in that no keeper was told of.
-    untold: AtomicU64,
+    /// Whether it ever had a quota above zero.
+    had_quota: AtomicBool,
+    /// Units requested since the last call of [`Account::take_requested`], refused ones included.
+    requested: AtomicU64,
+    /// Units admitted that were not reported to a keeper.
+    unreported: AtomicU64,
 }
 
 impl Default for Account {
@@ -97,58 +99,61 @@
         Self {
             bucket: Bucket::new(1.0, 1.0),
             burst: AtomicU64::new(UNLIMITED),
-            is_open: AtomicBool::new(false),
-            asked: AtomicU64::new(0),
-            untold: AtomicU64::new(0),
+            had_quota: AtomicBool::new(false),
+            requested: AtomicU64::new(0),
+            unreported: AtomicU64::new(0),
         }
     }
 }
 
 impl Account {
-    /// Sets this entry's part of the limit, or that there is no limit; a part of nothing lets nothing in.
+    /// Sets this entry's quota; `None` removes the limit, and a quota of nothing admits no request.
     ///
-    /// Failure: all entries are killed and start again, each with a whole burst. Symptom: the organisation uses its
-    /// burst twice within a window. A limit that is new to the process starts with bursts used up.
-    pub fn set(&self, now: Instant, part: Option<Quota>) {
-        let Some(part) = part else {
+    /// The first quota above zero starts with the debt of [`Quota::initial_debt`]. If all entries were killed and each
+    /// started again with a whole burst, the organisation would use its burst twice within a window.
+    pub fn set(&self, now: Instant, quota: Option<Quota>) {
+        let Some(quota) = quota else {
             self.burst.store(UNLIMITED, Relaxed);
             return;
         };
-        if part.rate <= 0.0 {
+        if quota.rate <= 0.0 {
             self.burst.store(CLOSED, Relaxed);
             return;
         }
-        self.bucket.set_rate(now, part.rate, part.burst);
-        let length = Duration::from_secs_f64(part.burst / part.rate);
+        self.bucket.set_rate(now, quota.rate, quota.burst);
+        let length = Duration::from_secs_f64(quota.burst / quota.rate);
         let nanos = u64::try_from(length.as_nanos()).unwrap_or(CLOSED).min(CLOSED - 1);
         self.burst.store(nanos, Relaxed);
-        if !self.is_open.swap(true, Relaxed) {
-            self.bucket.set_owed(now, part.lasts(part.initial_debt));
+        if !self.had_quota.swap(true, Relaxed) {
+            self.bucket.set_owed(now, quota.burst_duration(quota.initial_debt));
         }
     }
 
-    /// Takes no more than `used` bursts to be used up, now that the organisation is known to have been far below its
-    /// limit.
-    pub fn cap_debt(&self, now: Instant, part: Quota, used: f64) {
-        if part.rate > 0.0 && self.is_open.load(Relaxed) {
-            let owed = self.bucket.owed(now).min(part.lasts(used));
+    /// Reduces the debt to at most `bursts`, once the organisation is known to have been far below its limit.
+    pub fn cap_debt(&self, now: Instant, quota: Quota, bursts: f64) {
+        if quota.rate > 0.0 && self.had_quota.load(Relaxed) {
+            let owed = self.bucket.owed(now).min(quota.burst_duration(bursts));
             self.bucket.set_owed(now, owed);
         }
     }
 
     /// Takes units for a request.
     ///
-    /// A request is let in while anything of the burst is left and may overdraw it: a large request must not be
-    /// refused for being larger than one entry's share of the burst. The debt is paid before the next is let in.
+    /// A request is admitted while any of the burst is left, and may overdraw it: a large request must not be refused
+    /// for being larger than one entry's share of the burst. The debt is paid before the next request is admitted.
     ///
     /// # Errors
     ///
-    /// Returns how long it takes until there is room.
+    /// Returns the time until units are available.
     pub fn take(&self, now: Instant, units: u64) -> Result<(), Refused> {
-        self.asked.fetch_add(units, Relaxed);
+        self.requested.fetch_add(units, Relaxed);
         let burst = match self.burst.load(Relaxed) {
             UNLIMITED => return Ok(()),
-            CLOSED => return Err(Refused { retry_after: SOON }),
+            CLOSED => {
+                return Err(Refused {
+                    retry_after: CLOSED_RETRY_AFTER,
+                });
+            }
             burst => Duration::from_nanos(burst),
         };
         let owed = self.bucket.owed(now);
@@ -157,47 +162,48 @@
             return Err(Refused { retry_after });
         }
         self.bucket.charge(now, units);
-        self.untold.fetch_add(units, Relaxed);
+        self.unreported.fetch_add(units, Relaxed);
         Ok(())
     }
 
-    /// Returns the units that were let in here, are not paid for yet and no keeper was told of; it is told now.
+    /// Returns the units that were admitted here, are not paid for yet and were not reported to a keeper, and counts
+    /// them as reported.
     ///
-    /// Failure: a fleet grows, and its entries let callers in by their own shares until each has heard of enough
-    /// others; whoever keeps the zone then grants the burst once more. Symptom: the organisation uses its burst twice.
-    /// What was let in moves to the keeper with the first question, before that grants anything to the same entry.
+    /// They move to the keeper with the entry's first question, before the keeper grants anything to it. While a fleet
+    /// grows, its entries admit requests from their own shares until each has heard of enough others. If the keeper did
+    /// not count those units, it would grant the burst a second time.
     pub fn take_unreported(&self, now: Instant) -> u64 {
-        let untold = self.untold.swap(0, Relaxed);
-        untold.min(self.bucket.owed_units(now))
+        let unreported = self.unreported.swap(0, Relaxed);
+        unreported.min(self.bucket.owed_units(now))
     }
 
-    /// Takes back what a keeper did not get to hear.
-    pub fn restore_unreported(&self, untold: u64) {
-        self.untold.fetch_add(untold, Relaxed);
+    /// Counts units as unreported again, since their report did not reach a keeper.
+    pub fn restore_unreported(&self, units: u64) {
+        self.unreported.fetch_add(units, Relaxed);
     }
 
-    /// Counts units that another entry let in before it asked this one; whether there is room does not matter any more.
+    /// Charges units that another entry admitted before it asked this one, even if they exceed the quota.
     pub fn charge(&self, now: Instant, units: u64) {
-        if units > 0 && self.is_open.load(Relaxed) {
+        if units > 0 && self.had_quota.load(Relaxed) {
             self.bucket.charge(now, units);
         }
     }
 
-    /// Gives the units of a request back that did not run.
+    /// Refunds the units of a request that did not run.
     pub fn refund(&self, units: u64) {
         if self.burst.load(Relaxed) != UNLIMITED {
             self.bucket.refund(units);
         }
     }
 
-    /// Returns the units asked for since the last call.
+    /// Returns the units requested since the last call, refused ones included.
     pub fn take_requested(&self) -> u64 {
-        self.asked.swap(0, Relaxed)
+        self.requested.swap(0, Relaxed)
     }
 }
 
 impl Limit {
-    /// Returns what a request counts; `size` is that of a generation.
+    /// Returns the units that a request costs; `size` is the number of tokens of a generation.
     pub const fn units(&self, size: Option<u64>) -> u64 {
         match (self.unit, size) {
             (Unit::Requests, _) => 1,
--- a/bergamotshift-forward/src/limits/mod.rs
+++ b/bergamotshift-forward/src/limits/mod.rs
@@ -1,8 +1,9 @@
-//! What organisations may use, over all entries together.
+//! Limits of organisations over all entries together.
 //!
-//! Each entry may use a share of an organisation's limit. The shares follow demand: entries tell one another what their
-//! callers ask for, and all work out the same shares from that. An entry that is not heard of keeps the share that it
-//! had, so the shares never add up to more than the whole, also while entries are cut off from one another.
+//! Each entry may use a share of an organisation's limit. The shares follow demand: entries announce the demand of
+//! their callers to one another, and all compute the same shares from it. An entry that falls silent is assumed to keep
+//! the share that it had, so the shares never add up to more than the whole, even while entries are cut off from one
+//! another.
 
 mod account;
 pub mod granter;
--- a/bergamotshift-forward/tests/kernel/granter.rs
+++ b/bergamotshift-forward/tests/kernel/granter.rs
@@ -1,4 +1,4 @@
-//! Which entry grants requests to an endpoint that names a rate.
+//! Selection of the entry that grants requests to an endpoint with a rate limit.
 
 use bergamotshift_forward::limits::granter::Candidate;
 use bergamotshift_forward::limits::granter::top_two;
@@ -11,22 +11,22 @@
     (0..8).map(candidate).collect()
 }
 
-fn hashes(ranked: [Option<Candidate>; 2]) -> [Option<u64>; 2] {
-    ranked.map(|candidate| candidate.map(|candidate| candidate.hash))
+fn hashes(candidates: [Option<Candidate>; 2]) -> [Option<u64>; 2] {
+    candidates.map(|candidate| candidate.map(|candidate| candidate.hash))
 }
 
-/// Guards against entries that each ask another one, so that an endpoint's budget is granted more than once.
+/// Guards against entries that each ask a different one, so that an endpoint's budget is granted more than once.
 #[test]
-fn all_entries_agree_on_who_grants() {
+fn all_entries_agree_on_the_granter() {
     for endpoint in 0..200 {
         let one = hashes(top_two(endpoint, &candidates(1)));
-        let mut turned = candidates(5);
-        turned.rotate_left(3);
-        assert_eq!(one, hashes(top_two(endpoint, &turned)));
+        let mut rotated = candidates(5);
+        rotated.rotate_left(3);
+        assert_eq!(one, hashes(top_two(endpoint, &rotated)));
     }
 }
 
-/// Guards against a budget that moves between entries that both live when a third one goes.
+/// Guards against a budget that moves between two live entries when a third one is gone.
 #[test]
 fn the_second_follows_the_first_and_nothing_else_moves() {
     for endpoint in 0..200 {
@@ -41,7 +41,7 @@
     }
 }
 
-/// Guards against all endpoints' budgets at one entry.
+/// Guards against an entry that grants the budgets of all endpoints.
 #[test]
 fn endpoints_are_spread_over_the_entries() {
     let all = candidates(1);
--- a/bergamotshift-forward/tests/kernel/growing.rs
+++ b/bergamotshift-forward/tests/kernel/growing.rs
@@ -1,4 +1,4 @@
-//! A limit while a fleet grows from entries that decide for themselves to one that has a keeper.
+//! Limit of an organisation while a fleet grows beyond the size at which each entry decides for itself.
 
 use bergamotshift_forward::limits::Account;
 use bergamotshift_forward::limits::INITIAL_DEBT_CALM;
@@ -13,22 +13,22 @@
 const ENTRIES: usize = 17;
 const BURST: f64 = 1_000.0;
 
-/// What one request counts.
+/// Units that one request costs.
 const SIZE: u64 = 10;
 
-/// What a keeper that starts takes to be used up, in bursts.
-const KEEPER_USED: f64 = 0.5;
+/// Debt that a starting keeper assumes, in bursts.
+const KEEPER_INITIAL_DEBT: f64 = 0.5;
 
-fn whole(used: f64) -> Quota {
+fn whole(initial_debt: f64) -> Quota {
     Quota {
         rate: 1.0,
         burst: BURST,
         share_burst: BURST,
-        initial_debt: used,
+        initial_debt,
     }
 }
 
-/// The entry that keeps the zone, and the others with a share of the limit each.
+/// Keeper of a zone, and the accounts of the other entries with a share of the limit each.
 struct Fleet {
     keeper: View,
     own: Vec<Account>,
@@ -37,7 +37,7 @@
 impl Fleet {
     fn new() -> Self {
         let kept = Account::default();
-        kept.set(at(0), Some(whole(KEEPER_USED)));
+        kept.set(at(0), Some(whole(KEEPER_INITIAL_DEBT)));
         let accounts = Accounts {
             own: Account::default().into(),
             zone: kept.into(),
@@ -57,14 +57,14 @@
         }
     }
 
-    /// Lets requests in by the entries' own shares until those are used up; returns how many.
-    fn alone(&self, entries: core::ops::Range<usize>) -> usize {
+    /// Admits requests from the entries' own shares until those are used up; returns how many were admitted.
+    fn admit_locally(&self, entries: core::ops::Range<usize>) -> usize {
         let taken = |account: &Account| (0..100).filter(|_| account.take(at(0), SIZE).is_ok()).count();
         self.own[entries].iter().map(taken).sum()
     }
 
     /// Asks the keeper once for each entry in turn, until it refuses all; returns how many requests it granted.
-    fn asked(&self) -> usize {
+    fn ask_keeper(&self) -> usize {
         let ask = |account: &Account| {
             let units = Units {
                 organisation: "horeca".into(),
@@ -78,52 +78,51 @@
     }
 }
 
-/// The entries of a fleet start slowly, and each lets callers in by its own share while it knows few of the others.
-/// Then all have heard of one another, and ask the keeper. It does not grant the burst once more: what the entries let
-/// in before is told with their first questions. Together they get the burst, and each entry may overdraw by one
-/// request.
+/// Guards against a keeper that grants the burst a second time. The entries of a starting fleet admit callers from
+/// their own shares while each knows few others, and report those units with their first questions to the keeper.
+/// Together they get the burst, and each entry may overdraw by one request.
 #[test]
 fn a_burst_is_granted_once_while_a_fleet_grows() {
     let fleet = Fleet::new();
-    let alone = fleet.alone(0..ENTRIES);
-    let asked = fleet.asked();
+    let alone = fleet.admit_locally(0..ENTRIES);
+    let asked = fleet.ask_keeper();
     let most = BURST as usize / SIZE as usize + ENTRIES;
     assert!(alone > ENTRIES, "the entries let in {alone} by themselves");
     assert!(alone + asked <= most, "{alone} and {asked} of at most {most}");
 }
 
-/// Half of the entries go on by themselves for longer than the others. What the keeper grants meanwhile is the half of
-/// the burst that it does not take to be used up.
+/// Guards against a doubled burst when half of the entries decide for themselves for longer than the others. Meanwhile,
+/// the keeper grants only the half of the burst that its initial debt leaves.
 #[test]
 fn entries_that_lag_behind_do_not_double_the_burst() {
     let fleet = Fleet::new();
-    let before = fleet.alone(0..ENTRIES / 2);
-    let first = fleet.asked();
-    let late = fleet.alone(ENTRIES / 2..ENTRIES);
-    let last = fleet.asked();
+    let before = fleet.admit_locally(0..ENTRIES / 2);
+    let first = fleet.ask_keeper();
+    let late = fleet.admit_locally(ENTRIES / 2..ENTRIES);
+    let last = fleet.ask_keeper();
     let most = BURST as usize / SIZE as usize + ENTRIES;
     let all = before + first + late + last;
     assert!(all <= most, "{before}, {first}, {late} and {last} of at most {most}");
 }
 
-/// An entry let callers in long ago, and what that cost is paid for. Its first question to a keeper tells of nothing.
+/// Guards against units that an entry reports to a keeper although they were admitted long ago and are paid for.
 #[test]
-fn what_is_paid_for_is_not_handed_over() {
+fn paid_units_are_not_reported() {
     let account = Account::default();
     account.set(at(0), Some(whole(0.0)));
     account.take(at(0), SIZE).expect("there is room");
     assert_eq!(account.take_unreported(at(60_000)), 0);
 }
 
-/// The keeper is not reached. What the entry let in before is told with the next question.
+/// Guards against units that are never reported, since the keeper could not be reached with the first report.
 #[test]
-fn what_a_keeper_did_not_hear_is_told_again() {
+fn units_that_did_not_reach_the_keeper_are_reported_again() {
     let account = Account::default();
     account.set(at(0), Some(whole(0.0)));
     account.take(at(0), SIZE).expect("there is room");
-    let untold = account.take_unreported(at(0));
-    assert_eq!(untold, SIZE);
+    let unreported = account.take_unreported(at(0));
+    assert_eq!(unreported, SIZE);
     assert_eq!(account.take_unreported(at(0)), 0);
-    account.restore_unreported(untold);
+    account.restore_unreported(unreported);
     assert_eq!(account.take_unreported(at(0)), SIZE);
 }
--- a/bergamotshift-forward/tests/kernel/limits.rs
+++ b/bergamotshift-forward/tests/kernel/limits.rs
@@ -1,4 +1,4 @@
-//! Organisations' limits over several entries.
+//! Limits of organisations over several entries.
 
 use core::time::Duration;
 
@@ -36,7 +36,7 @@
     (0..ENTRIES).map(entry).collect()
 }
 
-/// One round: every entry notes its demand and works out its share, then those that hear each other tell theirs.
+/// Runs one round: every entry records its demand and updates its share, and then announces both to those that hear it.
 fn round(entries: &mut [Entry], now: Instant, units: &[u64], hears: impl Fn(usize, usize) -> bool) {
     let policy = SharePolicy::default();
     for (entry, units) in entries.iter_mut().zip(units) {
@@ -45,12 +45,12 @@
             .note(policy.averaging_window, *units, Duration::from_millis(250));
         entry.used = entry.share.update(now, &policy, entry.demand, ENTRIES);
     }
-    let told: Vec<_> = entries
+    let announced: Vec<_> = entries
         .iter()
         .map(|entry| (entry.name.clone(), entry.demand.get(), entry.share.announced()))
         .collect();
     for (place, entry) in entries.iter_mut().enumerate() {
-        for (other, (name, demand, share)) in told.iter().enumerate() {
+        for (other, (name, demand, share)) in announced.iter().enumerate() {
             if other != place && hears(place, other) {
                 entry.share.record_peer(now, name, *demand, *share);
             }
@@ -77,9 +77,8 @@
     );
 }
 
-/// A zone is cut off while an organisation's demand moves. Both halves see only their own callers. Each entry that is
-/// not heard keeps the share that it last told, so neither half deals out what the other one holds, and the sum stays
-/// within the whole.
+/// Guards against two halves of a fleet that exceed the limit together while they do not hear each other. Both see only
+/// their own callers, and each must leave to the silent entries the shares that those announced last.
 #[test]
 fn halves_that_do_not_hear_each_other_use_no_more_than_the_whole() {
     let mut entries = entries();
@@ -95,15 +94,15 @@
     assert!(most <= 1.0 + 1e-6, "the halves together used {most}");
 }
 
-/// Requests are large and few, so each entry sees demand in lumps. The shares must not follow each lull, or most of the
-/// limit lies idle while callers are refused.
+/// Guards against shares that follow each lull of bursty demand, as few large requests cause it at each entry. Most of
+/// the limit would be unused while callers are refused.
 #[test]
-fn lumpy_demand_leaves_little_of_the_limit_unused() {
+fn bursty_demand_leaves_little_of_the_limit_unused() {
     let mut entries = entries();
     let mut unused = 0.0;
     for step in 0..200_u64 {
-        let lump = |place: u64| u64::from((step + place * 3).is_multiple_of(13)) * 17_000;
-        let units: Vec<u64> = (0..ENTRIES as u64).map(lump).collect();
+        let burst = |place: u64| u64::from((step + place * 3).is_multiple_of(13)) * 17_000;
+        let units: Vec<u64> = (0..ENTRIES as u64).map(burst).collect();
         round(&mut entries, at(step * 250), &units, |_, _| true);
         if step >= 40 {
             unused += 1.0 - used(&entries);
@@ -113,8 +112,8 @@
     assert!(mean < 0.1, "{mean} of the limit lies idle");
 }
 
-/// An entry starts and takes itself for the only one, as it has not read the list of entries yet. Once it hears another
-/// one it gives up what that one has, at once and not bit by bit: until then the organisation has its limit twice.
+/// Guards against an entry that starts alone, as it has not read the list of entries yet, and gives up the share of the
+/// first other entry that it hears only bit by bit. Until then, the organisation has its limit twice.
 #[test]
 fn an_entry_that_was_alone_gives_way_at_once() {
     let policy = SharePolicy::default();
@@ -125,9 +124,10 @@
     assert!(next <= 0.4, "it keeps {next} beside another one's 0.6");
 }
 
-/// All entries start anew while an organisation is served. Within a few seconds they share out the whole limit again.
+/// Guards against a limit that is not fully used for long after all entries have restarted while an organisation is
+/// served.
 #[test]
-fn entries_that_start_anew_soon_share_out_the_whole() {
+fn restarted_entries_soon_divide_the_whole_limit() {
     let mut entries = entries();
     for step in 0..12 {
         round(&mut entries, at(step * 250), &[200, 400, 100, 300], |_, _| true);
@@ -136,14 +136,13 @@
 }
 
 #[test]
-fn an_entry_that_has_heard_nobody_takes_an_even_share() {
+fn an_entry_that_has_heard_no_other_takes_an_even_share() {
     let mut share = Share::<name::Entry>::default();
     let alone = share.update(at(0), &SharePolicy::default(), Demand::default(), ENTRIES);
     assert!(alone <= 1.0 / ENTRIES as f64 + 1e-9, "it takes {alone}");
 }
 
-/// Entries are cut off from each other in any groups, and their callers' demand moves, in any order. All together never
-/// use more than the whole.
+/// Guards against any sequence of partitions and demands by which all entries together use more than the whole limit.
 #[test]
 fn no_order_of_cuts_and_demands_exceeds_the_whole() {
     fn most_used(steps: Vec<(u8, u8)>) -> bool {
@@ -164,7 +163,7 @@
         .quickcheck(most_used as fn(Vec<(u8, u8)>) -> bool);
 }
 
-fn part(rate: f64, burst: f64) -> Quota {
+fn quota(rate: f64, burst: f64) -> Quota {
     Quota {
         rate,
         burst,
@@ -173,35 +172,35 @@
     }
 }
 
-/// An entry that has just started has no share yet. That must not mean that it knows no limit.
+/// Guards against an entry that applies no limit, as it has just started and has no share yet.
 #[test]
-fn a_part_of_nothing_lets_nothing_in() {
+fn a_quota_of_nothing_admits_no_request() {
     let account = Account::default();
-    account.set(at(0), Some(part(0.0, 0.0)));
+    account.set(at(0), Some(quota(0.0, 0.0)));
     let refused = account.take(at(10_000), 1).expect_err("there is nothing to take");
     assert!(!refused.retry_after.is_zero());
-    account.set(at(10_000), Some(part(100.0, 50.0)));
+    account.set(at(10_000), Some(quota(100.0, 50.0)));
     account
         .take(at(10_000), 1)
         .expect_err("the burst starts used up, also after that");
 }
 
 #[test]
-fn a_request_larger_than_the_share_of_the_burst_is_let_in_once() {
+fn a_request_larger_than_the_share_of_the_burst_is_admitted_once() {
     let account = Account::default();
-    account.set(at(0), Some(part(100.0, 50.0)));
+    account.set(at(0), Some(quota(100.0, 50.0)));
     account.take(at(5_000), 500).expect("the burst is whole");
     let refused = account.take(at(5_000), 1).expect_err("the debt is not paid yet");
     let paid = at(5_000) + refused.retry_after;
     account.take(paid, 1).expect("the debt is paid");
 }
 
-/// All entries are killed while an organisation uses its whole limit, and start again at once. If each came up with a
-/// fresh burst, the organisation would have it twice within a window. A new process lets the burst grow from nothing.
+/// Guards against a fresh burst in each process when all entries are killed and start again at once. An organisation
+/// that uses its whole limit would have the burst twice within a window.
 #[test]
 fn a_new_process_brings_no_new_burst() {
     let account = Account::default();
-    account.set(at(0), Some(part(100.0, 50.0)));
+    account.set(at(0), Some(quota(100.0, 50.0)));
     let taken = (0..50).filter(|_| account.take(at(0), 10).is_ok()).count();
     assert_eq!(taken, 0, "all wait for the rate");
     let later = (0..50).filter(|_| account.take(at(1_000), 10).is_ok()).count();
@@ -211,47 +210,48 @@
     );
 }
 
-/// Units per second of the organisation in the tests of restarts, its burst, and what all entries may let in beyond it.
+/// Units per second of the organisation in the tests of restarts, its burst, and the units that all entries may admit
+/// beyond it.
 const RATE: f64 = 157_000.0;
 const BURST: f64 = 157_000.0;
 const SLACK: f64 = 140_000.0;
 
-/// The window over which the platform judges a limit, in milliseconds, and the part by which it may be exceeded there.
+/// Window over which the platform checks a limit, in milliseconds, and the factor up to which it may be used there.
 const WINDOW: u64 = 8_000;
 const OVER: f64 = 1.1;
 
-/// Entries that let requests in until they are killed.
-struct Killed {
+/// Entries that admit requests until they are killed.
+struct Fleet {
     accounts: Vec<Account>,
-    part: Quota,
-    /// When how many units were let in.
+    quota: Quota,
+    /// Admitted requests, as their time in milliseconds and their units.
     taken: Vec<(u64, u64)>,
 }
 
-impl Killed {
+impl Fleet {
     const ENTRIES: usize = 8;
 
     fn start(now: u64, is_calm: bool) -> Self {
-        let whole = part(RATE, BURST + 0.4 * SLACK);
+        let whole = quota(RATE, BURST + 0.4 * SLACK);
         let share = 1.0 / Self::ENTRIES as f64;
-        let part = whole.scaled(share, share);
+        let quota = whole.scaled(share, share);
         let account = || {
             let account = Account::default();
-            account.set(at(now), Some(part));
+            account.set(at(now), Some(quota));
             if is_calm {
-                account.cap_debt(at(now), part, INITIAL_DEBT_CALM);
+                account.cap_debt(at(now), quota, INITIAL_DEBT_CALM);
             }
             account
         };
         Self {
             accounts: (0..Self::ENTRIES).map(|_| account()).collect(),
-            part,
+            quota,
             taken: Vec::new(),
         }
     }
 
-    /// Asks one entry after the other for requests of the usual sizes, one every `pause` milliseconds; returns how many
-    /// of them were asked for and let in.
+    /// Sends requests of the usual sizes to one entry after the other, one every `pause` milliseconds; returns how many
+    /// of them were sent and how many were admitted.
     fn ask(&mut self, span: core::ops::Range<u64>, pause: usize) -> (usize, usize) {
         const SIZES: [u64; 8] = [700, 1_900, 12_000, 800, 200, 25_000, 2_400, 200];
         let mut counts = (0, 0);
@@ -269,7 +269,7 @@
     }
 }
 
-fn most_in_a_window(taken: &[(u64, u64)]) -> u64 {
+fn peak_in_a_window(taken: &[(u64, u64)]) -> u64 {
     let within = |from: u64| taken.iter().filter(move |(at, _)| (from..from + WINDOW).contains(at));
     let sums = taken
         .iter()
@@ -277,29 +277,29 @@
     sums.max().unwrap_or_default()
 }
 
-/// An organisation asks for eight times its limit. All entries are killed, and again three seconds later, each time
-/// back after half a second. It may have been written down as calm a moment before it rose, so each start gives it a
-/// part of its burst; over no window does it get more than the platform allows.
+/// Guards against an organisation that exceeds its limit as all entries are killed twice, three seconds apart, while it
+/// asks for eight times the limit. It may have been recorded as calm just before its demand rose, so each start gives
+/// it a part of its burst.
 #[test]
 fn two_restarts_within_a_window_keep_the_limit() {
     for is_calm in [false, true] {
         let mut taken = Vec::new();
         for (from, to) in [(0, 10_000), (10_500, 13_000), (13_500, 30_000)] {
-            let mut entries = Killed::start(from, is_calm);
+            let mut entries = Fleet::start(from, is_calm);
             entries.ask(from..to, 4);
             taken.extend(entries.taken);
         }
         let allowed = (RATE * 8.0 + BURST) * OVER + SLACK;
-        let most = most_in_a_window(&taken);
+        let most = peak_in_a_window(&taken);
         assert!(most as f64 <= allowed, "{most} of {allowed} units, calm: {is_calm}");
     }
 }
 
-/// All entries are killed and start again, and callers who ask for half of the limit come back at once. Nearly all of
-/// them are let in within the first second; with the burst taken to be used up, half are refused for the second time.
+/// Guards against callers that are refused after all entries were killed and started again, although they ask for half
+/// of the limit. With the burst assumed to be used up, half of them would be refused within the first second.
 #[test]
-fn callers_of_a_calm_organisation_are_let_in_after_a_restart() {
-    let half = |is_calm| Killed::start(0, is_calm).ask(0..1_000, 70);
+fn callers_of_a_calm_organisation_are_admitted_after_a_restart() {
+    let half = |is_calm| Fleet::start(0, is_calm).ask(0..1_000, 70);
     let (asked, calm) = half(true);
     let (_, unknown) = half(false);
     assert!(calm * 10 >= asked * 9, "{calm} of {asked} are let in");
@@ -309,13 +309,13 @@
     );
 }
 
-/// A start takes no more of the burst back than it took to be used up.
+/// Guards against a start that makes the whole burst available to a calm organisation.
 #[test]
-fn what_is_relieved_is_still_owed_in_part() {
-    let mut entries = Killed::start(0, true);
+fn a_capped_debt_is_still_owed_in_part() {
+    let mut entries = Fleet::start(0, true);
     let (_, taken) = entries.ask(0..1, 1);
     assert_eq!(taken, 1);
-    let burst = entries.part.share_burst * (1.0 - INITIAL_DEBT_CALM);
+    let burst = entries.quota.share_burst * (1.0 - INITIAL_DEBT_CALM);
     let first: u64 = (0..200)
         .filter(|_| entries.accounts[1].take(at(0), 200).is_ok())
         .count() as u64
@@ -329,7 +329,7 @@
 #[test]
 fn units_given_back_can_be_taken_again() {
     let account = Account::default();
-    account.set(at(0), Some(part(100.0, 50.0)));
+    account.set(at(0), Some(quota(100.0, 50.0)));
     account.take(at(5_000), 100).expect("the burst is whole");
     account.take(at(5_000), 1).expect_err("the burst is used up");
     account.refund(100);
@@ -337,26 +337,26 @@
 }
 
 #[test]
-fn without_a_limit_everything_is_let_in_and_counted() {
+fn without_a_limit_every_request_is_admitted_and_counted() {
     let account = Account::default();
     account.set(at(0), None);
     assert!((0..100).all(|_| account.take(at(0), 1_000_000).is_ok()));
     assert_eq!(account.take_requested(), 100_000_000);
 }
 
-/// Sixty entries lie in a zone, some of them on larger VMs. Whichever of them a caller meets, it asks the same one, and
-/// all know who comes next when that one is gone.
+/// Guards against entries that disagree on the keeper of a zone with sixty entries, some of them on larger VMs, or on
+/// its successor.
 #[test]
-fn all_entries_agree_on_who_keeps_a_zone() {
+fn all_entries_agree_on_the_keeper_of_a_zone() {
     let names: Vec<name::Entry> = (0..60)
         .map(|number| name::Entry::new(format!("entry-{number}")))
         .collect();
     let candidates: Vec<_> = names
         .iter()
         .enumerate()
-        .map(|(place, entry)| Candidate {
+        .map(|(index, entry)| Candidate {
             entry,
-            core_share: if place % 20 == 0 { 500 } else { 120 },
+            core_share: if index % 20 == 0 { 500 } else { 120 },
         })
         .collect();
     let [first, second] = keeper::top_two(candidates.iter().copied());
@@ -367,8 +367,8 @@
     assert_eq!(keeper::top_two(others)[0], second);
 }
 
-/// A zone's keeper ends. Its deputy goes on with the zone's share as that one used it, not with that of a zone which is
-/// new and has to be given room first.
+/// Guards against a deputy that starts with the initial share of a new zone when the keeper ends. It goes on with the
+/// share that the keeper used.
 #[test]
 fn a_deputy_goes_on_with_the_share_of_its_zone() {
     let policy = SharePolicy::default();
@@ -381,8 +381,8 @@
     assert!((0.39..=0.41).contains(&next), "it uses {next}");
 }
 
-/// An organisation asks for four times its limit in four zones, in large requests and unevenly. Its zones' keepers
-/// together grant nearly all that the limit holds, and never more than it and its burst.
+/// Guards against keepers of four zones that together grant far less than a limit, or more than it and its burst, while
+/// an organisation asks for four times its limit in large requests and unevenly.
 #[test]
 fn zones_together_grant_nearly_all_of_a_limit() {
     const RATE: f64 = 500_000.0;
@@ -410,10 +410,10 @@
             };
             accounts[place].set(now, Some(whole.scaled(fraction, fraction)));
         }
-        let told: Vec<_> = shares.iter().map(Share::announced).collect();
+        let announced: Vec<_> = shares.iter().map(Share::announced).collect();
         for (place, share) in shares.iter_mut().enumerate() {
             for other in (0..names.len()).filter(|other| *other != place) {
-                share.record_peer(now, &names[other], demands[other].get(), told[other]);
+                share.record_peer(now, &names[other], demands[other].get(), announced[other]);
             }
         }
         let mut units = 0;
