--- a/bergamotshift-forward/src/rollouts/collector.rs
+++ b/bergamotshift-forward/src/rollouts/collector.rs
@@ -1,4 +1,4 @@
-//! What this entry saw of the answers of both versions.
+//! Collects evidence about the answers of both versions.
 
 use std::collections::BTreeMap;
 use std::sync::Mutex;
@@ -11,17 +11,17 @@
 #[derive(Debug, Default)]
 struct Inner {
     evidence: BTreeMap<name::Service, Evidence>,
-    is_urgent: bool,
+    has_canary_failed: bool,
 }
 
-/// What this entry saw of the answers of both versions, by service; threads hold it for microseconds.
+/// Evidence of this entry about the answers of both versions, by service; threads hold its lock for microseconds.
 #[derive(Debug, Default)]
 pub struct Collector {
     inner: Mutex<Inner>,
 }
 
 impl Collector {
-    /// Counts the answers of the given orders alone.
+    /// Sets the rollout orders whose answers are counted, by service; evidence of other orders is removed.
     pub fn set_orders(&self, orders: &BTreeMap<name::Service, u64>) {
         let mut inner = self.lock();
         let evidence = &mut inner.evidence;
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Counts an answer; one of an order that does not stand any more is left out.
+    /// Records an answer; one of an order that is not counted any more is ignored.
     pub fn record(&self, service: &name::Service, order: u64, route: u32, group: Group, answer: Answer) {
         let mut inner = self.lock();
         let evidence = inner.evidence.get_mut(service);
@@ -40,10 +40,10 @@
             return;
         };
         evidence.record(route, group, answer);
-        inner.is_urgent |= group != Group::Stable && answer == Answer::Bad;
+        inner.has_canary_failed |= group != Group::Stable && answer == Answer::Bad;
     }
 
-    /// Returns what was seen so far.
+    /// Returns the evidence so far.
     pub fn evidence(&self) -> Vec<(name::Service, Evidence)> {
         let inner = self.lock();
         let evidence = inner.evidence.iter();
@@ -52,9 +52,9 @@
             .collect()
     }
 
-    /// Returns whether a new version failed since the last call.
+    /// Returns whether a request at a new version failed since the last call.
     pub fn take_canary_failed(&self) -> bool {
-        core::mem::take(&mut self.lock().is_urgent)
+        core::mem::take(&mut self.lock().has_canary_failed)
     }
 
     fn lock(&self) -> MutexGuard<'_, Inner> {
--- a/bergamotshift-forward/src/rollouts/mod.rs
+++ b/bergamotshift-forward/src/rollouts/mod.rs
@@ -1,4 +1,4 @@
-//! What requests tell of two versions of a service while an order to change it stands.
+//! Evidence from requests about two versions of a service during a rollout.
 
 mod collector;
 mod observer;
--- a/bergamotshift-forward/src/rollouts/observer.rs
+++ b/bergamotshift-forward/src/rollouts/observer.rs
@@ -1,4 +1,4 @@
-//! One send whose answer counts as evidence.
+//! Observes the answer to one send of a request as evidence about a version.
 
 use std::sync::Arc;
 
@@ -8,19 +8,19 @@
 use super::Collector;
 use crate::observe::Clock;
 
-/// How many times the expected time a request has to have waited in vain to count as slow.
-const IN_VAIN: f64 = 2.0;
+/// Multiple of the expected time after which a request that ends without an answer counts as slow.
+const SLOW_FACTOR: f64 = 2.0;
 
-/// Sees what comes of one send, and counts it in the entry's book.
+/// Observer of the answer to one send, which it records in the entry's [`Collector`].
 #[derive(Debug)]
 pub struct Observer {
-    book: Arc<Collector>,
+    collector: Arc<Collector>,
     clock: Clock,
     service: name::Service,
     order: u64,
     route: u32,
     group: Group,
-    /// The expected time to the answer's beginning, in milliseconds.
+    /// Expected time to the beginning of the answer, in milliseconds.
     expected: f64,
     sent: Instant,
     is_waiting: bool,
@@ -28,10 +28,10 @@
 }
 
 impl Observer {
-    /// Makes the witness of a request that is sent now.
-    pub fn new(book: &Arc<Collector>, clock: Clock, service: &name::Service, order: u64, route: u32) -> Self {
+    /// Creates an observer of a request that is sent now.
+    pub fn new(collector: &Arc<Collector>, clock: Clock, service: &name::Service, order: u64, route: u32) -> Self {
         Self {
-            book: Arc::clone(book),
+            collector: Arc::clone(collector),
             clock,
             service: service.clone(),
             order,
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Says whose answer it is, and after how many milliseconds it is expected to begin.
+    /// Sets the group to which the answer belongs, and the time to its beginning that is expected, in milliseconds.
     #[must_use]
     pub fn expecting(mut self, group: Group, expected: f64) -> Self {
         self.group = group;
@@ -52,44 +52,43 @@
         self
     }
 
-    /// Notes that the answer began.
+    /// Records that the answer began.
     ///
-    /// Failure: failures end at once, and streams that are sound last for seconds. Symptom: the first answers of a new
-    /// version that ended are failures alone, and a sound one is condemned. A stream counts as good from its first
-    /// event on.
+    /// A stream counts as good from its first event on. Failures end at once, while good streams last for seconds, so
+    /// the first answers of a good version that ended could otherwise all be failures, and it would be rolled back.
     pub fn began(&mut self) {
         if core::mem::take(&mut self.is_waiting) {
-            self.note(Answer::Latency(self.waited()));
-            self.note(Answer::Good);
+            self.record(Answer::Latency(self.relative_wait()));
+            self.record(Answer::Good);
         }
     }
 
-    /// Notes that the answer tells a failure, broke off or cannot be used.
+    /// Records that the answer reports a failure, broke off or cannot be used.
     pub fn failed(&mut self) {
         self.is_waiting = false;
         if !core::mem::replace(&mut self.has_failed, true) {
-            self.note(Answer::Bad);
+            self.record(Answer::Bad);
         }
     }
 
-    /// Returns how long it waited since it was sent, in times of what was expected.
-    fn waited(&self) -> f64 {
+    /// Returns the time since the request was sent, as a multiple of the expected time.
+    fn relative_wait(&self) -> f64 {
         self.clock.now().since(self.sent).as_secs_f64() * 1e3 / self.expected
     }
 
-    fn note(&self, answer: Answer) {
-        self.book
+    fn record(&self, answer: Answer) {
+        self.collector
             .record(&self.service, self.order, self.route, self.group, answer);
     }
 }
 
 impl Drop for Observer {
-    /// Failure: a version answers so late that callers leave before. Symptom: none of its answers counts, and it passes
-    /// for sound. A request that waited long in vain counts as slow.
+    /// Records a request that ended without an answer as slow if it waited for long. Otherwise a version that answers
+    /// only after its callers have left would get no evidence against it.
     fn drop(&mut self) {
-        let waited = self.waited();
-        if self.is_waiting && waited >= IN_VAIN {
-            self.note(Answer::Latency(waited));
+        let waited = self.relative_wait();
+        if self.is_waiting && waited >= SLOW_FACTOR {
+            self.record(Answer::Latency(waited));
         }
     }
 }
