--- a/bergamotshift-forward/src/duty/clock.rs
+++ b/bergamotshift-forward/src/duty/clock.rs
@@ -1,21 +1,21 @@
-//! The time that a lease is judged by.
+//! Clock by which a lease is checked.
 
 use core::fmt;
 use std::rc::Rc;
 
 use bergamotshift_core::prelude::*;
 
-/// Tells the time; it is asked anew after each wait, as a process may have been paused.
+/// Clock of a lease; it is read again after each wait, as the process may have been paused.
 #[derive(Clone)]
 pub struct Clock(Rc<dyn Fn() -> Instant>);
 
 impl Clock {
-    /// Makes a clock.
+    /// Creates a clock that reads the time from a function.
     pub fn new(now: impl Fn() -> Instant + 'static) -> Self {
         Self(Rc::new(now))
     }
 
-    /// Returns the time.
+    /// Returns the current time.
     pub fn now(&self) -> Instant {
         (self.0)()
     }
--- a/bergamotshift-forward/src/duty/lease.rs
+++ b/bergamotshift-forward/src/duty/lease.rs
@@ -1,4 +1,4 @@
-//! One duty's lease, carried to the platform's table.
+//! Lease of a duty, kept in the platform's table.
 
 use core::time::Duration;
 use std::collections::VecDeque;
@@ -18,16 +18,16 @@
 
 use super::clock::Clock;
 
-/// Who has a duty changed.
+/// Change of a duty's holder.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// This entry has it now, under this fencing number.
+    /// This entry holds it now, under this fencing number.
     Begun(u64),
-    /// Somebody else has it.
+    /// This entry does not hold it any more.
     Ended,
 }
 
-/// Holds a duty's lease, or watches who does.
+/// Lease of a duty, which this entry holds, or watches while another entry holds it.
 #[derive(Debug)]
 pub struct Lease {
     keeper: Keeper,
@@ -35,12 +35,12 @@
     clock: Clock,
     generator: Pcg64Mcg,
     wake: Instant,
-    /// How the last call ended, when that was no answer.
+    /// Error of the last call to the table, if that had no answer.
     failure: Option<Error>,
 }
 
 impl Lease {
-    /// Makes a lease that looks at once.
+    /// Creates a lease whose row is read with the first step.
     pub fn new(keeper: Keeper, table: Rc<dyn Table>, clock: Clock, generator: Pcg64Mcg) -> Self {
         let wake = clock.now();
         Self {
@@ -53,33 +53,33 @@
         }
     }
 
-    /// Returns the fencing number under which an order may leave now.
+    /// Returns the fencing number under which an order may be sent now.
     ///
-    /// `checks` tells whether whoever takes it refuses old numbers.
+    /// `checks` says whether its receiver refuses old numbers.
     pub fn permit(&self, checks: bool) -> Option<u64> {
         self.keeper.permit(self.clock.now(), checks)
     }
 
-    /// Carries out a call under the lease, and gives it up when the lease ends.
+    /// Makes a call under the lease, and cancels it when the lease ends.
     ///
-    /// Failure: the cloud is silent, the holder is cut off, and a call that it began in time is answered or carried out
-    /// when a successor holds the lease. Symptom: an order under an old fencing number undoes the successor's. What is
-    /// given up here is dropped with its connection, so nothing of it can arrive later.
+    /// A cancelled call is dropped with its connection, so nothing of it can arrive later. Otherwise, if the cloud does
+    /// not answer or the holder is cut off, a call that began in time could be executed when a successor holds the
+    /// lease, and an order under an old fencing number would undo the successor's.
     ///
     /// # Errors
     ///
-    /// Returns the call's error, or that it may have been carried out.
+    /// Returns the call's error, or [`Error::Unknown`] if it was cancelled and may have been executed.
     pub async fn within<T>(&self, call: impl Future<Output = Result<T, Error>>) -> Result<T, Error> {
         let ended = || Err(Error::Unknown("the lease ended before the answer".to_owned()));
-        timeout(self.left(), call).await.unwrap_or_else(|_late| ended())
+        timeout(self.remaining(), call).await.unwrap_or_else(|_late| ended())
     }
 
-    /// Returns why the last call of the table had no answer, if that was so.
+    /// Returns the error of the last call to the table, if that had no answer.
     pub const fn failure(&self) -> Option<&Error> {
         self.failure.as_ref()
     }
 
-    /// Does what is due, and returns what changed, in order.
+    /// Performs the actions that are due, and returns the changes in order.
     pub async fn step(&mut self) -> Vec<Change> {
         let mut changes = Vec::new();
         if self.clock.now() >= self.wake {
@@ -88,30 +88,31 @@
         changes
     }
 
-    /// Gives the duty up, with no order of this entry on its way any more.
+    /// Releases the duty in the table; none of this entry's orders may be in flight any more.
     pub async fn resign(&mut self) {
         self.drive(Event::Resign, &mut Vec::new()).await;
     }
 
-    /// Gives the duty up by word alone, with no order of this entry on its way any more; returns what changed.
+    /// Gives the duty up without a write to the table, and returns the changes; none of this entry's orders may be in
+    /// flight any more.
     pub async fn give_up(&mut self) -> Vec<Change> {
         let mut changes = Vec::new();
         self.drive(Event::GiveUp, &mut changes).await;
         changes
     }
 
-    /// Takes in what another entry said of the lease just now.
-    pub async fn heard(&mut self, word: Word) {
-        self.drive(Event::Heard(word), &mut Vec::new()).await;
+    /// Handles another entry's notice about the lease that was received just now.
+    pub async fn receive(&mut self, notice: Word) {
+        self.drive(Event::Heard(notice), &mut Vec::new()).await;
     }
 
-    /// Returns what the other entries are to be told of the lease.
-    pub fn word(&self) -> Option<Word> {
+    /// Returns the notice about the lease to send to the other entries.
+    pub fn notice(&self) -> Option<Word> {
         self.keeper.word(self.clock.now())
     }
 
-    /// Returns how long the lease stands if it is not renewed.
-    pub fn left(&self) -> Duration {
+    /// Returns the time until the lease ends if it is not renewed.
+    pub fn remaining(&self) -> Duration {
         let ends = self.keeper.ends().unwrap_or(Instant::ZERO);
         ends.since(self.clock.now())
     }
--- a/bergamotshift-forward/src/duty/mod.rs
+++ b/bergamotshift-forward/src/duty/mod.rs
@@ -1,7 +1,7 @@
-//! The duties that one entry has for all: the usage of each window, and the endpoints that are ordered.
+//! Duties that one entry performs for all: reporting the usage of each window, ordering endpoints, directing rollouts.
 //!
-//! A lease in the store says whose they are. Its holder asks its own clock before each call whether the lease still
-//! stands, so a holder that was suspended makes none.
+//! A lease in the store determines their holder. The holder checks by its own clock before each call that the lease is
+//! still valid, so a holder that was suspended makes no call.
 
 mod clock;
 mod lease;
--- a/bergamotshift-forward/src/duty/progress.rs
+++ b/bergamotshift-forward/src/duty/progress.rs
@@ -1,39 +1,40 @@
-//! When a window's counts are complete.
+//! Determines when a window's counts are complete.
 
 use core::time::Duration;
 
-/// How long after a window's end its counts are complete: the other entries have told theirs by then.
-const SETTLED: Duration = Duration::from_millis(2_500);
+/// Time after a window's end at which its counts are complete, as the other entries have reported theirs by then.
+const SETTLE_DELAY: Duration = Duration::from_millis(2_500);
 
-/// The same in a large fleet, where each entry tells the holder every other second. What is not reported yet when all
-/// entries are killed is lost, so it is no longer than that.
-const SETTLED_LARGE: Duration = Duration::from_millis(3_500);
+/// Time after a window's end at which its counts are complete in a large fleet, where each entry reports to the holder
+/// every other second. It is no longer than that, since counts that are not reported yet are lost when all entries are
+/// killed.
+const SETTLE_DELAY_LARGE: Duration = Duration::from_millis(3_500);
 
-/// How long before a window is due its report is sent whatever was told: a few calls that are slow.
-const REPORTING: Duration = Duration::from_millis(1_500);
+/// Time before a window's report is due at which it is sent in any case: enough for a few slow calls.
+const REPORT_MARGIN: Duration = Duration::from_millis(1_500);
 
-/// How far the telling of a window's counts has come.
+/// Progress of collecting a window's counts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Progress {
-    /// How long ago the window ended.
+    /// Time since the window's end.
     pub since_end: Duration,
-    /// How long this entry has held the duties.
-    pub held: Duration,
-    /// Whether the entries are too many for each to hear all others often.
+    /// Time for which this entry has held the duties.
+    pub held_for: Duration,
+    /// Whether there are too many entries for each to hear all others often.
     pub is_large: bool,
 }
 
 impl Progress {
-    /// Returns whether a window that is `due` so long after its end may be reported.
+    /// Returns whether a window may be reported; its report is due at `due` after its end.
     ///
-    /// Failure: an entry takes the duties over and reports what it heard of the last windows before it was the one that
-    /// all tell. Symptom: a quarter of a window's requests are missing. In a large fleet it waits until all had time to
-    /// tell it, unless the report would come too late.
+    /// In a large fleet, an entry that takes over the duties waits until all others had time to report to it, unless
+    /// its own report would come too late. Otherwise a quarter of a window's requests could be missing, as the others
+    /// reported to the former holder.
     pub fn is_settled(&self, due: Duration) -> bool {
         if !self.is_large {
-            return self.since_end >= SETTLED;
+            return self.since_end >= SETTLE_DELAY;
         }
-        let is_told = self.held >= SETTLED_LARGE || self.since_end >= due.saturating_sub(REPORTING);
-        self.since_end >= SETTLED_LARGE && is_told
+        let is_complete = self.held_for >= SETTLE_DELAY_LARGE || self.since_end >= due.saturating_sub(REPORT_MARGIN);
+        self.since_end >= SETTLE_DELAY_LARGE && is_complete
     }
 }
--- a/bergamotshift-forward/src/duty/rollouts.rs
+++ b/bergamotshift-forward/src/duty/rollouts.rs
@@ -1,31 +1,31 @@
-//! Directs the roll-out of new versions.
+//! Directs the rollout of new versions.
 
 use bergamotshift_rollout::director::Step;
 use bergamotshift_rollout::prelude::*;
 use slog::info;
 
-use super::task::Work;
+use super::task::Task;
 use crate::control::Rollout;
 
-/// How many directives lie between two lines of the log: one line in a second.
-const STEPS_LOGGED: u64 = 4;
+/// Number of directives per log line: one line per second.
+const STEPS_PER_LOG: u64 = 4;
 
-/// An order that this entry directs.
+/// Rollout order that this entry directs.
 #[derive(Debug)]
-pub(super) struct Directed {
+pub(super) struct ActiveRollout {
     director: Director,
-    /// Counts its directives.
+    /// Number of the last directive.
     step: u64,
-    /// What the operators were last told.
-    told: Option<State>,
+    /// State that was last reported to the operators.
+    reported: Option<State>,
 }
 
-impl Directed {
+impl ActiveRollout {
     fn new(settings: Settings, rollout: &Rollout) -> Self {
         Self {
             director: Director::new(settings, rollout.order.clone(), rollout.directive.as_ref()),
             step: rollout.directive.map_or(0, |directive| directive.step),
-            told: None,
+            reported: None,
         }
     }
 
@@ -42,9 +42,9 @@
     }
 }
 
-impl Work {
-    /// Directs each order that stands, and tells the operators how far it is.
-    pub(super) async fn roll_out(&mut self) {
+impl Task {
+    /// Directs each open rollout order, and reports its state to the operators.
+    pub(super) async fn direct_rollouts(&mut self) {
         for rollout in self.control.rollouts() {
             self.direct(&rollout).await;
         }
@@ -53,54 +53,54 @@
     async fn direct(&mut self, rollout: &Rollout) {
         let shared = std::sync::Arc::clone(self.control.shared());
         let service = &rollout.order.service;
-        let known = self.directors.get(service);
+        let known = self.rollouts.get(service);
         if known.is_none_or(|known| known.director.order().number != rollout.order.number) {
-            let directed = Directed::new(shared.settings.rollout, rollout);
-            self.directors.insert(service.clone(), directed);
+            let active = ActiveRollout::new(shared.settings.rollout, rollout);
+            self.rollouts.insert(service.clone(), active);
         }
-        let (Some(directed), Some(number)) = (self.directors.get_mut(service), self.number) else {
+        let (Some(active), Some(number)) = (self.rollouts.get_mut(service), self.number) else {
             return;
         };
-        let step = directed.director.observe(shared.clock.now(), &rollout.observation);
-        if step.cause.is_some() || directed.step.is_multiple_of(STEPS_LOGGED) {
-            note(&shared, rollout, &step);
+        let step = active.director.observe(shared.clock.now(), &rollout.observation);
+        if step.cause.is_some() || active.step.is_multiple_of(STEPS_PER_LOG) {
+            log_evidence(&shared, rollout, &step);
         }
-        let directive = directed.directive(number, step.phase, step.share);
+        let directive = active.directive(number, step.phase, step.share);
         self.control.apply_directive(service, directive);
-        if directed.told == Some(step.state) {
+        if active.reported == Some(step.state) {
             return;
         }
-        let Some(_permit) = self.holder() else { return };
-        let told = self
+        let Some(_token) = self.fencing_token() else { return };
+        let reported = self
             .lease
             .within(self.operators.report_rollout(rollout.order.clone(), step.state))
             .await;
-        self.control.record_call("rollout", told.as_ref().err());
-        let Ok(state) = told else { return };
+        self.control.record_call("rollout", reported.as_ref().err());
+        let Ok(state) = reported else { return };
         info!(shared.log.always(), "rollout told"; "service" => service.as_str(),
             "to" => rollout.order.to.as_str(), "order" => rollout.order.number, "state" => ?state,
             "age_ms" => rollout.observation.age.as_millis() as u64);
-        let Some(directed) = self.directors.get_mut(service) else {
+        let Some(active) = self.rollouts.get_mut(service) else {
             return;
         };
-        directed.told = Some(state);
+        active.reported = Some(state);
         if state.is_final() {
-            directed.director.set_final_state(state);
-            let directive = directed.directive(number, state.into(), 0);
+            active.director.set_final_state(state);
+            let directive = active.directive(number, state.into(), 0);
             self.control.apply_directive(service, directive);
         }
     }
 }
 
-/// Logs the evidence by which an order is directed.
-fn note(shared: &crate::view::Shared, rollout: &Rollout, step: &Step) {
-    let sight = &rollout.observation;
-    let (stable, canary) = (sight.evidence.total(false), sight.evidence.total(true));
+/// Logs the evidence that the current step is based on.
+fn log_evidence(shared: &crate::view::Shared, rollout: &Rollout, step: &Step) {
+    let observation = &rollout.observation;
+    let (stable, canary) = (observation.evidence.total(false), observation.evidence.total(true));
     info!(shared.log.always(), "rollout directed"; "service" => rollout.order.service.as_str(),
         "to" => rollout.order.to.as_str(), "order" => rollout.order.number,
-        "age_ms" => sight.age.as_millis() as u64, "phase" => ?step.phase, "share" => step.share,
-        "stable_endpoints" => sight.stable_endpoints, "canary_endpoints" => sight.canary_endpoints,
-        "busy" => sight.stable_in_flight,
+        "age_ms" => observation.age.as_millis() as u64, "phase" => ?step.phase, "share" => step.share,
+        "stable_endpoints" => observation.stable_endpoints, "canary_endpoints" => observation.canary_endpoints,
+        "busy" => observation.stable_in_flight,
         "stable_answers" => stable.ended(), "stable_bad" => stable.bad,
         "canary_answers" => canary.ended(), "canary_bad" => canary.bad,
         "stable_paces" => ?stable.latencies, "canary_paces" => ?canary.latencies, "cause" => ?step.cause);
--- a/bergamotshift-forward/src/duty/tally.rs
+++ b/bergamotshift-forward/src/duty/tally.rs
@@ -9,35 +9,35 @@
 
 use crate::observe::Clock;
 
-/// The windows that are kept: a report is due two windows after its own, and a new holder catches up on one more.
-const KEPT: u64 = 5;
+/// Number of windows that are kept: a report is due two windows after its own, and a new holder catches up on one more.
+const MAX_WINDOWS: u64 = 5;
 
-/// Requests of each organisation by the window's number.
+/// Number of requests of each organisation, by the number of the window.
 pub type Windows = BTreeMap<u64, BTreeMap<name::Organisation, u64>>;
 
-/// Counts the requests of each organisation by window of the time of day.
+/// Counter of the requests of each organisation, by window of the time of day.
 ///
-/// Failure: the time of day jumps by seconds and back. Symptom: requests are counted in windows that are past or still
-/// to come. The time of day is read once, at the start, and counted on by the boot clock; that is enough, since the
-/// processes of reclaimable VMs live for days at most and steady clocks drift by seconds in that time at most.
+/// The time of day is read once at the start and then advanced by the boot clock. If it were read each time, it could
+/// jump by seconds and back, and requests would be counted in past or future windows. Processes on reclaimable VMs live
+/// for days at most, in which steady clocks drift by seconds at most.
 #[derive(Debug)]
 pub struct Tally {
     clock: Clock,
-    /// The time of day at the boot clock's zero.
+    /// Time of day at the boot clock's zero, as time since the start of 1970.
     epoch: Duration,
     window: Duration,
     windows: Mutex<Windows>,
 }
 
 impl Tally {
-    /// Makes a tally; a window of zero counts nothing.
+    /// Creates a counter; with a window of zero it counts nothing.
     pub fn new(clock: Clock, window: Duration) -> Self {
-        let day = SystemTime::now()
+        let unix_time = SystemTime::now()
             .duration_since(SystemTime::UNIX_EPOCH)
             .unwrap_or_default();
         Self {
             clock,
-            epoch: day.saturating_sub(clock.now().since(Instant::ZERO)),
+            epoch: unix_time.saturating_sub(clock.now().since(Instant::ZERO)),
             window,
             windows: Mutex::default(),
         }
@@ -48,14 +48,14 @@
         self.epoch + self.clock.now().since(Instant::ZERO)
     }
 
-    /// Returns the window of the current moment.
+    /// Returns the number of the current window.
     pub fn current(&self) -> u64 {
         let window = self.window.as_nanos();
         let number = self.unix_time().as_nanos().checked_div(window).unwrap_or_default();
         u64::try_from(number).unwrap_or(u64::MAX)
     }
 
-    /// Returns how long ago a window ended.
+    /// Returns the time since a window's end.
     pub fn since_end(&self, window: u64) -> Duration {
         let end = self
             .window
@@ -75,14 +75,14 @@
             .or_default()
             .entry(organisation.clone())
             .or_default() += 1;
-        while windows.len() as u64 > KEPT {
+        while windows.len() as u64 > MAX_WINDOWS {
             windows.pop_first();
         }
     }
 
-    /// Returns what was counted lately.
+    /// Returns the counts of the last windows.
     pub fn windows(&self) -> Windows {
-        let oldest = self.current().saturating_sub(KEPT);
+        let oldest = self.current().saturating_sub(MAX_WINDOWS);
         let windows = self.windows.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
         windows
             .range(oldest..)
--- a/bergamotshift-forward/src/duty/task.rs
+++ b/bergamotshift-forward/src/duty/task.rs
@@ -1,15 +1,15 @@
-//! Does the duties while this entry holds them.
+//! Performs the duties while this entry holds them.
 
 use core::time::Duration;
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
 use bergamotshift_claim::lease::Keeper;
-use bergamotshift_claim::lease::Settings as Keeping;
+use bergamotshift_claim::lease::Settings as LeaseSettings;
 use bergamotshift_claim::lease::Word;
 use bergamotshift_core::attempt;
 use bergamotshift_core::prelude::*;
-use bergamotshift_core::table::Change as Put;
+use bergamotshift_core::table::Change as TableChange;
 use bergamotshift_core::table::Condition;
 use bergamotshift_core::table::Ending;
 use bergamotshift_core::table::Key;
@@ -24,7 +24,7 @@
 use super::lease::Change;
 use super::lease::Lease;
 use super::progress::Progress;
-use super::rollouts::Directed;
+use super::rollouts::ActiveRollout;
 use crate::capacity::Counts;
 use crate::capacity::Planner;
 use crate::control::Control;
@@ -37,27 +37,27 @@
 use crate::random;
 use crate::view::Shared;
 
-/// The name of the duties in the store.
+/// Name of the duties in the store.
 const DUTY: &str = "duties";
 
-/// The partition in which reports are written down before they are sent.
+/// Partition in which reports are stored before they are sent.
 const REPORTS: &str = "usage";
 
-/// The time between two looks at the lease and at what is due.
-const LOOK: Duration = Duration::from_millis(250);
+/// Interval at which the lease and the due work are checked.
+const POLL_INTERVAL: Duration = Duration::from_millis(250);
 
-/// The oldest window that is still reported, counted back from the current one.
-const OLDEST: u64 = 3;
+/// Age of the oldest window that is still reported, in windows before the current one.
+const MAX_WINDOW_AGE: u64 = 3;
 
-/// What a lease lasts beyond the time within which the platform wants no two holders' calls mixed.
-const MARGIN: Duration = Duration::from_millis(500);
+/// Time by which a lease exceeds the span in which the platform must not receive calls of two holders.
+const LEASE_MARGIN: Duration = Duration::from_millis(500);
 
-/// How many entries look at a lease that nobody is heard to hold.
-const WATCHERS: usize = 3;
+/// Number of entries that watch a lease without a known holder.
+const MAX_WATCHERS: usize = 3;
 
-/// Does the duties for as long as the process lives.
-pub async fn run(control: Control, outside: Clients) {
-    let Some(duties) = outside.duties else {
+/// Performs the duties for as long as the process lives.
+pub async fn run(control: Control, clients: Clients) {
+    let Some(duties) = clients.duties else {
         return;
     };
     let shared = std::sync::Arc::clone(control.shared());
@@ -66,9 +66,9 @@
         move || clock.now()
     });
     let length = Duration::from_millis(shared.settings.duty.lease_ms);
-    let keeping = Keeping {
-        // A successor acts when the row stood still for this long, so the holder before has not acted for longer than
-        // the margin; and the time between two holders' acts is longer than the platform asks.
+    let lease_settings = LeaseSettings {
+        // A successor acts once the row has not changed for this long. By then, the former holder has not acted for
+        // longer than the margin, and the time between the calls of both is longer than the platform requires.
         length: lease_length(&shared),
         renewal: length / 3,
         margin: Duration::from_millis(700),
@@ -80,135 +80,143 @@
     };
     let mut generator = random::generator();
     let life = attempt::Id::new(u128::from(generator.next_u64()) << 64 | u128::from(generator.next_u64()));
-    let keeper = Keeper::new(keeping, SmolStr::new_static(DUTY), shared.settings.name.clone(), life);
-    let lease = Lease::new(keeper, Rc::clone(&outside.table), clock, generator);
-    let mut work = Work {
+    let keeper = Keeper::new(
+        lease_settings,
+        SmolStr::new_static(DUTY),
+        shared.settings.name.clone(),
+        life,
+    );
+    let lease = Lease::new(keeper, Rc::clone(&clients.table), clock, generator);
+    let mut task = Task {
         control,
         lease,
         duties,
-        table: outside.table,
+        table: clients.table,
         planners: BTreeMap::new(),
-        operators: outside.operators,
-        directors: BTreeMap::new(),
+        operators: clients.operators,
+        rollouts: BTreeMap::new(),
         reported: 0,
         number: None,
-        since: Instant::ZERO,
+        held_since: Instant::ZERO,
         is_answered: true,
-        is_lease_lost: false,
+        is_lease_unreachable: false,
     };
     loop {
-        tokio::time::sleep(LOOK).await;
-        work.look().await;
+        tokio::time::sleep(POLL_INTERVAL).await;
+        task.poll().await;
     }
 }
 
-/// Returns how long a holder's lease stands without renewal.
+/// Returns the time for which a lease is valid without renewal.
 fn lease_length(shared: &Shared) -> Duration {
-    Duration::from_millis(shared.settings.duty.lease_ms) + MARGIN
+    Duration::from_millis(shared.settings.duty.lease_ms) + LEASE_MARGIN
 }
 
-/// What the holder of the duties works with.
-pub(super) struct Work {
+/// Task that performs the duties while this entry holds them.
+pub(super) struct Task {
     pub(super) control: Control,
     pub(super) lease: Lease,
     duties: Rc<dyn Duties>,
     table: Rc<dyn Table>,
     planners: BTreeMap<name::Service, Planner>,
     pub(super) operators: Rc<dyn Operators>,
-    /// The orders that this entry directs.
-    pub(super) directors: BTreeMap<name::Service, Directed>,
-    /// The last window that was reported.
+    /// Rollout orders that this entry directs, by service.
+    pub(super) rollouts: BTreeMap<name::Service, ActiveRollout>,
+    /// Number of the last window that was reported.
     reported: u64,
-    /// The fencing number while the duties are held.
+    /// Fencing number while the duties are held.
     pub(super) number: Option<u64>,
-    /// Since when they are.
-    since: Instant,
-    /// Whether the last call under the duties had an answer; one without may still be carried out.
+    /// Time since which they are held.
+    held_since: Instant,
+    /// Whether the last call under the duties had an answer; one without an answer may still be executed.
     is_answered: bool,
-    /// Whether the lease's last call had no answer.
-    is_lease_lost: bool,
+    /// Whether the lease's last call to the table had no answer.
+    is_lease_unreachable: bool,
 }
 
-impl Work {
-    async fn look(&mut self) {
+impl Task {
+    async fn poll(&mut self) {
         let shared = std::sync::Arc::clone(self.control.shared());
         if shared.is_stopping() {
-            self.leave().await;
+            self.release().await;
             return;
         }
-        // Failure: the store is silent, and each renewal of the lease waits for it. Symptom: a zone is reclaimed
-        // meanwhile, and nothing is ordered for it until the lease has lapsed. While the lease stands, orders come
-        // first.
-        if self.holder().is_some() {
-            self.order().await;
+        // Orders come before the renewal of the lease, which waits for the store. If the store does not answer while a
+        // zone is reclaimed, nothing would otherwise be ordered for the zone until the lease has expired.
+        if self.fencing_token().is_some() {
+            self.order_endpoints().await;
         }
-        if let Some(word) = self.control.take_lease_notice() {
-            self.lease.heard(word).await;
+        if let Some(notice) = self.control.take_lease_notice() {
+            self.lease.receive(notice).await;
         }
-        // Who holds the duties says so to all; only when nobody does, the first ones look at the lease.
-        if self.number.is_none() && (self.control.is_held_elsewhere() || self.control.rank() >= WATCHERS) {
+        // The holder of the duties announces itself to all entries. Only without a known holder, the first few entries
+        // watch the lease.
+        if self.number.is_none() && (self.control.is_held_elsewhere() || self.control.rank() >= MAX_WATCHERS) {
             return;
         }
         let changes = self.lease.step().await;
-        self.changed(changes);
-        self.note_lease();
+        self.apply(changes);
+        self.log_lease_failure();
         self.hand_over().await;
-        // Failure: a holder that cannot reach the store goes on saying that it holds the duties. Symptom: nobody takes
-        // them over, and nothing is reported. It says so only as long as it may act.
-        self.control.set_duties(self.holder().is_some(), self.lease.word());
-        if self.holder().is_some() {
-            self.roll_out().await;
+        // An entry announces itself as the holder only as long as it may act. Otherwise a holder that cannot reach the
+        // store would go on doing so, no entry would take over the duties, and nothing would be reported.
+        self.control
+            .set_duties(self.fencing_token().is_some(), self.lease.notice());
+        if self.fencing_token().is_some() {
+            self.direct_rollouts().await;
         }
-        if self.holder().is_some() {
-            self.report().await;
+        if self.fencing_token().is_some() {
+            self.report_usage().await;
         }
     }
 
-    fn changed(&mut self, changes: Vec<Change>) {
+    fn apply(&mut self, changes: Vec<Change>) {
         let shared = std::sync::Arc::clone(self.control.shared());
         for change in changes {
             self.number = match change {
                 Change::Begun(number) => {
-                    self.since = shared.clock.now();
+                    self.held_since = shared.clock.now();
                     Some(number)
                 }
                 Change::Ended => None,
             };
             self.planners.clear();
-            self.directors.clear();
+            self.rollouts.clear();
             info!(shared.log.always(), "duties"; "held" => self.number.is_some(), "number" => self.number);
         }
     }
 
-    /// Gives the duties up when the store turns this entry away and serves others.
+    /// Gives up the duties when the store refuses this entry and serves others.
     ///
-    /// Failure: the store turns the holder's VM away, its lease lapses, and whoever watches waits the lease out once
-    /// more. Symptom: for six seconds nobody orders endpoints or reports usage; three zones were reclaimed meanwhile,
-    /// and half of the callers were late. A holder that is known to be the only one says so, and another entry goes on
-    /// within a second. While the store answers nobody it holds on, since nobody could take its place; and a holder
-    /// whose last call had no answer holds on too, since that call may still be carried out.
+    /// A holder that announces this is followed by another entry within a second. If it let its lease expire instead,
+    /// watchers would wait for the lease's length once more, and for six seconds no entry would order endpoints or
+    /// report usage; when three zones were reclaimed meanwhile, half of the callers were late.
+    ///
+    /// While the store answers no entry, the holder keeps the duties, since none could take its place. So does one
+    /// whose last call had no answer, since that call may still be executed.
     async fn hand_over(&mut self) {
-        let is_turned_away = self.is_answered && self.lease.failure().is_some();
-        let Some(number) = self.number.filter(|_| is_turned_away) else {
+        let is_refused = self.is_answered && self.lease.failure().is_some();
+        let Some(number) = self.number.filter(|_| is_refused) else {
             return;
         };
-        let left = self.lease.left();
-        if left >= lease_length(self.control.shared()) / 2 || !self.control.others_reach_store() {
+        let remaining = self.lease.remaining();
+        if remaining >= lease_length(self.control.shared()) / 2 || !self.control.others_reach_store() {
             return;
         }
         info!(self.control.shared().log.always(), "duties given up"; "number" => number,
-            "left_ms" => left.as_millis() as u64, "cause" => self.lease.failure().map(ToString::to_string));
+            "left_ms" => remaining.as_millis() as u64, "cause" => self.lease.failure().map(ToString::to_string));
         let changes = self.lease.give_up().await;
-        self.changed(changes);
+        self.apply(changes);
     }
 
-    /// Logs when the lease's row stops or begins to be read and written; without it, the duties stand still.
-    fn note_lease(&mut self) {
+    /// Logs when the lease's row can no longer be read and written, and when it can again; meanwhile, no duty is
+    /// performed.
+    fn log_lease_failure(&mut self) {
         let failure = self.lease.failure();
-        if failure.is_some() == self.is_lease_lost {
+        if failure.is_some() == self.is_lease_unreachable {
             return;
         }
-        self.is_lease_lost = failure.is_some();
+        self.is_lease_unreachable = failure.is_some();
         let log = &self.control.shared().log;
         match failure {
             Some(cause) => info!(log.always(), "dependency lost"; "call" => "lease", "cause" => %cause),
@@ -216,18 +224,18 @@
         }
     }
 
-    /// Gives the duties up for good.
+    /// Gives up the duties for good, as this entry stops.
     ///
-    /// Failure: a holder that stops lets its lease lapse, and in a large fleet it takes seconds until another entry
-    /// looks. Symptom: for ten seconds nobody reports usage or orders endpoints. A lease that is given back is taken
-    /// with the next look. One whose last call had no answer lapses all the same: the call may still be carried out.
-    async fn leave(&mut self) {
+    /// A released lease is taken with the next poll of another entry. If it had to expire, no entry would report usage
+    /// or order endpoints for ten seconds, as in a large fleet it takes seconds until another one watches the lease. A
+    /// lease under which the last call had no answer has to expire all the same, since that call may still be executed.
+    async fn release(&mut self) {
         let number = self.number.take();
-        // The store may not answer; whoever hears this need not wait until the lease has lapsed.
-        let word = number
+        // The store may not answer. An entry that receives this notice need not wait until the lease has expired.
+        let notice = number
             .filter(|_| self.is_answered)
             .map(|number| Word::GaveUp { number });
-        self.control.set_duties(false, word);
+        self.control.set_duties(false, notice);
         let Some(number) = number else {
             return;
         };
@@ -238,14 +246,14 @@
             "given_back" => self.is_answered);
     }
 
-    /// Notes how a call under the duties ended.
-    fn called(&mut self, call: &'static str, ending: &Result<(), Error>) {
-        self.is_answered = matches!(ending, Ok(()) | Err(Error::NoCapacity | Error::Refused(_)));
-        self.control.shared().metrics.called(call, ending.is_ok());
+    /// Records the outcome of a call under the duties.
+    fn record_call(&mut self, call: &'static str, outcome: &Result<(), Error>) {
+        self.is_answered = matches!(outcome, Ok(()) | Err(Error::NoCapacity | Error::Refused(_)));
+        self.control.shared().metrics.called(call, outcome.is_ok());
     }
 
-    /// Returns the right to make one call now.
-    pub(super) fn holder(&self) -> Option<FencingToken> {
+    /// Returns the fencing token for one call now, or `None` if no call may be made.
+    pub(super) fn fencing_token(&self) -> Option<FencingToken> {
         let number = self.lease.permit(false)?;
         Some(FencingToken {
             entry: self.control.shared().settings.name.clone(),
@@ -254,28 +262,28 @@
     }
 
     /// Reports the windows whose counts are complete.
-    async fn report(&mut self) {
+    async fn report_usage(&mut self) {
         let shared = std::sync::Arc::clone(self.control.shared());
         if shared.settings.duty.usage_window_s <= 0.0 {
             return;
         }
         let current = shared.tally.current();
-        let first = (self.reported + 1).max(current.saturating_sub(OLDEST));
+        let first = (self.reported + 1).max(current.saturating_sub(MAX_WINDOW_AGE));
         for window in first..current {
             if !self.is_settled(window) {
                 return;
             }
-            let Some(counts) = self.write_down(window).await else {
+            let Some(counts) = self.store_counts(window).await else {
                 return;
             };
-            let Some(holder) = self.holder() else {
+            let Some(token) = self.fencing_token() else {
                 return;
             };
             let usage = Usage { window, counts };
             let total: u64 = usage.counts.values().sum();
-            let number = holder.number;
-            let sent = self.lease.within(self.duties.report(holder, usage)).await;
-            self.called("usage", &sent);
+            let number = token.number;
+            let sent = self.lease.within(self.duties.report(token, usage)).await;
+            self.record_call("usage", &sent);
             info!(shared.log.always(), "usage reported"; "window" => window, "requests" => total,
                 "number" => number, "error" => sent.as_ref().err().map(ToString::to_string));
             if sent.is_err() {
@@ -285,30 +293,30 @@
         }
     }
 
-    /// Returns whether the others have told their counts of a window.
+    /// Returns whether the other entries have reported their counts of a window.
     fn is_settled(&self, window: u64) -> bool {
         let shared = self.control.shared();
         let progress = Progress {
             since_end: shared.tally.since_end(window),
-            held: shared.clock.now().since(self.since),
+            held_for: shared.clock.now().since(self.held_since),
             is_large: self.control.is_large(),
         };
         progress.is_settled(Duration::from_secs_f64(shared.settings.duty.usage_due_s.max(0.0)))
     }
 
-    /// Writes a window's counts down, or reads those that a holder before wrote.
+    /// Stores a window's counts, or returns those that a former holder stored.
     ///
-    /// Failure: a holder reports a window, its answer is lost, and it or its successor counts anew and reports other
-    /// figures. Symptom: the window is billed twice with different counts. What is sent is what the row says, and the
-    /// row is written once; that is enough, since an exact repeat is no second report.
-    async fn write_down(&self, window: u64) -> Option<BTreeMap<name::Organisation, u64>> {
+    /// The row is written once, and only its counts are sent, so a report can be repeated only exactly, which does not
+    /// count as a second one. Otherwise, if the answer to a report was lost, the holder or its successor would count
+    /// again and report other numbers, and the window would be billed twice.
+    async fn store_counts(&self, window: u64) -> Option<BTreeMap<name::Organisation, u64>> {
         let key = Key::new(REPORTS, format!("{window:012}"));
         let counts = self.control.usage(window);
         let body = postcard::to_stdvec(&counts).ok()?;
         let write = Write {
             key: key.clone(),
             condition: Condition::Absent,
-            change: Put::Put(body),
+            change: TableChange::Put(body),
         };
         if self.table.transact(vec![write]).await == Ending::Applied {
             return Some(counts);
@@ -318,8 +326,8 @@
         postcard::from_bytes(&row.body).ok()
     }
 
-    /// Orders endpoints where their number is not as planned.
-    async fn order(&mut self) {
+    /// Orders endpoints where their number differs from the plan.
+    async fn order_endpoints(&mut self) {
         let shared = std::sync::Arc::clone(self.control.shared());
         let document = self.control.document();
         let endpoints = self.control.endpoints();
@@ -343,24 +351,24 @@
             let now = shared.clock.now();
             let planner = self.planners.entry(service.name.clone());
             let planner = planner.or_insert_with(|| Planner::new(shared.settings.capacity));
-            let reading = self.control.prompt_demand(&service.name);
-            let orders = planner.plan(now, &service.name, scale, &present, reading);
+            let demand = self.control.prompt_demand(&service.name);
+            let orders = planner.plan(now, &service.name, scale, &present, demand);
             for order in orders {
-                self.place(order).await;
+                self.place_order(order).await;
             }
         }
     }
 
-    async fn place(&mut self, order: Order) {
+    async fn place_order(&mut self, order: Order) {
         let shared = std::sync::Arc::clone(self.control.shared());
-        let Some(holder) = self.holder() else {
+        let Some(token) = self.fencing_token() else {
             if let Some(planner) = self.planners.get_mut(&order.service) {
                 planner.failed(&order);
             }
             return;
         };
-        let placed = self.lease.within(self.duties.order(holder, order.clone())).await;
-        self.called("order", &placed);
+        let placed = self.lease.within(self.duties.order(token, order.clone())).await;
+        self.record_call("order", &placed);
         info!(shared.log.always(), "endpoints ordered"; "service" => order.service.as_str(),
             "zone" => order.zone.as_str(), "market" => ?order.market, "count" => order.count,
             "error" => placed.as_ref().err().map(ToString::to_string));
