--- a/bergamotshift-forward/src/capacity/mod.rs
+++ b/bergamotshift-forward/src/capacity/mod.rs
@@ -17,7 +17,7 @@
 use crate::document::Scale;
 use crate::outside::Order;
 
-/// Window over which the largest demand counts, as waves of demand take tens of seconds.
+/// Time for which a peak of demand is remembered, as waves of demand take tens of seconds.
 const DEMAND_WINDOW: Duration = Duration::from_secs(15);
 
 /// Settings of the planner.
@@ -35,8 +35,8 @@
     /// Smallest number of reclaimable endpoints in each zone.
     #[serde(rename = "reclaimable")]
     pub min_reclaimable: u32,
-    /// Factor by which more reclaimable endpoints are kept than are needed, as they cost a fraction of on-demand ones
-    /// and a wave of demand comes faster than new ones boot.
+    /// Ratio of the reclaimable endpoints that are kept to those that are needed, as they cost a fraction of on-demand
+    /// ones and a wave of demand comes faster than new ones boot.
     #[serde(rename = "spare")]
     pub spare_factor: f64,
     /// Whether on-demand endpoints cover the loss of more zones ahead while zones have lost their reclaimable
@@ -71,7 +71,7 @@
     }
 }
 
-/// Number of endpoints that take requests in one zone.
+/// Numbers of endpoints in one zone.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
     /// On-demand endpoints.
@@ -314,7 +314,7 @@
     /// those that are left.
     ///
     /// A zone that has none while others have some has lost them, and gets none until an order for it was accepted. If
-    /// only the answer to the next order told that the zone has no capacity, its loss would be covered a second late,
+    /// only the answer to the next order showed that the zone has no capacity, its loss would be covered a second late,
     /// of the two to three that the notice lasts.
     fn expected_reclaimable<'a>(
         &self,
--- a/bergamotshift-forward/src/duty/progress.rs
+++ b/bergamotshift-forward/src/duty/progress.rs
@@ -20,7 +20,7 @@
     pub since_end: Duration,
     /// Time for which this entry has held the duties.
     pub held_for: Duration,
-    /// Whether there are too many entries for each to hear all others often.
+    /// Whether there are too many entries for each to exchange state with all others often.
     pub is_large: bool,
 }
 
--- a/bergamotshift-forward/src/limits/account.rs
+++ b/bergamotshift-forward/src/limits/account.rs
@@ -170,7 +170,7 @@
     /// them as reported.
     ///
     /// They move to the keeper with the entry's first question, before the keeper grants anything to it. While a fleet
-    /// grows, its entries admit requests from their own shares until each has heard of enough others. If the keeper did
+    /// grows, its entries admit requests from their own shares until each knows enough others. If the keeper did
     /// not count those units, it would grant the burst a second time.
     pub fn take_unreported(&self, now: Instant) -> u64 {
         let unreported = self.unreported.swap(0, Relaxed);
--- a/bergamotshift-forward/src/limits/granter.rs
+++ b/bergamotshift-forward/src/limits/granter.rs
@@ -1,8 +1,7 @@
-//! Selection of the entry that grants requests to an endpoint with a rate limit.
-//!
-//! Each entry computes it by itself from the entries that it hears: the first one by rendezvous hash for each endpoint,
-//! or the second one while the first does not answer. For a moment, two entries may both consider themselves first, so
-//! the number of requests that one of them grants at once stays small.
+//! Selection of the entry that grants requests to an endpoint with a rate limit. Each entry computes it by itself from
+//! its own view of the live entries: the first one by rendezvous hash for each endpoint, or the second one while the
+//! first does not answer. For a moment, two entries may both consider themselves first, so the number of requests that
+//! one of them grants at once stays small.
 
 use core::net::SocketAddr;
 use core::time::Duration;
--- a/bergamotshift-forward/src/limits/keeper.rs
+++ b/bergamotshift-forward/src/limits/keeper.rs
@@ -1,12 +1,12 @@
 //! Entry that decides for all entries of its availability zone in a large fleet.
 //!
 //! With dozens of entries, each one's share of a limit is smaller than one large request, and the requests that others
-//! have in flight end before an entry hears of them. So one entry of each zone, its *keeper*, grants units of limits
+//! have in flight end before an entry learns of them. So one entry of each zone, its *keeper*, grants units of limits
 //! and chooses endpoints for all entries there, which ask it once for each request. The zones divide the limits among
 //! themselves as the entries of a small fleet do, so a zone that is cut off goes on with its share.
 //!
-//! Keepers are not elected: each entry computes them from the entries that it hears. For a moment, two entries may both
-//! consider themselves the keeper; the slack of the limits exceeds the units that both can grant in that time.
+//! Keepers are not elected: each entry computes them from its own view of the live entries. For a moment, two entries
+//! may both consider themselves the keeper; the slack of the limits exceeds the units that both can grant in that time.
 
 use core::net::SocketAddr;
 use core::time::Duration;
--- a/bergamotshift-forward/src/limits/share.rs
+++ b/bergamotshift-forward/src/limits/share.rs
@@ -76,12 +76,12 @@
 ///
 /// In a large fleet it is the share of this entry's zone, which the zone's keeper uses; "entry" then stands for a zone.
 ///
-/// A share that shrinks does so at once, and one that grows is announced first, as a claim. The claim is used once
-/// every other entry was heard after it, and only as far as the claims of the others leave room. While an entry is
-/// silent, the others divide among them only what they had when it fell silent.
+/// A share that shrinks does so at once, and one that grows is announced first, as a claim. The claim is used once an
+/// announcement of every other live entry was received after it, and only as far as the claims of the others leave
+/// room. While an entry is silent, the others divide among them only what they had when it fell silent.
 ///
-/// Otherwise two entries could both grow into the same room, as could two halves of the fleet that do not hear each
-/// other, and the organisation would use up to twice its limit.
+/// Otherwise two entries could both grow into the same room, as could two halves of a partitioned fleet, and the
+/// organisation would use up to twice its limit.
 #[derive(Clone, Debug)]
 pub struct Share<K> {
     peers: BTreeMap<K, Peer>,
@@ -89,8 +89,8 @@
     claim: Option<Claim>,
     /// Demand that was last announced to the others.
     announced_demand: f64,
-    /// While an entry is silent, the number of other entries that are heard, and the share that those and this entry
-    /// had together when it fell silent.
+    /// While an entry is silent, the number of other live entries, and the share that those and this entry had together
+    /// when it fell silent.
     frozen: Option<(usize, f64)>,
 }
 
@@ -143,8 +143,8 @@
         let is_live = |peer: &&Peer| now.since(peer.received) < policy.silence_timeout;
         let live: Vec<Peer> = self.peers.values().filter(is_live).copied().collect();
         let used: f64 = live.iter().map(|peer| peer.share).sum();
-        // An entry that starts uses half of an even share before any other has heard it, or it could admit no request
-        // while another one is silent. The others give way as soon as they hear it.
+        // An entry that starts uses half of an even share before any other knows of it, or it could admit no request
+        // while another one is silent. The others give way with its first announcement.
         let own = self.current_or_initial(members);
         let available = self.available(&live, members, own + used);
         let peer_demand: f64 = live.iter().map(|peer| peer.demand).sum();
@@ -156,7 +156,7 @@
         };
         let wanted = available * fraction(demand.get());
         let room = (available - used - own).max(0.0);
-        let all_heard_since = |since: Instant| live.iter().all(|peer| peer.received > since);
+        let all_received_since = |since: Instant| live.iter().all(|peer| peer.received > since);
         let share = match self.claim {
             _ if wanted <= own => {
                 self.claim = None;
@@ -164,9 +164,9 @@
                 let retained = (own * policy.min_retained).min((available - used).max(0.0));
                 wanted.max(retained)
             }
-            // There is no other entry that has to hear a claim.
+            // There is no other entry to which a claim would have to be announced.
             _ if members <= 1 => wanted,
-            Some(claim) if all_heard_since(claim.since) => {
+            Some(claim) if all_received_since(claim.since) => {
                 self.claim = None;
                 claim.share.min(wanted).min(own + room)
             }
@@ -182,7 +182,7 @@
         share
     }
 
-    /// Returns whether demand is calm: most entries are heard, and their demand together is far below `rate` units per
+    /// Returns whether demand is calm: most entries are live, and their demand together is far below `rate` units per
     /// second.
     ///
     /// The smaller half of a partitioned fleet is never calm, so at most one half spends what calm times allow.
@@ -191,7 +191,7 @@
         2 * count > members && self.total_demand(now, policy, demand) < rate * policy.calm_fraction
     }
 
-    /// Returns the demand at this entry and those that it hears, in units per second.
+    /// Returns the demand at this entry and the other live ones, in units per second.
     pub fn total_demand(&self, now: Instant, policy: &SharePolicy, demand: Demand) -> f64 {
         let others = self.live_peers(now, policy).map(|peer| peer.demand);
         demand.get() + others.sum::<f64>()
@@ -204,7 +204,7 @@
             .filter(move |peer| now.since(peer.received) < timeout)
     }
 
-    /// Returns the fraction of the limit that this entry and those that it hears divide among them; `current` is the
+    /// Returns the fraction of the limit that this entry and the other live ones divide among them; `current` is the
     /// sum of their shares.
     fn available(&mut self, live: &[Peer], members: usize, current: f64) -> f64 {
         if live.len() + 1 >= members {
--- a/bergamotshift-forward/tests/kernel/capacity.rs
+++ b/bergamotshift-forward/tests/kernel/capacity.rs
@@ -196,7 +196,7 @@
 }
 
 /// Guards against on-demand endpoints that are paid for the rest of the day, as they fill two zones which had no
-/// capacity for reclaimable ones. No reclaimable ones can be ordered there any more, so no answer tells that there is
+/// capacity for reclaimable ones. No reclaimable ones can be ordered there any more, so no answer shows that there is
 /// capacity again.
 #[test]
 fn on_demand_endpoints_that_fill_a_zone_are_given_back() {
@@ -277,7 +277,7 @@
     assert!(of(&orders, Market::OnDemand).is_empty(), "{orders:?}");
     let mut counts = [(4, 0); 4];
     for step in 1..8_u64 {
-        // What was ordered has booted.
+        // The ordered endpoints have booted.
         for order in plan(&mut planner, step * 5_000, counts) {
             let zone = ZONES
                 .iter()
--- a/bergamotshift-forward/tests/kernel/limits.rs
+++ b/bergamotshift-forward/tests/kernel/limits.rs
@@ -36,7 +36,8 @@
     (0..ENTRIES).map(entry).collect()
 }
 
-/// Runs one round: every entry records its demand and updates its share, and then announces both to those that hear it.
+/// Runs one round: every entry records its demand and updates its share, and then announces both to those that it
+/// reaches.
 fn round(entries: &mut [Entry], now: Instant, units: &[u64], hears: impl Fn(usize, usize) -> bool) {
     let policy = SharePolicy::default();
     for (entry, units) in entries.iter_mut().zip(units) {
@@ -77,8 +78,8 @@
     );
 }
 
-/// Guards against two halves of a fleet that exceed the limit together while they do not hear each other. Both see only
-/// their own callers, and each must leave to the silent entries the shares that those announced last.
+/// Guards against two halves of a fleet that exceed the limit together while they are cut off from each other. Both see
+/// only their own callers, and each must leave to the silent entries the shares that those announced last.
 #[test]
 fn halves_that_do_not_hear_each_other_use_no_more_than_the_whole() {
     let mut entries = entries();
@@ -113,7 +114,7 @@
 }
 
 /// Guards against an entry that starts alone, as it has not read the list of entries yet, and gives up the share of the
-/// first other entry that it hears only bit by bit. Until then, the organisation has its limit twice.
+/// first other entry that it learns of only gradually. Until then, the organisation has its limit twice.
 #[test]
 fn an_entry_that_was_alone_gives_way_at_once() {
     let policy = SharePolicy::default();
