--- a/bergamotshift-forward/src/peers/holders.rs
+++ b/bergamotshift-forward/src/peers/holders.rs
@@ -1,4 +1,4 @@
-//! Which other entry is asked for a newer document.
+//! Choice of the entry from which a newer document is downloaded.
 
 use core::net::SocketAddr;
 use core::time::Duration;
@@ -8,38 +8,40 @@
 
 use super::member::Members;
 
-/// How long ago an entry may have said that it has a document. In a large fleet word of each comes every few seconds; one
-/// that is gone by then refuses the connection at once, or is silent for half a second.
-const HEARD: Duration = Duration::from_secs(5);
+/// Maximum age of the state in which an entry announced its document. In a large fleet each entry's state arrives every
+/// few seconds. An entry that has ended meanwhile refuses the connection at once, or does not respond for half a
+/// second.
+const MAX_STATE_AGE: Duration = Duration::from_secs(5);
 
 /// An entry that has a newer document.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Holder {
     /// The entry.
     pub entry: name::Entry,
-    /// Where it can be asked.
+    /// The address at which other entries reach it.
     pub address: SocketAddr,
 }
 
-/// Where a newer document can be had.
+/// The source of a newer document.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Source {
-    /// No entry that was heard lately has one.
+    /// No entry has announced one lately.
     Nobody,
-    /// Each that has one gives it to others just now, or failed to give it.
+    /// Every entry that has one is at its limit of uploads, or failed to deliver it.
     Busy,
-    /// This one has it.
+    /// An entry that has one and can be asked.
     Holder(Holder),
 }
 
 impl Members {
-    /// Chooses whom to ask for a document that is newer than `version`.
+    /// Chooses the entry to ask for a document that is newer than `version`.
     ///
-    /// The newest there is comes first, then entries of the own zone, as bytes between zones are paid for. Among those each
-    /// entry has an order of its own, so that not all ask the same one.
+    /// Entries with the newest version come first, and among them those of this entry's zone, because traffic between
+    /// zones costs money. The rest of the order is a hash that differs for each asking entry, so that not all ask the
+    /// same one.
     pub fn document_source(&self, now: Instant, version: u64) -> Source {
         let newer = self
-            .recent_states(now, HEARD)
+            .recent_states(now, MAX_STATE_AGE)
             .filter(|(_, state)| state.document > version);
         let holders: Vec<_> = newer.map(|(entry, state)| (entry, state.document)).collect();
         let Some(newest) = holders.iter().map(|(_, document)| *document).max() else {
@@ -49,8 +51,8 @@
         let order = |entry: &name::Entry| xxh3_64_with_seed(entry.as_str().as_bytes(), seed);
         let newest = holders.into_iter().filter(|(_, document)| *document == newest);
         let peers = newest.filter_map(|(entry, _)| Some((entry, self.peers.get(entry)?)));
-        let open = peers.filter(|(_, peer)| peer.spared <= now);
-        let first = open.min_by_key(|(entry, peer)| (!peer.is_in(&self.zone), order(entry)));
+        let available = peers.filter(|(_, peer)| peer.download_deferred_until <= now);
+        let first = available.min_by_key(|(entry, peer)| (!peer.is_in(&self.zone), order(entry)));
         first.map_or(Source::Busy, |(entry, peer)| {
             Source::Holder(Holder {
                 entry: entry.clone(),
@@ -59,10 +61,10 @@
         })
     }
 
-    /// Notes that an entry did not give its document, and for how long it is not asked for it again.
+    /// Records that an entry did not deliver its document, and does not ask it again for `span`.
     pub fn defer_download(&mut self, now: Instant, entry: &name::Entry, span: Duration) {
         if let Some(peer) = self.peers.get_mut(entry) {
-            peer.spared = now + span;
+            peer.download_deferred_until = now + span;
         }
     }
 }
--- a/bergamotshift-forward/src/peers/keep.rs
+++ b/bergamotshift-forward/src/peers/keep.rs
@@ -1,4 +1,4 @@
-//! Grants units and chooses endpoints for the entries of the zone that this entry keeps.
+//! Request handling of a zone's keeper, which grants units of limits and chooses endpoints for the entries of its zone.
 
 use bergamotshift_core::prelude::*;
 use ntex::http::Request;
@@ -7,7 +7,7 @@
 
 use super::message::InFlight;
 use super::permit::Permits;
-use super::question::question;
+use super::question::read_body;
 use crate::choice;
 use crate::choice::Choice;
 use crate::dialect::Metadata;
@@ -22,22 +22,22 @@
 use crate::view::Shared;
 use crate::view::View;
 
-/// The path at which a zone's keeper is asked.
+/// Path of requests to a zone's keeper.
 pub const PATH: &str = "/keep";
 
-/// The largest question, in bytes.
-const LARGEST: usize = 16 * 1_024;
+/// Maximum size of a request's body, in bytes.
+const MAX_BODY_BYTES: usize = 16 * 1_024;
 
-/// How many endpoints are chosen for a generation at the most, as those that name a rate may refuse it.
-const PLACES: usize = 3;
+/// Maximum number of endpoints to try for a generation: a rate-limited one may have no permit left.
+const MAX_PLACEMENT_ATTEMPTS: usize = 3;
 
-/// Answers an entry of the zone.
+/// Answers a request of an entry of the zone.
 ///
-/// An entry that takes itself neither for the keeper nor for the deputy decides nothing: the one that asks hears other
-/// entries than this one, and two keepers would give out the zone's share twice.
+/// An entry that is not the keeper by its own view, nor the deputy asked as such, responds with a conflict. The
+/// requester's view of the zone then differs from this entry's, and two keepers would grant the zone's share twice.
 pub async fn answer_keep(permits: &Permits, mut request: Request) -> Response {
     let shared = permits.shared();
-    let question = match question::<Question>(&mut request, LARGEST).await {
+    let question = match read_body::<Question>(&mut request, MAX_BODY_BYTES).await {
         Ok(question) => question,
         Err(status) => return Response::new(status),
     };
@@ -47,12 +47,12 @@
         return Response::new(StatusCode::CONFLICT);
     }
     let now = shared.clock.now();
-    told(shared, &view, now, &question.entry, &question.flown);
+    record_in_flight(shared, &view, now, &question.entry, &question.flown);
     let answer = decide(permits, &view, &question).await;
-    if let Some(placed) = answer.placement {
+    if let Some(placement) = answer.placement {
         let mut ledger = shared.ledger();
-        ledger.placed(&question.entry, placed.endpoint, placed.unread);
-        if let Some(endpoint) = view.endpoint(placed.endpoint) {
+        ledger.placed(&question.entry, placement.endpoint, placement.unread);
+        if let Some(endpoint) = view.endpoint(placement.endpoint) {
             ledger.sum(endpoint);
         }
     }
@@ -62,7 +62,7 @@
     }
 }
 
-/// Grants units and chooses an endpoint, as a question asks.
+/// Grants the units and chooses the endpoint that a request asks for.
 pub async fn decide(permits: &Permits, view: &View, question: &Question) -> Answer {
     let now = permits.shared().clock.now();
     let granted = question.units.as_ref().map_or(Ok(()), |units| grant(view, now, units));
@@ -82,20 +82,20 @@
     }
 }
 
-/// Takes in what an entry of the zone has under way.
-fn told(shared: &Shared, view: &View, now: Instant, entry: &name::Entry, flown: &[InFlight]) {
+/// Records the work that an entry of the zone has in flight, and updates the sums of the endpoints concerned.
+fn record_in_flight(shared: &Shared, view: &View, now: Instant, entry: &name::Entry, in_flight: &[InFlight]) {
     let mut ledger = shared.ledger();
-    let changed = ledger.told(now, entry, flown);
+    let changed = ledger.told(now, entry, in_flight);
     for endpoint in changed.into_iter().filter_map(|hash| view.endpoint(hash)) {
         ledger.sum(endpoint);
     }
 }
 
-/// Grants units of the zone's share of a limit, and counts what the entry let in before it asked.
+/// Grants units of the zone's share of a limit, and charges those that the entry admitted by its own share before.
 ///
 /// # Errors
 ///
-/// Returns how long it takes until there is room.
+/// Returns [`Refused`] with the time until enough units are available.
 pub fn grant(view: &View, now: Instant, units: &Units) -> Result<(), Refused> {
     let Some(accounts) = view.accounts.get(&units.organisation) else {
         return Ok(());
@@ -104,10 +104,10 @@
     accounts.kept.take(now, units.count)
 }
 
-/// Chooses an endpoint for a generation, to which it is granted where the endpoint names a rate; `None` when none takes
-/// work.
+/// Chooses an endpoint for a generation, and acquires a permit for it if the endpoint is rate-limited. Returns `None`
+/// when no endpoint accepts the generation.
 pub async fn place(permits: &Permits, view: &View, generation: &Generation) -> Option<Placement> {
-    for _ in 0..PLACES {
+    for _ in 0..MAX_PLACEMENT_ATTEMPTS {
         let choice = choose(permits.shared(), view, generation)?;
         let is_limited = choice.endpoint.said.throttle.rate().is_some();
         if is_limited && !permits.acquire(&choice.endpoint, "").await {
--- a/bergamotshift-forward/src/peers/keepers.rs
+++ b/bergamotshift-forward/src/peers/keepers.rs
@@ -1,4 +1,4 @@
-//! Works out who keeps each zone, and whether this entry is cut off from the others.
+//! Determines the keeper of each zone, and whether this entry is partitioned from the others.
 
 use core::net::SocketAddr;
 use core::time::Duration;
@@ -15,55 +15,59 @@
 use crate::limits::keeper;
 use crate::limits::keeper::Candidate;
 
-/// How long an entry hears nothing from other zones until it takes itself for cut off from them; several are asked a second.
-const CUT: Duration = Duration::from_millis(1_200);
+/// Time without a message from other zones after which an entry considers itself partitioned from them. It contacts
+/// several entries there per second.
+const PARTITION_TIMEOUT: Duration = Duration::from_millis(1_200);
 
-/// One in so many entries of its zone an entry has to hear, to keep the zone. Single VMs are cut off and then hear nobody
-/// there; of a zone that lost more than half of its processes at once, those left go on.
-const ENOUGH: usize = 4;
+/// An entry may keep its zone only while at least one in this many of the zone's other entries is alive to it. A single
+/// VM that is partitioned hears none of them, whereas the rest of a zone that lost more than half of its processes goes
+/// on.
+const QUORUM_DIVISOR: usize = 4;
 
 impl Members {
-    /// Returns whether this entry is cut off from all other zones: none was heard lately, and some were asked and silent.
+    /// Returns whether this entry is partitioned from all other zones: it received nothing from them lately, and calls
+    /// to some of their entries timed out.
     ///
-    /// Entries whose processes ended refuse connections, so a fleet that was killed does not look cut off to one that is
-    /// left.
+    /// The VM of an entry whose process ended refuses connections, so a surviving entry does not take a fleet that was
+    /// killed for a partition.
     pub fn is_cut_off(&self, now: Instant) -> bool {
-        let is_far = |peer: &&Peer| peer.zone.as_ref().is_some_and(|zone| *zone != self.zone);
-        let mut far = self.peers.values().filter(is_far);
-        let is_silent = |peer: &Peer| peer.silent.is_some_and(|silent| now.since(silent) < CUT);
-        let hears_any = far.clone().any(|peer| peer.is_recent(now, CUT));
-        !hears_any && far.any(is_silent)
+        let is_remote = |peer: &&Peer| peer.zone.as_ref().is_some_and(|zone| *zone != self.zone);
+        let mut remote = self.peers.values().filter(is_remote);
+        let timed_out = |peer: &Peer| peer.last_timeout.is_some_and(|at| now.since(at) < PARTITION_TIMEOUT);
+        let hears_remote = remote.clone().any(|peer| peer.is_recent(now, PARTITION_TIMEOUT));
+        !hears_remote && remote.any(timed_out)
     }
 
-    /// Returns whether the store may be away when it does not answer this entry: no other one that was heard within `span`
-    /// reaches it, and it is not this entry that is cut off.
+    /// Returns whether the store itself may be down when it does not answer this entry: no other entry that sent its
+    /// state within `span` reaches the store, and this entry is not partitioned.
     ///
-    /// Failure: an entry is cut off, and its calls of the store fail up to the end. Symptom: it takes what is missing among
-    /// the registrations after that for what a store that was away has to get back, and sends requests to endpoints that left
+    /// After an outage, registrations may be missing from the store until it has recovered, and their endpoints stay in
+    /// use. An entry that took its own partition for an outage would keep sending requests to endpoints that left
     /// two seconds before.
     pub fn suspects_store_outage(&self, now: Instant, span: Duration) -> bool {
         let is_reached = self.recent_states(now, span).any(|(_, state)| state.reaches_store);
         !is_reached && !self.is_cut_off(now)
     }
 
-    /// Returns who keeps this entry's zone.
+    /// Returns the keeper of this entry's zone and its deputy.
     ///
-    /// Failure: an entry that is cut off takes all others for dead and itself for the keeper, and grants what the real
-    /// one grants too. Symptom: an organisation exceeds its limit. Who hears less than a part of its zone keeps nothing.
+    /// An entry that is partitioned takes all others for dead. If it became the keeper, it would grant the same units
+    /// as the real keeper, and organisations would exceed their limits. So an entry that hears too few entries of its
+    /// zone keeps nothing.
     pub fn keeping(&self, now: Instant) -> Keeping {
         if !self.is_large() {
             return Keeping::default();
         }
-        let near = self.peers.values().filter(|peer| peer.is_in(&self.zone));
-        let (mates, alive) = near.fold((0, 0), |(mates, alive), peer| {
-            (mates + 1, alive + usize::from(peer.is_alive(now)))
+        let local = self.peers.values().filter(|peer| peer.is_in(&self.zone));
+        let (others, alive) = local.fold((0, 0), |(others, alive), peer| {
+            (others + 1, alive + usize::from(peer.is_alive(now)))
         });
-        let hears_enough = mates == 0 || alive > 0 && alive * ENOUGH >= mates;
+        let has_quorum = others == 0 || alive > 0 && alive * QUORUM_DIVISOR >= others;
         let own = Candidate {
             entry: &self.own,
             core_share: self.core_share,
         };
-        let own = Some(own).filter(|_| hears_enough && !self.stops);
+        let own = Some(own).filter(|_| has_quorum && !self.is_stopping);
         let [first, second] = keeper::first(self.candidates(now, &self.zone).chain(own));
         let address = |entry: &name::Entry| self.peers.get(entry).map(|peer| peer.address);
         Keeping {
@@ -77,11 +81,13 @@
         }
     }
 
-    /// Returns the entries that grant requests to endpoints which name a rate: in a large fleet the keepers of the zones, which
-    /// hear one another often, and all entries in a small one. `knows_list` says that the list of entries was read.
+    /// Returns the entries that grant permits for rate-limited endpoints: the keepers of the zones in a large fleet,
+    /// which exchange states often, and all entries in a small one. `has_read_list` says that the list of entries was
+    /// read.
     ///
-    /// There is none while a process that starts has heard nobody and there may be others: each of them would grant the burst.
-    pub fn granters(&self, now: Instant, knows_list: bool) -> Vec<granter::Candidate> {
+    /// The result is empty while a process starts, has received no state, and may not be alone. Otherwise each of
+    /// several starting entries would grant a full burst.
+    pub fn granters(&self, now: Instant, has_read_list: bool) -> Vec<granter::Candidate> {
         let candidate = |entry: &name::Entry, address| granter::Candidate {
             hash: xxh3_64(entry.as_str().as_bytes()),
             address,
@@ -101,11 +107,11 @@
                 .map(|(entry, peer)| candidate(entry, Some(peer.address)))
                 .collect()
         };
-        let may_have_others = !self.peers.is_empty() || !knows_list;
-        if granters.is_empty() && may_have_others && self.is_young(now) {
+        let may_have_peers = !self.peers.is_empty() || !has_read_list;
+        if granters.is_empty() && may_have_peers && self.is_starting(now) {
             return granters;
         }
-        let grants = !self.stops && (!is_large || keeps);
+        let grants = !self.is_stopping && (!is_large || keeps);
         if grants || granters.is_empty() {
             granters.push(candidate(&self.own, None));
         }
@@ -113,25 +119,25 @@
         granters
     }
 
-    /// Returns the availability zones that have entries, this one's included.
+    /// Returns the availability zones that have entries, including this entry's.
     pub fn zones(&self) -> BTreeSet<&name::Zone> {
         let others = self.peers.values().filter_map(|peer| peer.zone.as_ref());
         others.chain([&self.zone]).collect()
     }
 
     fn candidates<'a>(&'a self, now: Instant, zone: &'a name::Zone) -> impl Iterator<Item = Candidate<'a>> {
-        let near = self.alive(now).filter(move |(_, peer)| peer.is_in(zone));
-        near.map(|(entry, peer)| peer.candidate(entry))
+        let local = self.alive(now).filter(move |(_, peer)| peer.is_in(zone));
+        local.map(|(entry, peer)| peer.candidate(entry))
     }
 
-    /// Returns the other entries that live and are not about to end.
+    /// Returns the other entries that are alive and not shutting down.
     fn alive(&self, now: Instant) -> impl Iterator<Item = (&name::Entry, &Peer)> {
         self.peers
             .iter()
-            .filter(move |(_, peer)| peer.is_alive(now) && !peer.stops)
+            .filter(move |(_, peer)| peer.is_alive(now) && !peer.is_stopping)
     }
 
-    /// Returns the other entry that comes first in each of these zones.
+    /// Returns the highest-ranked other entry of each of these zones.
     fn keepers_of<'a>(
         &'a self,
         now: Instant,
@@ -141,18 +147,18 @@
         first.filter_map(|entry| Some((entry, self.peers.get(entry)?)))
     }
 
-    /// Returns the entries of the own zone that would keep it if they were heard.
+    /// Returns the entries of this zone that would be its keeper and deputy if they were alive.
     ///
-    /// Failure: all entries are killed and start again, and hear the one that comes first only after a second. Symptom:
-    /// they are let in by nobody meanwhile. It is asked first.
+    /// These are contacted first. When all entries restarted at once, it took a second until they heard from the
+    /// highest-ranked one, and no caller was admitted meanwhile.
     pub(super) fn likely_keepers(&self, now: Instant) -> Vec<name::Entry> {
-        let near = self.peers.iter().filter(|(_, peer)| peer.is_in(&self.zone));
-        let open = near.filter(|(_, peer)| !peer.is_paused(now) && !peer.was_asked(now));
-        let candidates = open.map(|(entry, peer)| peer.candidate(entry));
+        let local = self.peers.iter().filter(|(_, peer)| peer.is_in(&self.zone));
+        let available = local.filter(|(_, peer)| !peer.is_backing_off(now) && !peer.was_contacted(now));
+        let candidates = available.map(|(entry, peer)| peer.candidate(entry));
         keeper::first(candidates).into_iter().flatten().cloned().collect()
     }
 
-    /// Returns the keepers of the other zones.
+    /// Returns the keepers of the other zones and their addresses.
     pub(super) fn other_keepers(&self, now: Instant) -> Vec<(name::Entry, SocketAddr)> {
         let others = self.zones().into_iter().filter(|zone| **zone != self.zone);
         let keepers = self.keepers_of(now, others);
--- a/bergamotshift-forward/src/peers/member.rs
+++ b/bergamotshift-forward/src/peers/member.rs
@@ -1,4 +1,4 @@
-//! Which other entries there are, and when each was heard.
+//! The other entries of the fleet, and the schedule by which this entry contacts them.
 
 use core::net::SocketAddr;
 use core::time::Duration;
@@ -14,84 +14,84 @@
 use crate::limits::keeper;
 use crate::limits::keeper::Candidate;
 
-/// How long an entry may be silent until it is forgotten. A VM that is replaced never comes back, one that is restarted
-/// is back within seconds, and cuts of up to this time take nothing from those behind them.
-const MEMORY: Duration = Duration::from_secs(20);
+/// Time without a state from an entry after which it is removed. A VM that is replaced never comes back, one that is
+/// restarted is back within seconds, and entries behind a partition of up to this time lose nothing.
+const EXPIRY_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// How long an entry that was named may be silent from the start until it is forgotten.
-const UNHEARD: Duration = Duration::from_secs(8);
+/// Time after which an entry that has never sent its state is removed.
+const FIRST_STATE_TIMEOUT: Duration = Duration::from_secs(8);
 
-/// How often the holder of the duties is asked in a large fleet.
-const HOLDER: Duration = Duration::from_secs(2);
+/// Interval at which the holder of the duties is contacted in a large fleet.
+const HOLDER_INTERVAL: Duration = Duration::from_secs(2);
 
-/// The same for an entry that has something to say that cannot wait.
-const URGENT: Duration = Duration::from_millis(200);
+/// Interval at which an entry with urgent news contacts the holder of the duties.
+const URGENT_HOLDER_INTERVAL: Duration = Duration::from_millis(200);
 
-/// How long an entry may be silent, towards everybody, until another one keeps its zone. In a large fleet word of an entry
-/// is a second and a half old at times.
-const ALIVE: Duration = Duration::from_millis(2_500);
+/// Time without a message from an entry to any other after which it counts as dead, and another entry keeps its zone.
+/// In a large fleet this information is up to a second and a half old.
+const LIVENESS_TIMEOUT: Duration = Duration::from_millis(2_500);
 
-/// How long an entry may be silent until the ones behind it in rank do without it.
-const RANKED: Duration = Duration::from_millis(1_500);
+/// Time without a state from an entry after which it no longer counts in the ranking.
+const RANK_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// How long an entry that starts says all that it knows.
-const YOUNG: Duration = Duration::from_secs(3);
+/// Time after the start during which an entry sends all that it knows.
+const STARTUP_PERIOD: Duration = Duration::from_secs(3);
 
-/// How long after a failure an entry is left alone.
-const PAUSE: Duration = Duration::from_millis(500);
+/// Backoff after a failed call to an entry.
+const BACKOFF: Duration = Duration::from_millis(500);
 
-/// The same at an entry that starts, and may have asked one that starts a moment later.
-const YOUNG_PAUSE: Duration = Duration::from_millis(120);
+/// Backoff while this entry starts: the other one may start a moment later.
+const STARTUP_BACKOFF: Duration = Duration::from_millis(120);
 
-/// One other entry.
+/// Another entry of the fleet.
 #[derive(Clone, Debug)]
 pub struct Peer {
-    /// Where it can be asked.
+    /// The address at which other entries reach it.
     pub address: SocketAddr,
-    /// What it last said, and when.
+    /// The last state that it sent, and when it arrived.
     pub last_state: Option<(Instant, State)>,
-    /// Its availability zone, when that is known.
+    /// Its availability zone, if known.
     pub(super) zone: Option<name::Zone>,
-    /// The part of a core that it may use, in thousandths.
+    /// The share of a CPU core that it may use, in thousandths.
     pub(super) core_share: u16,
-    /// Whether it is about to end.
-    pub(super) stops: bool,
-    /// When it was last heard, by whomever.
-    heard: Instant,
-    /// When it was first named.
-    since: Instant,
-    /// When it was last asked.
-    asked: Instant,
-    /// Until when it is left alone, since it did not answer.
-    paused: Instant,
-    /// Until when it is not asked for its document, since it did not give it.
-    pub(super) spared: Instant,
-    /// When it last was silent: neither did it answer nor did its VM refuse the connection.
-    pub(super) silent: Option<Instant>,
+    /// Whether it is shutting down.
+    pub(super) is_stopping: bool,
+    /// The last time at which any entry received a message from it.
+    last_heard: Instant,
+    /// The time at which this entry learned of it.
+    added: Instant,
+    /// The last time at which this entry contacted it.
+    last_contact: Instant,
+    /// The end of the backoff after a failed call.
+    backoff_until: Instant,
+    /// The time before which it is not asked for its document again.
+    pub(super) download_deferred_until: Instant,
+    /// The last time at which a call timed out: the entry did not reply, and its VM did not refuse the connection.
+    pub(super) last_timeout: Option<Instant>,
 }
 
 impl Peer {
-    /// Returns whether it was heard within `span`.
+    /// Returns whether its last state arrived within `span`.
     pub fn is_recent(&self, now: Instant, span: Duration) -> bool {
         self.last_state.as_ref().is_some_and(|(at, _)| now.since(*at) < span)
     }
 
-    /// Returns whether it is left alone, since it did not answer just now.
-    pub(super) fn is_paused(&self, now: Instant) -> bool {
-        now < self.paused
+    /// Returns whether a backoff after a failed call is running.
+    pub(super) fn is_backing_off(&self, now: Instant) -> bool {
+        now < self.backoff_until
     }
 
-    /// Returns whether it was asked just now.
-    pub(super) fn was_asked(&self, now: Instant) -> bool {
-        self.asked > Instant::ZERO && now.since(self.asked) < PAUSE
+    /// Returns whether this entry contacted it within the time of a backoff.
+    pub(super) fn was_contacted(&self, now: Instant) -> bool {
+        self.last_contact > Instant::ZERO && now.since(self.last_contact) < BACKOFF
     }
 
-    /// Returns whether it is known to lie in an availability zone.
+    /// Returns whether it is known to be in an availability zone.
     pub(super) fn is_in(&self, zone: &name::Zone) -> bool {
         self.zone.as_ref() == Some(zone)
     }
 
-    /// Returns it as one that may keep its zone, under its name.
+    /// Returns it as a candidate for the keeper of its zone.
     pub(super) const fn candidate<'a>(&self, entry: &'a name::Entry) -> Candidate<'a> {
         Candidate {
             entry,
@@ -99,65 +99,66 @@
         }
     }
 
-    /// Returns whether anybody heard it lately.
+    /// Returns whether any entry received a message from it lately.
     pub(super) fn is_alive(&self, now: Instant) -> bool {
-        self.heard > Instant::ZERO && now.since(self.heard) < ALIVE
+        self.last_heard > Instant::ZERO && now.since(self.last_heard) < LIVENESS_TIMEOUT
     }
 }
 
-/// An entry as the list of entries names it.
+/// Contact details of an entry, from the stored list of entries.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Contact {
     /// The entry.
     pub entry: name::Entry,
-    /// Where it can be asked.
+    /// The address at which other entries reach it.
     pub address: SocketAddr,
     /// Its availability zone.
     pub zone: name::Zone,
-    /// The part of a core that it may use, in thousandths.
+    /// The share of a CPU core that it may use, in thousandths.
     pub core_share: u16,
 }
 
-/// The other entries.
+/// Membership list of the fleet, as this entry knows it.
 #[derive(Debug)]
 pub struct Members {
     pub(super) own: name::Entry,
     pub(super) zone: name::Zone,
     pub(super) core_share: u16,
-    pub(super) stops: bool,
-    /// Whether the holder of the duties is to hear this entry at once.
+    pub(super) is_stopping: bool,
+    /// Whether this entry has urgent news for the holder of the duties.
     is_urgent: bool,
-    /// When the process started; `None` when that is long ago.
+    /// The time at which the process started; `None` until it is set.
     started: Option<Instant>,
     pub(super) peers: BTreeMap<name::Entry, Peer>,
 }
 
 impl Members {
-    /// Makes a list without other entries.
+    /// Creates a list without other entries.
     pub const fn new(own: name::Entry, zone: name::Zone, core_share: u16) -> Self {
         Self {
             own,
             zone,
             core_share,
-            stops: false,
+            is_stopping: false,
             is_urgent: false,
             started: None,
             peers: BTreeMap::new(),
         }
     }
 
-    /// Notes that the list names an entry.
-    pub fn add_contact(&mut self, now: Instant, listed: &Contact) {
-        self.named(now, &listed.entry, listed.address);
-        if let Some(peer) = self.peers.get_mut(&listed.entry)
+    /// Adds an entry of the stored list, or updates its address. The zone and the core share that the list gives apply
+    /// only while no entry has sent them.
+    pub fn add_contact(&mut self, now: Instant, contact: &Contact) {
+        self.upsert(now, &contact.entry, contact.address);
+        if let Some(peer) = self.peers.get_mut(&contact.entry)
             && peer.zone.is_none()
         {
-            peer.zone = Some(listed.zone.clone());
-            peer.core_share = listed.core_share;
+            peer.zone = Some(contact.zone.clone());
+            peer.core_share = contact.core_share;
         }
     }
 
-    fn named(&mut self, now: Instant, entry: &name::Entry, address: SocketAddr) {
+    fn upsert(&mut self, now: Instant, entry: &name::Entry, address: SocketAddr) {
         if *entry == self.own {
             return;
         }
@@ -166,68 +167,78 @@
             last_state: None,
             zone: None,
             core_share: 0,
-            stops: false,
-            heard: Instant::ZERO,
-            since: now,
-            asked: Instant::ZERO,
-            paused: Instant::ZERO,
-            spared: Instant::ZERO,
-            silent: None,
+            is_stopping: false,
+            last_heard: Instant::ZERO,
+            added: now,
+            last_contact: Instant::ZERO,
+            backoff_until: Instant::ZERO,
+            download_deferred_until: Instant::ZERO,
+            last_timeout: None,
         });
         peer.address = address;
     }
 
-    /// Notes what another entry knows of the entries.
+    /// Merges the membership list of another entry.
     pub fn merge_members(&mut self, now: Instant, zones: &[name::Zone], members: &[Member]) {
-        for named in members {
-            self.named(now, &named.entry, named.address);
-            let Some(peer) = self.peers.get_mut(&named.entry) else {
+        for member in members {
+            self.upsert(now, &member.entry, member.address);
+            let Some(peer) = self.peers.get_mut(&member.entry) else {
                 continue;
             };
-            let heard = now - Duration::from_millis(named.age_ms.into());
-            if heard > peer.heard {
-                peer.heard = heard;
-                peer.stops = named.stops;
+            let heard = now - Duration::from_millis(member.age_ms.into());
+            if heard > peer.last_heard {
+                peer.last_heard = heard;
+                peer.is_stopping = member.is_stopping;
             }
-            peer.zone = zones.get(usize::from(named.zone)).cloned().or_else(|| peer.zone.take());
-            peer.core_share = named.core_share;
+            peer.zone = zones
+                .get(usize::from(member.zone))
+                .cloned()
+                .or_else(|| peer.zone.take());
+            peer.core_share = member.core_share;
         }
     }
 
-    /// Notes what an entry says of itself; returns whether it was not heard for long before.
+    /// Records an entry's state, and returns whether it is the first one or the first after the entry would have
+    /// expired.
     pub fn record_state(&mut self, now: Instant, state: State) -> bool {
         let entry = state.entry.clone();
-        self.named(now, &entry, state.address);
+        self.upsert(now, &entry, state.address);
         let Some(peer) = self.peers.get_mut(&entry) else {
             return false;
         };
-        let fresh = !peer.is_recent(now, MEMORY);
+        let is_new = !peer.is_recent(now, EXPIRY_TIMEOUT);
         peer.zone = Some(state.zone.clone());
         peer.core_share = state.core_share;
-        peer.stops = state.stage == Stage::Stops;
-        peer.heard = now;
+        peer.is_stopping = state.stage == Stage::Stops;
+        peer.last_heard = now;
         peer.last_state = Some((now, state));
-        peer.paused = Instant::ZERO;
-        fresh
+        peer.backoff_until = Instant::ZERO;
+        is_new
     }
 
-    /// Notes that an entry did not answer, and whether it was silent rather than refused.
-    pub fn record_failure(&mut self, now: Instant, entry: &name::Entry, is_silent: bool) {
-        let pause = if self.is_young(now) { YOUNG_PAUSE } else { PAUSE };
+    /// Records a failed call to an entry, and whether it timed out rather than being refused.
+    pub fn record_failure(&mut self, now: Instant, entry: &name::Entry, timed_out: bool) {
+        let backoff = if self.is_starting(now) {
+            STARTUP_BACKOFF
+        } else {
+            BACKOFF
+        };
         if let Some(peer) = self.peers.get_mut(entry) {
-            peer.paused = now + pause;
-            peer.silent = Some(now).filter(|_| is_silent).or(peer.silent);
+            peer.backoff_until = now + backoff;
+            peer.last_timeout = Some(now).filter(|_| timed_out).or(peer.last_timeout);
         }
     }
 
-    /// Returns whom to ask now: those heard longest ago, at most `most`.
+    /// Returns the entries to contact in this round: at most `limit` of those whose last exchange is longest ago. In a
+    /// large fleet the `holder` of the duties is added when it is due, and the keeper of a zone adds the keepers of the
+    /// other zones.
     ///
-    /// In a large fleet not every entry can be heard often. Requests stay in their zone there, so the entries of the own
-    /// zone are asked first, and one of the others a round.
+    /// In a large fleet not every entry can be contacted often. Requests stay in their zone there, so the entries of
+    /// this zone come first, and each round leaves room for one of another zone.
     ///
-    /// The `holder` of the duties has to know what each entry counted, so it is asked every other second. The keepers of
-    /// zones ask one another each round: they share the limits out.
-    pub fn due(&mut self, now: Instant, most: usize, holder: Option<&name::Entry>) -> Vec<(name::Entry, SocketAddr)> {
+    /// The holder of the duties needs the counters of every entry, so it is contacted every other second. The keepers
+    /// of zones contact one another each round, because they divide the limits among the zones.
+    pub fn due(&mut self, now: Instant, limit: usize, holder: Option<&name::Entry>) -> Vec<(name::Entry, SocketAddr)> {
         let is_large = self.is_large();
         let mut due = Vec::new();
         let keeper = self.keeping(now).keeper;
@@ -235,73 +246,82 @@
             due = self.other_keepers(now);
             for (entry, _) in &due {
                 if let Some(peer) = self.peers.get_mut(entry) {
-                    peer.asked = now;
+                    peer.last_contact = now;
                 }
             }
         }
         if is_large
             && let Some(holder) = holder
             && let Some(peer) = self.peers.get_mut(holder)
-            && now.since(peer.asked) >= if self.is_urgent { URGENT } else { HOLDER }
+            && now.since(peer.last_contact)
+                >= if self.is_urgent {
+                    URGENT_HOLDER_INTERVAL
+                } else {
+                    HOLDER_INTERVAL
+                }
         {
-            peer.asked = now;
+            peer.last_contact = now;
             due.push((holder.clone(), peer.address));
         }
-        let likely = if keeper == Keeper::Unknown {
+        let likely_keepers = if keeper == Keeper::Unknown {
             self.likely_keepers(now)
         } else {
             Vec::new()
         };
         let zone = self.zone.clone();
-        let is_near = |peer: &Peer| peer.is_in(&zone);
-        let mut open: Vec<_> = self.peers.iter_mut().filter(|(_, peer)| !peer.is_paused(now)).collect();
-        // Whoever asked this entry lately has been heard already.
-        open.sort_by_key(|(_, peer)| {
-            peer.asked
+        let is_local = |peer: &Peer| peer.is_in(&zone);
+        let mut available: Vec<_> = self
+            .peers
+            .iter_mut()
+            .filter(|(_, peer)| !peer.is_backing_off(now))
+            .collect();
+        // An entry that contacted this one lately has already sent its state.
+        available.sort_by_key(|(_, peer)| {
+            peer.last_contact
                 .max(peer.last_state.as_ref().map_or(Instant::ZERO, |(at, _)| *at))
         });
         if is_large {
-            let (mut near, far): (Vec<_>, Vec<_>) = open.into_iter().partition(|(_, peer)| is_near(peer));
-            near.sort_by_key(|(entry, _)| !likely.contains(entry));
-            near.truncate(most.saturating_sub(1));
-            let left = most - near.len();
-            near.extend(far.into_iter().take(left));
-            open = near;
+            let (mut local, remote): (Vec<_>, Vec<_>) = available.into_iter().partition(|(_, peer)| is_local(peer));
+            local.sort_by_key(|(entry, _)| !likely_keepers.contains(entry));
+            local.truncate(limit.saturating_sub(1));
+            let left = limit - local.len();
+            local.extend(remote.into_iter().take(left));
+            available = local;
         }
-        open.truncate(most);
-        let ask = |(entry, peer): (&name::Entry, &mut Peer)| {
-            peer.asked = now;
+        available.truncate(limit);
+        let contact = |(entry, peer): (&name::Entry, &mut Peer)| {
+            peer.last_contact = now;
             (entry.clone(), peer.address)
         };
-        due.extend(open.into_iter().map(ask));
+        due.extend(available.into_iter().map(contact));
         due
     }
 
-    /// Returns whether the entries are too many to be heard often each.
+    /// Returns whether the fleet is too large for frequent exchanges between all entries.
     pub fn is_large(&self) -> bool {
         self.peers.len() >= keeper::SMALL
     }
 
-    /// Notes whether the holder of the duties is to hear this entry at once.
+    /// Sets whether this entry has urgent news for the holder of the duties.
     pub const fn set_urgent(&mut self, is_urgent: bool) {
         self.is_urgent = is_urgent;
     }
 
-    /// Notes that this entry is about to end.
+    /// Marks this entry as shutting down.
     pub const fn set_stopping(&mut self) {
-        self.stops = true;
+        self.is_stopping = true;
     }
 
-    /// Forgets entries that are gone for good, and returns them.
+    /// Removes entries that are gone for good, and returns their names.
     pub fn expire(&mut self, now: Instant) -> Vec<name::Entry> {
-        let gone = |peer: &Peer| match &peer.last_state {
-            Some((at, _)) => now.since(*at) >= MEMORY,
-            None => now.since(peer.since) >= UNHEARD,
+        let is_gone = |peer: &Peer| match &peer.last_state {
+            Some((at, _)) => now.since(*at) >= EXPIRY_TIMEOUT,
+            None => now.since(peer.added) >= FIRST_STATE_TIMEOUT,
         };
         let names: Vec<_> = self
             .peers
             .iter()
-            .filter(|(_, peer)| gone(peer))
+            .filter(|(_, peer)| is_gone(peer))
             .map(|(name, _)| name.clone())
             .collect();
         for name in &names {
@@ -310,34 +330,37 @@
         names
     }
 
-    /// Returns the entries heard within `span`, with what they last said.
+    /// Returns the entries whose last state arrived within `span`, with that state.
     pub fn recent_states(&self, now: Instant, span: Duration) -> impl Iterator<Item = (&name::Entry, &State)> {
-        let heard = self.peers.iter().filter(move |(_, peer)| peer.is_recent(now, span));
-        heard.filter_map(|(entry, peer)| peer.last_state.as_ref().map(|(_, state)| (entry, state)))
+        let recent = self.peers.iter().filter(move |(_, peer)| peer.is_recent(now, span));
+        recent.filter_map(|(entry, peer)| peer.last_state.as_ref().map(|(_, state)| (entry, state)))
     }
 
-    /// Returns how many of the entries that were heard lately, and that reach the store, come before this one.
+    /// Returns this entry's rank: the number of entries before it by name that sent their state lately and reach the
+    /// store.
     pub fn rank(&self, now: Instant) -> usize {
-        let able = self.recent_states(now, RANKED).filter(|(_, state)| state.reaches_store);
-        able.filter(|(entry, _)| **entry < self.own).count()
+        let eligible = self
+            .recent_states(now, RANK_TIMEOUT)
+            .filter(|(_, state)| state.reaches_store);
+        eligible.filter(|(entry, _)| **entry < self.own).count()
     }
 
-    /// Returns the other entries that were heard, as they are told to others, and the zones that they lie in.
+    /// Returns the zones and the membership list that this entry sends to others.
     ///
-    /// Failure: entries name one that is gone for good to each other, and each that forgets it is told of it anew.
-    /// Symptom: its share of each limit stays unused for good. Only who was heard is named.
+    /// The list contains only entries that sent their state to this one. Otherwise entries would keep telling each
+    /// other of one that is gone for good, and its share of each limit would stay unused.
     pub fn member_list(&self, now: Instant) -> (Vec<name::Zone>, Vec<Member>) {
         let zones: Vec<name::Zone> = self.zones().into_iter().cloned().collect();
         let keepers = self.other_keepers(now);
-        let is_whole = !self.is_large() || self.is_young(now) || self.tells_all(now);
-        let counts = |entry: &name::Entry, peer: &Peer| {
-            is_whole || peer.is_in(&self.zone) || keepers.iter().any(|(keeper, _)| keeper == entry)
+        let is_complete = !self.is_large() || self.is_starting(now) || self.lists_all_members(now);
+        let is_listed = |entry: &name::Entry, peer: &Peer| {
+            is_complete || peer.is_in(&self.zone) || keepers.iter().any(|(keeper, _)| keeper == entry)
         };
-        let heard = self
+        let listed = self
             .peers
             .iter()
-            .filter(|(entry, peer)| peer.last_state.is_some() && counts(entry, peer));
-        let names = heard.map(|(entry, peer)| Member {
+            .filter(|(entry, peer)| peer.last_state.is_some() && is_listed(entry, peer));
+        let members = listed.map(|(entry, peer)| Member {
             entry: entry.clone(),
             address: peer.address,
             zone: zones
@@ -346,47 +369,48 @@
                 .and_then(|place| u8::try_from(place).ok())
                 .unwrap_or(u8::MAX),
             core_share: peer.core_share,
-            age_ms: u16::try_from(now.since(peer.heard).as_millis()).unwrap_or(u16::MAX),
-            stops: peer.stops,
+            age_ms: u16::try_from(now.since(peer.last_heard).as_millis()).unwrap_or(u16::MAX),
+            is_stopping: peer.is_stopping,
         });
-        let names = names.collect();
-        (zones, names)
+        let members = members.collect();
+        (zones, members)
     }
 
-    /// Returns whether all entries are named at this moment, which is so for one round in sixteen.
+    /// Returns whether this round's membership list contains all entries, as one round's in sixteen does.
     ///
-    /// Failure: each of hundreds of entries names all others to whomever it asks. Symptom: the entries' words to each other
-    /// fill the links of small VMs (600 kB a second at 300 entries). What is needed at once is who is alive in the own zone
-    /// and who keeps the others; the rest may be heard some seconds late.
-    fn tells_all(&self, now: Instant) -> bool {
-        const SPAN: u64 = 4_000;
-        const ROUND: u64 = 250;
-        // Not all at the same moment.
-        let offset = xxh3_64(self.own.as_str().as_bytes()) % SPAN;
-        (now.as_micros() / 1_000 + offset) % SPAN < ROUND
+    /// With the whole list in every message, the exchanges of 300 entries took 600 kB a second and filled the links of
+    /// small VMs. Only the liveness of this zone's entries and the keepers of the other zones are needed at once; the
+    /// rest may arrive some seconds late.
+    fn lists_all_members(&self, now: Instant) -> bool {
+        const PERIOD_MS: u64 = 4_000;
+        const ROUND_MS: u64 = 250;
+        // Spreads the entries' whole lists over the period.
+        let offset = xxh3_64(self.own.as_str().as_bytes()) % PERIOD_MS;
+        (now.as_micros() / 1_000 + offset) % PERIOD_MS < ROUND_MS
     }
 
-    /// Notes that the process starts.
+    /// Sets the time at which the process started.
     pub const fn set_started(&mut self, now: Instant) {
         self.started = Some(now);
     }
 
-    /// Returns whether the process started just now. It says all that it knows then, which is little: when all entries start
-    /// at once, each has to hear who keeps the other zones.
-    pub(super) fn is_young(&self, now: Instant) -> bool {
-        self.started.is_some_and(|started| now.since(started) < YOUNG)
+    /// Returns whether the process started just now. It then sends all that it knows, which is little: when all entries
+    /// start at once, each has to learn the keepers of the other zones.
+    pub(super) fn is_starting(&self, now: Instant) -> bool {
+        self.started.is_some_and(|started| now.since(started) < STARTUP_PERIOD)
     }
 
-    /// Returns whether an entry is told in brief: in a large fleet, one of another zone that does not keep it.
+    /// Returns whether an entry is sent a brief state: in a large fleet, an entry of another zone that is not its
+    /// keeper.
     pub fn is_brief(&self, now: Instant, entry: &name::Entry) -> bool {
-        let is_near = |peer: &Peer| peer.is_in(&self.zone);
-        if !self.is_large() || self.is_young(now) || self.peers.get(entry).is_some_and(is_near) {
+        let is_local = |peer: &Peer| peer.is_in(&self.zone);
+        if !self.is_large() || self.is_starting(now) || self.peers.get(entry).is_some_and(is_local) {
             return false;
         }
         !self.other_keepers(now).iter().any(|(keeper, _)| keeper == entry)
     }
 
-    /// Returns how many entries there are, this one included.
+    /// Returns the number of entries, including this one.
     pub fn count(&self) -> usize {
         self.peers.len() + 1
     }
--- a/bergamotshift-forward/src/peers/message.rs
+++ b/bergamotshift-forward/src/peers/message.rs
@@ -1,4 +1,4 @@
-//! The messages between entries, and between an entry's threads.
+//! Messages that entries exchange, and those that pass between the threads of one entry.
 
 use core::net::SocketAddr;
 use core::time::Duration;
@@ -16,10 +16,10 @@
 use crate::endpoint::Endpoint;
 use crate::endpoint::Registration;
 
-/// What a request tells the control thread.
+/// An event that a request reports to the control thread.
 #[derive(Clone, Copy, Debug)]
 pub enum Note {
-    /// A connection broke while an endpoint had a request.
+    /// A connection broke while an endpoint was processing a request.
     ConnectionLost {
         /// The endpoint, by its hash.
         endpoint: u64,
@@ -28,51 +28,52 @@
     },
 }
 
-/// An entry as another one knows it.
+/// An entry of the fleet, as another entry knows it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Member {
     /// The entry.
     pub entry: name::Entry,
-    /// Where it can be asked.
+    /// The address at which other entries reach it.
     pub address: SocketAddr,
-    /// The place of its availability zone in [`State::zones`].
+    /// The index of its availability zone in [`State::zones`].
     pub zone: u8,
-    /// The part of a core that it may use, in thousandths.
+    /// The share of a CPU core that it may use, in thousandths.
     pub core_share: u16,
-    /// How long ago it was heard, by whomever, in milliseconds.
+    /// The time since any entry last received a message from it, in milliseconds.
     pub age_ms: u16,
-    /// Whether it is about to end.
-    pub stops: bool,
+    /// Whether it is shutting down.
+    #[serde(rename = "stops")]
+    pub is_stopping: bool,
 }
 
-/// What one entry's callers of an organisation ask for, and the share of the limit that it uses; in a large fleet, a
-/// zone's callers and share, told by the entry that keeps the zone.
+/// An organisation's demand at one entry, and the share of the organisation's limit that the entry uses. The keeper of
+/// a zone in a large fleet sends the figures of its whole zone.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub struct LimitUsage {
     /// The organisation.
     pub organisation: name::Organisation,
-    /// Units per second.
+    /// The demand, in units per second.
     pub demand: f64,
     /// The share of the limit, between 0 and 1.
     pub share: f64,
 }
 
-/// One entry's work under way at an endpoint; told by the entry that keeps a zone, that of the whole zone.
+/// One entry's work in flight at an endpoint. The keeper of a zone sends the figures of its whole zone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct InFlight {
     /// The endpoint, by its hash.
     pub endpoint: u64,
-    /// Requests under way.
+    /// Requests in flight.
     pub running: u32,
-    /// Prompt tokens that are still to be read.
+    /// Prompt tokens that the endpoint has yet to read.
     pub unread: u64,
 }
 
 impl InFlight {
-    /// Makes one of nothing under way.
+    /// Creates the record of an endpoint without work in flight.
     pub const fn none(endpoint: u64) -> Self {
         Self {
             endpoint,
@@ -82,25 +83,25 @@
     }
 }
 
-/// The rate that an endpoint names for itself, as entries tell each other of it.
+/// The rate limit that an endpoint announced, as entries pass it on.
 #[derive(Clone, Copy, Debug, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub struct Rate {
     /// The endpoint, by its hash.
     pub endpoint: u64,
-    /// Requests per second from all entries together; `None` when it names none any more.
+    /// Requests per second from all entries together; `None` when the endpoint no longer announces a limit.
     pub rate: Option<f64>,
-    /// How long ago that was known, in milliseconds.
+    /// The age of this information, in milliseconds.
     pub age_ms: u32,
 }
 
 impl Rate {
-    /// Makes one of what is known of an endpoint.
+    /// Creates a message from the newest rate limit known for an endpoint.
     pub fn of(endpoint: &Endpoint, now: Instant) -> Self {
         Self::new(endpoint, endpoint.said.throttle.word(), now)
     }
 
-    /// Makes one of a word of an endpoint.
+    /// Creates a message from a rate limit that an endpoint announced.
     pub fn new(endpoint: &Endpoint, word: Word, now: Instant) -> Self {
         Self {
             endpoint: endpoint.hash,
@@ -109,7 +110,7 @@
         }
     }
 
-    /// Returns it as a word at the time at which it is heard.
+    /// Converts a message received at `now` back into an announcement, with its time on this entry's clock.
     pub fn received_at(&self, now: Instant) -> Word {
         Word {
             rate: self.rate,
@@ -118,107 +119,110 @@
     }
 }
 
-/// Up to which change of the store something is known, and how long ago that was found.
+/// The last change of the store that a copy of its data includes, and how long ago the copy was known to be current.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Freshness {
-    /// The change.
+    /// The position in the store's history of changes.
     pub cursor: u64,
-    /// How long ago, in milliseconds.
+    /// The time since the copy was known to be current, in milliseconds.
     pub age_ms: u32,
 }
 
-/// What an entry is about.
+/// The stage of an entry's life cycle.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub enum Stage {
-    /// It serves callers.
+    /// The entry serves callers.
     #[default]
     Serves,
-    /// It serves callers and keeps its zone: [`State::limit_usage`] and [`State::in_flight`] are those of all entries there.
+    /// The entry serves callers and is the keeper of its zone: [`State::limit_usage`] and [`State::in_flight`] are
+    /// those of all entries there.
     Keeps,
-    /// It is about to end.
+    /// The entry is shutting down.
     Stops,
 }
 
-/// An operator's order to roll a version out, as entries tell each other of it.
+/// An operator's order to roll out a version, as entries pass it on.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Rollout {
     /// The order.
     pub order: rollout::Order,
-    /// How long ago it was given, in milliseconds.
+    /// The time since the order was given, in milliseconds.
     pub age_ms: u32,
-    /// What the holder of the duties directs.
+    /// The current directive of the entry that holds the duties.
     pub directive: Option<rollout::Directive>,
 }
 
-/// What an entry tells another one; about a kilobyte with 16 endpoints and 5 organisations.
+/// An entry's state, as it sends it to other entries; about a kilobyte with 16 endpoints and 5 organisations.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub struct State {
-    /// Who says it.
+    /// The sender.
     pub entry: name::Entry,
-    /// Which life of its process, drawn at random; counts start anew with each.
+    /// A random identifier of the sender's process; its counters start at zero in each process.
     #[serde(rename = "life")]
     pub incarnation: u64,
-    /// Where it can be asked.
+    /// The address at which other entries reach the sender.
     pub address: SocketAddr,
-    /// Its availability zone.
+    /// The sender's availability zone.
     pub zone: name::Zone,
-    /// The part of a core that it may use, in thousandths.
+    /// The share of a CPU core that the sender may use, in thousandths.
     pub core_share: u16,
-    /// What it is about.
+    /// The stage of the sender's life cycle.
     pub stage: Stage,
-    /// Whether it holds the duties.
+    /// Whether the sender holds the duties.
     #[serde(rename = "holds")]
     pub holds_duties: bool,
-    /// What it tells of the duties' lease, when it holds that or gave it up.
+    /// The state of the duties' lease, when the sender holds it or released it.
     pub lease: Option<lease::Word>,
-    /// Which other entry holds the duties, as far as it knows, and how many milliseconds ago that one said so.
+    /// The other entry that holds the duties as far as the sender knows, and the time since that entry confirmed it, in
+    /// milliseconds.
     pub holder: Option<(name::Entry, u32)>,
-    /// Whether the store answered its last calls.
+    /// Whether the store answered the sender's last calls.
     pub reaches_store: bool,
-    /// The version of the document that it has; 0 without one.
+    /// The version of the sender's document; 0 without one.
     pub document: u64,
-    /// How fresh that is.
+    /// The freshness of the sender's document.
     #[serde(rename = "document_known")]
     pub document_freshness: Option<Freshness>,
-    /// A digest of the endpoints that it knows and of those among them that leave.
+    /// A digest of the endpoints that the sender knows and of those among them that are leaving.
     pub endpoints: u64,
-    /// How fresh that is.
+    /// The freshness of the sender's endpoints.
     #[serde(rename = "endpoints_known")]
     pub endpoints_freshness: Option<Freshness>,
-    /// What its callers ask for.
+    /// The demand of the sender's callers, and the shares of limits that it uses.
     #[serde(rename = "uses")]
     pub limit_usage: Vec<LimitUsage>,
-    /// Its work under way.
+    /// The sender's work in flight.
     #[serde(rename = "flown")]
     pub in_flight: Vec<InFlight>,
-    /// Prompt tokens a second that its callers ask to have read, by service.
+    /// Prompt tokens per second that the sender's callers submit, by service.
     #[serde(rename = "reading")]
     pub prompt_rates: Vec<(name::Service, f64)>,
-    /// Parts of prompts that it had read lately.
+    /// Parts of prompts that endpoints read lately for requests that the sender placed; they are likely still cached
+    /// there.
     #[serde(rename = "readings")]
     pub cached_parts: Vec<Reading>,
-    /// Requests by window, as it counted them.
+    /// Requests by usage window, as the sender counted them.
     pub windows: Windows,
-    /// Requests that it suspects of ending endpoints.
+    /// Requests that the sender suspects of crashing endpoints.
     pub suspicions: Vec<Suspicion>,
-    /// The last order of each service to roll a version out.
+    /// The last rollout order of each service.
     pub rollouts: Vec<Rollout>,
-    /// The rates that endpoints named in answers to it, and those that they name no more.
+    /// The rate limits that endpoints announced or lifted in answers to the sender.
     pub rates: Vec<Rate>,
-    /// What it saw of the answers of both versions while such an order stands.
+    /// The outcomes of requests to both versions that the sender observed during each rollout.
     pub evidence: Vec<(name::Service, rollout::Evidence)>,
-    /// The availability zones of the entries that it knows.
+    /// The availability zones of the entries that the sender knows; empty in a brief state.
     pub zones: Vec<name::Zone>,
-    /// The entries that it knows.
+    /// The entries that the sender knows.
     pub members: Vec<Member>,
 }
 
 impl State {
-    /// Leaves out what only entries of the same zone and the keepers of others need.
+    /// Leaves out the parts that only entries of the same zone and the keepers of other zones need.
     #[must_use]
     pub fn brief(self) -> Self {
         Self {
@@ -231,18 +235,18 @@
         }
     }
 
-    /// Returns whether it is brief; the answer is brief then too.
+    /// Returns whether the state is brief; the reply to a brief state is brief too.
     pub const fn is_brief(&self) -> bool {
         self.zones.is_empty()
     }
 }
 
-/// The answer to a [`State`].
+/// The reply to a [`State`].
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub struct Reply {
-    /// What the entry that is asked says of itself.
+    /// The replying entry's state.
     pub state: State,
-    /// All registrations that it knows, when it knows them to be newer and other than the asker's.
+    /// All registrations that the replying entry knows, when they are newer than the requester's and differ from them.
     pub endpoints: Option<Vec<Registration>>,
 }
--- a/bergamotshift-forward/src/peers/mod.rs
+++ b/bergamotshift-forward/src/peers/mod.rs
@@ -1,6 +1,8 @@
-//! What the entries tell one another, directly and often: enough to share limits and endpoints, to know of endpoints
-//! that leave, and to go on with the newest document while some of them cannot reach the store. A document itself may be
-//! large, and has a call of its own.
+//! Communication between entries.
+//!
+//! Entries exchange their states several times a second. That is enough to share limits and endpoints, to learn of
+//! endpoints that leave, and to keep working with the newest document while some entries cannot reach the store. A
+//! document can be large, so it is transferred by a call of its own.
 
 mod holders;
 pub mod keep;
--- a/bergamotshift-forward/src/peers/permit.rs
+++ b/bergamotshift-forward/src/peers/permit.rs
@@ -1,4 +1,5 @@
-//! Asks the entry that grants requests to an endpoint which names a rate, and answers other entries that ask.
+//! Permits for rate-limited endpoints: acquires them from the entry that grants them, and answers other entries'
+//! requests.
 
 use core::cell::RefCell;
 use core::net::SocketAddr;
@@ -17,7 +18,7 @@
 use tokio::time::timeout;
 
 use super::message::Rate;
-use super::question::question;
+use super::question::read_body;
 use crate::endpoint::Endpoint;
 use crate::exchange;
 use crate::exchange::Pool;
@@ -26,62 +27,63 @@
 use crate::view::Shared;
 use crate::view::Source;
 
-/// The path at which a permit is asked for.
+/// Path of requests for a permit.
 pub const PATH: &str = "/permit";
 
-/// The largest question, in bytes.
-const LARGEST: usize = 256;
+/// Maximum size of a request's body, in bytes.
+const MAX_BODY_BYTES: usize = 256;
 
-/// The shortest time for which an endpoint is left alone after a refusal.
-const SHORTEST: Duration = Duration::from_millis(5);
+/// Minimum time for which an endpoint gets no requests after a permit for it was refused.
+const MIN_PAUSE: Duration = Duration::from_millis(5);
 
-/// What an entry asks before it sends a request to an endpoint that names a rate.
+/// A request for a permit, made before a request is sent to a rate-limited endpoint.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Serialize, Deserialize)]
 struct Question {
-    /// Who asks.
+    /// The requesting entry.
     entry: name::Entry,
-    /// The rate as the asking entry knows it.
+    /// The rate limit as the requesting entry knows it.
     rate: Rate,
-    /// What the request counts.
+    /// The number of permits that the request consumes.
     cost: u64,
 }
 
-/// What the entry that grants says.
+/// The granting entry's decision.
 #[derive(Clone, Copy, Debug, PartialEq)]
 #[derive(Serialize, Deserialize)]
 struct Verdict {
-    /// The rate as that entry knows it.
+    /// The rate limit as the granting entry knows it.
     rate: Rate,
-    /// How long until a request can be granted, in milliseconds; `None` when this one is.
+    /// The time until a permit is available, in milliseconds; `None` when one was granted.
     wait_ms: Option<u64>,
 }
 
-/// Asks for permits, on one thread.
+/// Acquires permits for one thread.
 #[derive(Debug)]
 pub struct Permits {
     shared: Arc<Shared>,
     pool: RefCell<Pool>,
-    /// Entries that did not answer lately, and until when they are left alone.
-    away: RefCell<HashMap<SocketAddr, Instant>>,
+    /// The end of the backoff of each entry that did not reply lately.
+    backoffs: RefCell<HashMap<SocketAddr, Instant>>,
 }
 
 impl Permits {
-    /// Makes the state of the current thread.
+    /// Creates the state of the current thread.
     pub fn new(shared: Arc<Shared>) -> Self {
         Self {
             shared,
             pool: RefCell::default(),
-            away: RefCell::default(),
+            backoffs: RefCell::default(),
         }
     }
 
-    /// Returns what all threads share.
+    /// Returns the state that all threads share.
     pub const fn shared(&self) -> &Arc<Shared> {
         &self.shared
     }
 
-    /// Returns whether a request may be sent to an endpoint now; one that may not is left alone until it may.
+    /// Acquires a permit to send a request to an endpoint, and returns whether it was granted. After a refusal the
+    /// endpoint gets no requests until one can be granted. Endpoints without a rate limit need no permit.
     pub async fn acquire(&self, endpoint: &Endpoint, request: &str) -> bool {
         let Some(rate) = endpoint.said.throttle.rate() else {
             return true;
@@ -91,7 +93,7 @@
         for (candidate, cost) in ranked.zip([1, throttle::SECOND]) {
             let verdict = match candidate.address {
                 None => Some(grant(self.shared.clock.now(), endpoint, cost)),
-                Some(address) => self.ask_other(address, endpoint, cost).await,
+                Some(address) => self.request_permit(address, endpoint, cost).await,
             };
             let now = self.shared.clock.now();
             let Some(verdict) = verdict else { continue };
@@ -104,7 +106,7 @@
                 endpoint
                     .said
                     .throttle
-                    .close(now + Duration::from_millis(millis).max(SHORTEST));
+                    .close(now + Duration::from_millis(millis).max(MIN_PAUSE));
             }
             self.log(endpoint, request, rate, candidate, verdict);
             return verdict.wait_ms.is_none();
@@ -124,32 +126,32 @@
         false
     }
 
-    async fn ask_other(&self, address: SocketAddr, endpoint: &Endpoint, cost: u64) -> Option<Verdict> {
+    async fn request_permit(&self, address: SocketAddr, endpoint: &Endpoint, cost: u64) -> Option<Verdict> {
         let now = self.shared.clock.now();
-        if self.away.borrow().get(&address).is_some_and(|until| now < *until) {
+        if self.backoffs.borrow().get(&address).is_some_and(|until| now < *until) {
             return None;
         }
         self.pool.borrow_mut().sweep(now, |_| true);
         let rate = Rate::of(endpoint, now);
         let entry = self.shared.settings.name.clone();
         let question = Question { entry, rate, cost };
-        let asked = timeout(granter::PATIENCE, self.exchange(address, &question)).await;
-        let verdict = asked.ok().flatten();
+        let reply = timeout(granter::PATIENCE, self.exchange(address, &question)).await;
+        let verdict = reply.ok().flatten();
         let now = self.shared.clock.now();
-        let mut away = self.away.borrow_mut();
+        let mut backoffs = self.backoffs.borrow_mut();
         if verdict.is_none() {
-            away.insert(address, now + granter::PAUSE);
+            backoffs.insert(address, now + granter::PAUSE);
             self.shared.metrics.ungranted.inc();
         }
-        away.retain(|_, until| now < *until);
+        backoffs.retain(|_, until| now < *until);
         verdict
     }
 
     async fn exchange(&self, address: SocketAddr, question: &Question) -> Option<Verdict> {
         let question = postcard::to_stdvec(question).ok()?;
         let clock = self.shared.clock;
-        let asked = exchange::ask_pooled(&self.pool, clock, address, granter::PATIENCE, PATH, &question);
-        let answer = asked.await.ok()?;
+        let call = exchange::ask_pooled(&self.pool, clock, address, granter::PATIENCE, PATH, &question);
+        let answer = call.await.ok()?;
         (answer.status == StatusCode::OK)
             .then(|| postcard::from_bytes(&answer.body).ok())
             .flatten()
@@ -171,7 +173,7 @@
     }
 }
 
-/// Grants a request to an endpoint, or says when one can be granted.
+/// Grants a permit for an endpoint, or returns the time until one is available.
 fn grant(now: Instant, endpoint: &Endpoint, cost: u64) -> Verdict {
     let granted = endpoint.said.throttle.grant(now, cost);
     Verdict {
@@ -180,9 +182,9 @@
     }
 }
 
-/// Answers an entry that asks for a permit.
+/// Answers another entry's request for a permit.
 pub async fn answer_permit(shared: &Shared, mut request: Request) -> Response {
-    let Question { entry, rate, cost } = match question::<Question>(&mut request, LARGEST).await {
+    let Question { entry, rate, cost } = match read_body::<Question>(&mut request, MAX_BODY_BYTES).await {
         Ok(question) => question,
         Err(status) => return Response::new(status),
     };
--- a/bergamotshift-forward/src/peers/question.rs
+++ b/bergamotshift-forward/src/peers/question.rs
@@ -1,24 +1,25 @@
-//! Questions of other entries, read off their requests.
+//! Decoding of the requests that other entries send.
 
 use ntex::http::Method;
 use ntex::http::Request;
 use ntex::http::StatusCode;
 use serde::de::DeserializeOwned;
 
-/// Reads a question of at most `largest` bytes.
+/// Reads and decodes a request's body of at most `max_bytes` bytes.
 ///
 /// # Errors
 ///
-/// Returns the status that tells what is wrong with it.
-pub(super) async fn question<T: DeserializeOwned>(request: &mut Request, largest: usize) -> Result<T, StatusCode> {
+/// Returns the status code for the response: the method is not `POST`, or the body is too long, incomplete or
+/// malformed.
+pub(super) async fn read_body<T: DeserializeOwned>(request: &mut Request, max_bytes: usize) -> Result<T, StatusCode> {
     if *request.method() != Method::POST {
         return Err(StatusCode::METHOD_NOT_ALLOWED);
     }
     let mut payload = request.take_payload();
     let mut body = Vec::new();
-    while let Some(piece) = payload.recv().await {
-        match piece {
-            Ok(piece) if body.len() + piece.len() <= largest => body.extend_from_slice(&piece),
+    while let Some(chunk) = payload.recv().await {
+        match chunk {
+            Ok(chunk) if body.len() + chunk.len() <= max_bytes => body.extend_from_slice(&chunk),
             _ => return Err(StatusCode::BAD_REQUEST),
         }
     }
--- a/bergamotshift-forward/src/peers/rounds.rs
+++ b/bergamotshift-forward/src/peers/rounds.rs
@@ -1,60 +1,65 @@
-//! When an entry asks the others next, and how long it waits for them.
+//! Schedule of the rounds in which an entry exchanges states with other entries.
 
 use core::time::Duration;
 
-/// The time between two rounds.
-const PAUSE: Duration = Duration::from_millis(250);
+/// Interval between two rounds.
+const INTERVAL: Duration = Duration::from_millis(250);
 
-/// The time between two rounds of a process that starts and does not know yet who keeps its zone: its callers wait for that.
-const QUICK_PAUSE: Duration = Duration::from_millis(60);
+/// Interval between two rounds of a process that starts and does not know the keeper of its zone yet. Its callers wait
+/// for that.
+const STARTUP_INTERVAL: Duration = Duration::from_millis(60);
 
-/// How many such rounds there are at the most.
-const QUICK_ROUNDS: u32 = 20;
+/// Maximum number of rounds at the startup interval.
+const MAX_STARTUP_ROUNDS: u32 = 20;
 
-/// How long an entry may take to answer; a way between zones takes milliseconds.
-const PATIENCE: Duration = Duration::from_millis(400);
+/// Timeout for another entry's reply. The latency between zones is a few milliseconds.
+const REPLY_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// The same in a quick round.
-const QUICK_PATIENCE: Duration = Duration::from_millis(100);
+/// Timeout for another entry's reply in a startup round.
+const STARTUP_REPLY_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// A round of questions.
+/// Timing of one round.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Round {
-    /// The time before it.
+    /// The delay before the round.
     pub delay: Duration,
-    /// How long an entry may take to answer.
+    /// The timeout for another entry's reply.
     pub timeout: Duration,
 }
 
-/// Tells when an entry asks the others next.
+/// Schedules rounds, faster while a process starts.
 #[derive(Clone, Copy, Debug)]
 pub struct Rounds {
-    quick: u32,
+    startup_rounds_left: u32,
 }
 
 impl Default for Rounds {
     fn default() -> Self {
-        Self { quick: QUICK_ROUNDS }
+        Self {
+            startup_rounds_left: MAX_STARTUP_ROUNDS,
+        }
     }
 }
 
 impl Rounds {
-    /// Returns the next round; `is_lost` says that the process does not know yet who decides for its callers.
+    /// Returns the timing of the next round; `is_discovering` says that the process does not know yet which entry
+    /// decides for its callers.
     ///
-    /// Failure: all entries lose power, and one that is back asks one that is not: nothing refuses the connection, and the
-    /// next round waits for it. Symptom: for half a second nobody knows who keeps the zone, and half of all callers are
-    /// refused. Entries that are back answer within milliseconds, so a round of a process that starts is short.
-    pub fn next(&mut self, is_lost: bool) -> Round {
-        if !is_lost || self.quick == 0 {
+    /// After a power loss of all entries, one that is back may contact one that is not: nothing refuses the connection,
+    /// and the next round waits for it. With the usual timeout no entry knew the keeper of its zone for half a second,
+    /// and half of all callers were refused. Entries that are back reply within milliseconds, so startup rounds are
+    /// short.
+    pub fn next(&mut self, is_discovering: bool) -> Round {
+        if !is_discovering || self.startup_rounds_left == 0 {
             return Round {
-                delay: PAUSE,
-                timeout: PATIENCE,
+                delay: INTERVAL,
+                timeout: REPLY_TIMEOUT,
             };
         }
-        self.quick -= 1;
+        self.startup_rounds_left -= 1;
         Round {
-            delay: QUICK_PAUSE,
-            timeout: QUICK_PATIENCE,
+            delay: STARTUP_INTERVAL,
+            timeout: STARTUP_REPLY_TIMEOUT,
         }
     }
 }
--- a/bergamotshift-forward/src/peers/task.rs
+++ b/bergamotshift-forward/src/peers/task.rs
@@ -1,4 +1,4 @@
-//! Asks the other entries in turn, and answers them.
+//! Periodic exchange of states with the other entries.
 
 use core::cell::RefCell;
 use core::net::SocketAddr;
@@ -19,7 +19,7 @@
 
 use super::message::Reply;
 use super::message::State;
-use super::question::question;
+use super::question::read_body;
 use super::rounds::Rounds;
 use crate::control::Control;
 use crate::control::Question;
@@ -29,57 +29,58 @@
 use crate::limits::Keeper;
 use crate::observe::Topic;
 
-/// The most entries asked in a round. Each answer tells both sides, so with seven entries each hears every other one
-/// several times a second.
-const ASKED: usize = 3;
+/// Maximum number of entries to contact in a round, without the keepers of other zones and the holder of the duties.
+/// Each exchange informs both sides, so among seven entries each receives the state of every other one several times a
+/// second.
+const MAX_CONTACTS: usize = 3;
 
-/// From when on a question that failed met silence: a VM that is reached refuses at once.
-const SILENT: Duration = Duration::from_millis(200);
+/// Duration from which a failed call counts as timed out: a VM that can be reached refuses the connection at once.
+const TIMED_OUT_AFTER: Duration = Duration::from_millis(200);
 
-/// The path that entries ask at.
+/// Path of requests that exchange states.
 const PATH: &str = "/exchange";
 
-/// The largest question, in bytes.
-const LARGEST: usize = 1 << 20;
+/// Maximum size of a request's body, in bytes.
+const MAX_BODY_BYTES: usize = 1 << 20;
 
-/// Why another entry's answer cannot be used.
+/// Error of an exchange with another entry.
 #[derive(Debug)]
 #[derive(Error)]
 enum Error {
     #[error(transparent)]
     Exchange(#[from] Failure),
     #[error("no whole answer in time: {received} bytes came")]
-    Late { received: usize },
+    Timeout { received: usize },
     #[error("the answer cannot be decoded: {0}")]
     Decode(#[from] postcard::Error),
-    #[error("status {0}")]
+    #[error("the entry answered with status {0}")]
     Status(u16),
 }
 
-/// Asks other entries for as long as the process lives.
+/// Exchanges states with other entries until the process ends.
 pub async fn run(control: Control) {
     let connections = RefCell::new(HashMap::new());
     let Some(mut inbox) = control.take_inbox() else {
         return;
     };
-    let answering = control.clone();
+    let responder = control.clone();
     ntex::rt::spawn(async move {
-        // Whoever asked may have gone meanwhile.
+        // The requester may have gone meanwhile.
         while let Some(question) = inbox.recv().await {
             match question {
-                Question::Exchange { state, reply } => drop(reply.send(answering.asked(*state))),
-                Question::Document { version, reply } => drop(reply.send(answering.offer(version))),
+                Question::Exchange { state, reply } => drop(reply.send(responder.asked(*state))),
+                Question::Document { version, reply } => drop(reply.send(responder.offer(version))),
             }
         }
     });
     let mut rounds = Rounds::default();
     loop {
-        let is_lost = control.keeping().keeper == Keeper::Unknown;
-        let round = rounds.next(is_lost || control.is_alone());
+        let is_discovering = control.keeping().keeper == Keeper::Unknown;
+        let round = rounds.next(is_discovering || control.is_alone());
         tokio::time::sleep(round.delay).await;
         control.tick();
-        let mut due: Vec<(Option<name::Entry>, SocketAddr)> = control
-            .due(ASKED)
+        let mut targets: Vec<(Option<name::Entry>, SocketAddr)> = control
+            .due(MAX_CONTACTS)
             .into_iter()
             .map(|(entry, address)| (Some(entry), address))
             .collect();
@@ -90,34 +91,34 @@
                 .seeds
                 .iter()
                 .filter(|seed| **seed != settings.listen.peers);
-            due.extend(others.map(|seed| (None, *seed)));
+            targets.extend(others.map(|seed| (None, *seed)));
         }
         let state = control.state();
         let (Ok(question), Ok(brief)) = (postcard::to_stdvec(&state), postcard::to_stdvec(&state.brief())) else {
             continue;
         };
-        let asks = due.into_iter().map(|(entry, address)| {
+        let exchanges = targets.into_iter().map(|(entry, address)| {
             let is_brief = entry.as_ref().is_some_and(|entry| control.is_brief(entry));
             let question = if is_brief { &brief } else { &question };
-            ask(&control, &connections, entry, address, question, round.timeout)
+            contact(&control, &connections, entry, address, question, round.timeout)
         });
-        join_all(asks).await;
+        join_all(exchanges).await;
     }
 }
 
-async fn ask(
+async fn contact(
     control: &Control,
     connections: &RefCell<HashMap<SocketAddr, Connection>>,
     entry: Option<name::Entry>,
     address: SocketAddr,
     question: &[u8],
-    patience: Duration,
+    timeout: Duration,
 ) {
     let began = control.shared().clock.now();
-    let asked = exchange(connections, address, question, patience).await;
+    let result = exchange(connections, address, question, timeout).await;
     let now = control.shared().clock.now();
     let took = now.since(began);
-    match asked {
+    match result {
         Ok(reply) => control.answered(reply),
         Err(error) => {
             if let Some((logger, left_out)) = control.shared().log.room(now, Topic::Peers) {
@@ -125,7 +126,7 @@
                     "ms" => took.as_millis() as u64, "left_out" => left_out);
             }
             if let Some(entry) = entry {
-                control.peer_failed(&entry, took >= SILENT.min(patience));
+                control.peer_failed(&entry, took >= TIMED_OUT_AFTER.min(timeout));
             }
         }
     }
@@ -135,20 +136,20 @@
     connections: &RefCell<HashMap<SocketAddr, Connection>>,
     address: SocketAddr,
     question: &[u8],
-    patience: Duration,
+    timeout: Duration,
 ) -> Result<Reply, Error> {
-    let deadline = Instant::now() + patience;
-    let kept = connections
+    let deadline = Instant::now() + timeout;
+    let idle = connections
         .borrow_mut()
         .remove(&address)
         .filter(Connection::is_reusable);
-    let mut connection = match kept {
+    let mut connection = match idle {
         Some(connection) => connection,
-        None => Connection::open(address, patience).await?,
+        None => Connection::open(address, timeout).await?,
     };
     let before = connection.total();
     let call = timeout_at(deadline, exchange::call(&mut connection, address, PATH, question)).await;
-    let answer = call.map_err(|_late| Error::Late {
+    let answer = call.map_err(|_elapsed| Error::Timeout {
         received: connection.total() - before,
     })??;
     if answer.status != StatusCode::OK {
@@ -158,12 +159,12 @@
     Ok(postcard::from_bytes(&answer.body)?)
 }
 
-/// Answers another entry's question.
+/// Answers another entry's state with this entry's.
 pub async fn answer_exchange(control: &mpsc::UnboundedSender<Question>, mut request: Request) -> Response {
     if request.path() != PATH {
         return Response::new(StatusCode::NOT_FOUND);
     }
-    let state = match question::<State>(&mut request, LARGEST).await {
+    let state = match read_body::<State>(&mut request, MAX_BODY_BYTES).await {
         Ok(state) => state,
         Err(status) => return Response::new(status),
     };
--- a/bergamotshift-forward/src/peers/update.rs
+++ b/bergamotshift-forward/src/peers/update.rs
@@ -1,7 +1,8 @@
-//! The newest document, as one entry gives it to another that has an older one.
+//! Transfer of the newest document from one entry to another that has an older version.
 //!
-//! What entries tell one another several times a second says which version each has. Whoever hears of a newer one asks one
-//! of those that have it for what it lacks: one at a time, and for as long as it keeps coming.
+//! Entries announce their versions in the states that they exchange several times a second. An entry that learns of a
+//! newer version downloads the changes from one entry that has it, one download at a time. It does not give up a
+//! download that keeps making progress.
 
 use core::net::SocketAddr;
 use core::time::Duration;
@@ -24,7 +25,7 @@
 use tokio::sync::oneshot;
 
 use super::message::Freshness;
-use super::question::question;
+use super::question::read_body;
 use crate::control::Question;
 use crate::document::Difference;
 use crate::document::Document;
@@ -33,51 +34,52 @@
 use crate::exchange::Connection;
 use crate::exchange::Failure;
 
-/// The path at which an entry is asked for its document.
+/// Path of requests for an entry's document.
 pub const PATH: &str = "/document";
 
-/// How many entries one gives its document to at the same time. Its link is its callers' too, and each that has got the
-/// document gives it on; those that are turned away ask another one.
+/// Maximum number of entries to which an entry sends its document at the same time. Its callers use the same link.
+/// Entries that have received the document pass it on, and entries that are turned away ask another one.
 pub const MAX_UPLOADS: usize = 4;
 
-/// How long an entry that gives a document may take to accept a connection, to begin, and for each further [`STEP`]. A way
-/// between zones takes milliseconds, and the narrowest links carry that much in 13 ms; what is forty times as slow had
-/// better come from somebody else.
-const PATIENCE: Duration = Duration::from_millis(500);
+/// Timeout for the sender of a document to accept the connection, to begin its response, and to deliver each further
+/// [`MIN_PROGRESS_BYTES`]. The latency between zones is a few milliseconds, and the narrowest links carry that much in
+/// 13 ms. When a sender is forty times as slow, another one is a better source.
+const STALL_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// How much of a document has to come within [`PATIENCE`], in bytes.
-const STEP: usize = 16 * 1_024;
+/// Amount of a document that must arrive within each [`STALL_TIMEOUT`], in bytes.
+const MIN_PROGRESS_BYTES: usize = 16 * 1_024;
 
-/// The largest question, in bytes.
-const LARGEST: usize = 64;
+/// Maximum size of a request's body, in bytes.
+const MAX_BODY_BYTES: usize = 64;
 
-/// How much is handed to a connection at a time, in bytes.
-const PIECE: usize = 16 * 1_024;
+/// Size of the chunks in which a response is passed to a connection, in bytes.
+const CHUNK_BYTES: usize = 16 * 1_024;
 
-/// What an entry that lacks the newest document asks.
+/// A request for the newest document.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
-struct Ask {
-    /// The version that it has; 0 without one.
+struct Query {
+    /// The version that the requester has; 0 without one.
     version: u64,
 }
 
-/// What an entry lacks of another one's document.
+/// The changes from the requester's document to the newest one.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub enum Update<'a> {
-    /// What each version since its own changed.
+    /// The differences between the versions since the requester's.
     Steps(Vec<Cow<'a, Difference>>),
-    /// All of the document.
+    /// The whole document.
     Whole(Cow<'a, Document>),
 }
 
 impl Update<'_> {
-    /// Makes the newer document out of the one that this entry has; returns the steps to it, too, where they were told.
+    /// Applies the update to this entry's document, and returns the newer document with the differences that led to it,
+    /// if the update consists of them.
     ///
     /// # Errors
     ///
-    /// Returns [`Mismatch`] when it starts from another version.
+    /// Returns [`Mismatch`] when the update starts from another version, or contains no difference.
     pub fn apply(self, before: &Document) -> Result<(Document, Option<Vec<Difference>>), Mismatch> {
         let steps: Vec<Difference> = match self {
             Self::Whole(document) => return Ok((document.into_owned(), None)),
@@ -94,65 +96,67 @@
     }
 }
 
-/// What an entry that is asked for its document does.
+/// An entry's response to a request for its document.
 #[derive(Debug)]
 pub enum Offer {
-    /// It has nothing newer.
+    /// The entry has no newer document.
     Nothing,
-    /// It gives it to enough others at the moment.
+    /// The entry already sends its document to [`MAX_UPLOADS`] others.
     Busy,
-    /// It gives what the other one lacks.
+    /// The entry sends the changes.
     Update {
-        /// How fresh it knows its document to be.
+        /// The freshness of its document.
         freshness: Option<Freshness>,
         /// The [`Update`], encoded.
         encoded: Bytes,
-        /// Counts it among the [`MAX_UPLOADS`] until it has gone out.
+        /// The permit of the upload, held until it has been sent.
         permit: OwnedSemaphorePermit,
     },
 }
 
-/// Why an entry's document did not come.
+/// Error of the download of a document.
 #[derive(Debug)]
 #[derive(ThisError)]
 pub enum Error {
-    /// It gives it to enough others at the moment.
-    #[error("it gives it to enough others")]
+    /// The other entry already sends its document to [`MAX_UPLOADS`] others.
+    #[error("the entry is sending its document to the maximum number of others")]
     Busy,
-    /// It has nothing newer any more.
-    #[error("it has nothing newer")]
+    /// The other entry no longer has a newer document.
+    #[error("the entry has no newer document")]
     Nothing,
-    /// The way to it broke, or it was silent.
+    /// The connection failed, or the other entry did not respond in time.
     #[error(transparent)]
     Exchange(#[from] Failure),
-    /// It is no document.
+    /// The response is malformed.
     #[error("the answer cannot be decoded: {0}")]
     Decode(#[from] postcard::Error),
 }
 
-/// A document as it came.
+/// A downloaded document.
 #[derive(Debug)]
 pub struct Download {
-    /// How fresh the other entry knew it to be when it began to tell.
+    /// The freshness of the sender's document when it began its response.
     pub freshness: Option<Freshness>,
-    /// What this entry lacked.
+    /// The changes.
     pub update: Update<'static>,
-    /// How long the answer was, in bytes.
+    /// The size of the response, in bytes.
     pub bytes: usize,
 }
 
-/// Asks an entry for what it has beyond a version.
+/// Downloads the changes since `version` from an entry.
+///
+/// A download that keeps making progress is never given up, because a restart of a long one would waste all that has
+/// arrived.
 ///
 /// # Errors
 ///
-/// Returns why it did not come. What keeps coming is never given up: the longer a document is, the more would be lost by
-/// beginning anew.
+/// Returns [`Error`] when the other entry refuses, the connection fails or stalls, or the response is malformed.
 pub async fn fetch(address: SocketAddr, version: u64) -> Result<Download, Error> {
-    let question = postcard::to_stdvec(&Ask { version })?;
-    let mut connection = Connection::open(address, PATIENCE).await?;
+    let question = postcard::to_stdvec(&Query { version })?;
+    let mut connection = Connection::open(address, STALL_TIMEOUT).await?;
     let pace = Pace {
-        bytes: STEP,
-        within: PATIENCE,
+        bytes: MIN_PROGRESS_BYTES,
+        within: STALL_TIMEOUT,
     };
     let answer = exchange::download(&mut connection, address, PATH, &question, pace).await?;
     match answer.status {
@@ -168,14 +172,14 @@
     })
 }
 
-/// Answers an entry that lacks the newest document.
+/// Answers another entry's request for the newest document.
 pub async fn answer_document(control: &mpsc::UnboundedSender<Question>, mut request: Request) -> Response {
-    let ask = match question::<Ask>(&mut request, LARGEST).await {
-        Ok(ask) => ask,
+    let query = match read_body::<Query>(&mut request, MAX_BODY_BYTES).await {
+        Ok(query) => query,
         Err(status) => return Response::new(status),
     };
     let (reply, answer) = oneshot::channel();
-    let version = ask.version;
+    let version = query.version;
     if control.send(Question::Document { version, reply }).is_err() {
         return Response::new(StatusCode::SERVICE_UNAVAILABLE);
     }
@@ -190,18 +194,19 @@
     }
 }
 
-/// Makes an answer that goes out piece by piece, as the connection takes it, and gives the permit back behind the last one.
+/// Creates a response that is sent in chunks as the connection accepts them, and releases the permit after the last
+/// one.
 fn response(freshness: Option<Freshness>, encoded: &Bytes, permit: OwnedSemaphorePermit) -> Response {
     let Ok(head) = postcard::to_stdvec(&freshness) else {
         return Response::new(StatusCode::INTERNAL_SERVER_ERROR);
     };
     let length = head.len() + encoded.len();
-    let mut pieces = vec![ntex::util::Bytes::from(head)];
-    pieces.extend(encoded.chunks(PIECE).map(ntex::util::Bytes::copy_from_slice));
-    let pieces = pieces.into_iter().map(move |piece| {
-        let _held = &permit;
-        Ok::<_, Rc<dyn core::error::Error>>(piece)
+    let mut chunks = vec![ntex::util::Bytes::from(head)];
+    chunks.extend(encoded.chunks(CHUNK_BYTES).map(ntex::util::Bytes::copy_from_slice));
+    let chunks = chunks.into_iter().map(move |chunk| {
+        let _permit = &permit;
+        Ok::<_, Rc<dyn core::error::Error>>(chunk)
     });
-    let body = SizedStream::new(length as u64, stream::iter(pieces));
+    let body = SizedStream::new(length as u64, stream::iter(chunks));
     Response::build(StatusCode::OK).body(Body::from_message(body))
 }
--- a/bergamotshift-forward/tests/kernel/holders.rs
+++ b/bergamotshift-forward/tests/kernel/holders.rs
@@ -1,4 +1,4 @@
-//! Which other entry is asked for a newer document.
+//! Choice of the entry from which a newer document is downloaded.
 
 use core::time::Duration;
 use std::collections::BTreeSet;
@@ -12,7 +12,7 @@
 use crate::members::state;
 use crate::support::at;
 
-fn holds(entry: &str, zone: &str, document: u64) -> State {
+fn state_with_document(entry: &str, zone: &str, document: u64) -> State {
     State {
         document,
         zone: zone.into(),
@@ -28,40 +28,40 @@
 }
 
 #[test]
-fn who_has_nothing_newer_is_not_asked() {
+fn entries_without_a_newer_document_are_not_chosen() {
     let mut members = members("entry-0");
-    members.record_state(at(0), holds("entry-1", "one", 7));
+    members.record_state(at(0), state_with_document("entry-1", "one", 7));
     assert_eq!(members.document_source(at(100), 7), Source::Nobody);
     assert_eq!(chosen(&members, at(100), 6), Some("entry-1".into()));
 }
 
-/// Bytes between zones are paid for, and links within one are the widest.
+/// Traffic between zones costs money, and links within a zone are the widest.
 #[test]
-fn an_entry_of_the_own_zone_comes_first() {
+fn an_entry_of_the_own_zone_is_preferred() {
     let mut members = members("entry-0");
     for number in 1..9 {
-        members.record_state(at(0), holds(&format!("entry-{number}"), "two", 7));
+        members.record_state(at(0), state_with_document(&format!("entry-{number}"), "two", 7));
     }
-    members.record_state(at(0), holds("entry-9", "one", 7));
+    members.record_state(at(0), state_with_document("entry-9", "one", 7));
     assert_eq!(chosen(&members, at(100), 6), Some("entry-9".into()));
 }
 
-/// A document two versions newer would have to be followed by another call for the next one.
+/// Guards against a download of a version that is not the newest, which needs another download after it.
 #[test]
-fn the_newest_document_comes_before_the_own_zone() {
+fn the_newest_document_is_preferred_over_the_own_zone() {
     let mut members = members("entry-0");
-    members.record_state(at(0), holds("entry-1", "one", 7));
-    members.record_state(at(0), holds("entry-2", "two", 8));
+    members.record_state(at(0), state_with_document("entry-1", "one", 7));
+    members.record_state(at(0), state_with_document("entry-2", "two", 8));
     assert_eq!(chosen(&members, at(100), 6), Some("entry-2".into()));
 }
 
-/// One entry gives its document to so many others and turns the rest away. They ask another one, and it again a moment
-/// later; with all of them busy there is nobody to ask, which is not the same as that nobody has it.
+/// An entry at its limit of uploads turns others away. They ask another one, and come back a moment later. When all are
+/// busy, the result differs from that when no entry has a newer document.
 #[test]
-fn who_did_not_give_it_is_spared_for_a_while() {
+fn a_refused_download_is_deferred() {
     let mut members = members("entry-0");
-    members.record_state(at(0), holds("entry-1", "one", 7));
-    members.record_state(at(0), holds("entry-2", "one", 7));
+    members.record_state(at(0), state_with_document("entry-1", "one", 7));
+    members.record_state(at(0), state_with_document("entry-2", "one", 7));
     let first = chosen(&members, at(100), 6).expect("there are two");
     members.defer_download(at(100), &first, Duration::from_millis(80));
     let second = chosen(&members, at(100), 6).expect("there is one more");
@@ -71,25 +71,24 @@
     assert_eq!(chosen(&members, at(180), 6), Some(first));
 }
 
-/// A holder that was cut off or killed is silent, and each question to it costs half a second.
+/// Guards against requests to an entry that is partitioned or gone, each of which takes half a second to fail.
 #[test]
-fn who_was_not_heard_for_long_is_not_asked() {
+fn silent_entries_are_not_chosen() {
     let mut members = members("entry-0");
-    members.record_state(at(0), holds("entry-1", "one", 7));
+    members.record_state(at(0), state_with_document("entry-1", "one", 7));
     assert_eq!(members.document_source(at(10_000), 6), Source::Nobody);
 }
 
-/// Thirty entries hear at once that eight others have a newer document. If all asked the same one, its link would carry
-/// thirty copies and the others' none.
+/// Guards against thirty entries that learn of a newer document at once and all download it from the same one of eight.
 #[test]
-fn not_all_ask_the_same_one() {
-    let ask = |asker: usize| {
-        let mut members = members(&format!("asker-{asker}"));
+fn entries_choose_different_sources() {
+    let choose = |requester: usize| {
+        let mut members = members(&format!("asker-{requester}"));
         for number in 1..9 {
-            members.record_state(at(0), holds(&format!("entry-{number}"), "one", 7));
+            members.record_state(at(0), state_with_document(&format!("entry-{number}"), "one", 7));
         }
         chosen(&members, at(100), 6).expect("there are eight")
     };
-    let asked: BTreeSet<_> = (0..30).map(ask).collect();
-    assert!(asked.len() >= 6, "{asked:?}");
+    let sources: BTreeSet<_> = (0..30).map(choose).collect();
+    assert!(sources.len() >= 6, "{sources:?}");
 }
--- a/bergamotshift-forward/tests/kernel/members.rs
+++ b/bergamotshift-forward/tests/kernel/members.rs
@@ -1,4 +1,4 @@
-//! Which other entries there are, and who asks whom.
+//! Membership of the fleet, keepers of zones, and the schedule of exchanges.
 
 use core::time::Duration;
 use std::collections::BTreeMap;
@@ -45,7 +45,7 @@
     }
 }
 
-fn listed(entry: &str, core_share: u16) -> Contact {
+fn contact(entry: &str, core_share: u16) -> Contact {
     Contact {
         entry: entry.into(),
         address: "127.0.0.1:9".parse().expect("an address"),
@@ -58,20 +58,20 @@
     Members::new(own.into(), "one".into(), 120)
 }
 
-/// Makes a member of a fleet of 40 entries in two zones, who heard all others at a moment.
+/// Creates the membership list of an entry in a fleet of 40 entries in two zones that received all states at `now`.
 fn large(now: Instant) -> Members {
     let mut members = self::members("entry-00");
     for number in 1..40 {
         let mut state = state(&format!("entry-{number:02}"), true);
         state.zone = if number < 20 { "one".into() } else { "two".into() };
-        // The other zone's keeper is known beforehand.
+        // Makes this entry the keeper of the other zone.
         state.core_share = if number == 33 { 500 } else { 120 };
         members.record_state(now, state);
     }
     members
 }
 
-/// Returns the name of the entry of zone `one` that comes first, without some.
+/// Returns the name of the highest-ranked entry of zone `one`, except those in `without`.
 fn first(without: &[&str]) -> String {
     let names: Vec<name::Entry> = (0..20)
         .map(|number| name::Entry::new(format!("entry-{number:02}")))
@@ -81,10 +81,9 @@
     keeper::first(candidates)[0].expect("there is one").to_string()
 }
 
-/// An entry that comes first in rank is cut off from the store but heard by the others. If they waited for its news,
-/// changes would reach nobody in time. Only entries that reach the store count.
+/// Guards against entries that wait for changes from the first in rank while that one cannot reach the store.
 #[test]
-fn who_does_not_reach_the_store_comes_before_nobody() {
+fn entries_that_cannot_reach_the_store_do_not_rank() {
     let mut members = self::members("entry-2");
     members.record_state(at(0), state("entry-1", true));
     assert_eq!(members.rank(at(100)), 1);
@@ -93,7 +92,7 @@
 }
 
 #[test]
-fn who_is_silent_comes_before_nobody_and_is_forgotten_in_the_end() {
+fn silent_entries_do_not_rank_and_finally_expire() {
     let mut members = self::members("entry-2");
     members.record_state(at(0), state("entry-1", true));
     assert_eq!(members.rank(at(5_000)), 0);
@@ -103,21 +102,21 @@
 }
 
 #[test]
-fn every_entry_is_asked_in_turn() {
+fn every_entry_is_contacted_in_turn() {
     let mut members = self::members("entry-0");
     for number in 1..7 {
         members.record_state(at(0), state(&format!("entry-{number}"), true));
     }
-    let mut asked: Vec<_> = (1..=2)
+    let mut contacted: Vec<_> = (1..=2)
         .flat_map(|round| members.due(at(round * 250), 3, None))
         .collect();
-    asked.sort();
-    asked.dedup();
-    assert_eq!(asked.len(), 6);
+    contacted.sort();
+    contacted.dedup();
+    assert_eq!(contacted.len(), 6);
 }
 
 #[test]
-fn who_did_not_answer_is_left_alone_for_a_moment() {
+fn a_failed_call_starts_a_backoff() {
     let mut members = self::members("entry-0");
     members.record_state(at(0), state("entry-1", true));
     members.record_failure(at(100), &"entry-1".into(), false);
@@ -125,29 +124,29 @@
     assert_eq!(members.due(at(700), 3, None).len(), 1);
 }
 
-/// In a fleet of sixty entries each can hear only a few a second. The entries of the own zone, which share its
-/// endpoints, are heard about twice a second all the same, and every other one within some seconds.
+/// In a fleet of sixty entries each can contact only a few per second. Entries of its own zone, which share the
+/// endpoints there, still come up about twice a second, and all others within some seconds.
 #[test]
-fn in_a_large_fleet_the_own_zone_is_heard_most() {
+fn in_a_large_fleet_the_own_zone_is_contacted_most() {
     let mut members = self::members("entry-0");
     for number in 1..60 {
         let mut state = state(&format!("entry-{number}"), true);
         state.zone = if number <= 6 { "one".into() } else { "two".into() };
         members.record_state(at(0), state);
     }
-    let mut near = 0;
-    let mut far = std::collections::BTreeSet::new();
+    let mut local = 0;
+    let mut remote = std::collections::BTreeSet::new();
     for round in 1..=60 {
         for (entry, _) in members.due(at(round * 250), 3, None) {
             let number: u32 = entry.as_str()[6..].parse().expect("a number");
             if number <= 6 {
-                near += 1;
+                local += 1;
             } else {
-                far.insert(number);
+                remote.insert(number);
             }
         }
     }
-    assert_eq!((near, far.len()), (120, 53));
+    assert_eq!((local, remote.len()), (120, 53));
 }
 
 #[test]
@@ -159,8 +158,8 @@
     assert_eq!(members.keeping(at(100)), Keeping::default());
 }
 
-/// The keeper of a zone falls silent. For as long as it may merely be heard late it stays the keeper, and its deputy is
-/// asked in its place; then the deputy follows it. An entry that says that it stops is followed at once.
+/// The keeper of a zone stops sending. It remains the keeper, with its deputy standing in, as long as its messages may
+/// merely be late; then the deputy takes over. A keeper that announces its shutdown is replaced at once.
 #[test]
 fn a_keeper_that_falls_silent_is_followed_by_its_deputy() {
     let own = first(&[]);
@@ -187,8 +186,8 @@
     assert_eq!(members.keeping(at(12_800)).keeper, Keeper::Own);
 }
 
-/// A VM is cut off. It hears nobody of its zone, so everybody else looks dead to it; would it keep the zone then, it would
-/// grant what the real keeper grants too.
+/// Guards against a partitioned entry to which all others look dead, and which makes itself the keeper and grants the
+/// same units as the real one.
 #[test]
 fn who_hears_nobody_of_its_zone_keeps_nothing() {
     let mut members = Members::new(first(&[]).as_str().into(), "one".into(), 900);
@@ -199,29 +198,29 @@
     assert_eq!(members.keeping(at(13_000)).keeper, Keeper::Unknown);
 }
 
-/// In a large fleet an entry hears each other one directly every few seconds. Word of others who heard it counts, or it
-/// would look dead in between.
+/// In a large fleet an entry receives each other one's state only every few seconds. Reports of others keep it alive in
+/// between.
 #[test]
-fn who_was_heard_by_others_is_alive() {
+fn entries_heard_by_others_are_alive() {
     let mut members = large(at(10_000));
-    let mut told = large(at(13_000));
-    let (zones, names) = told.member_list(at(13_100));
+    let mut other = large(at(13_000));
+    let (zones, names) = other.member_list(at(13_100));
     assert_eq!(members.keeping(at(13_100)).keeper, Keeper::Unknown);
     members.merge_members(at(13_100), &zones, &names);
-    assert_eq!(members.keeping(at(13_200)), told.keeping(at(13_200)));
-    assert_ne!(told.keeping(at(13_200)).keeper, Keeper::Unknown);
-    told.set_stopping();
-    assert_ne!(told.keeping(at(13_200)).keeper, Keeper::Own);
+    assert_eq!(members.keeping(at(13_200)), other.keeping(at(13_200)));
+    assert_ne!(other.keeping(at(13_200)).keeper, Keeper::Unknown);
+    other.set_stopping();
+    assert_ne!(other.keeping(at(13_200)).keeper, Keeper::Own);
 }
 
-/// All entries start at once and know one another from the list alone. The one that would keep the zone is asked in the
-/// first round; after it was heard, nobody waits for it any more.
+/// All entries start at once and know one another from the stored list alone. The likely keeper is contacted in the
+/// first round, so that callers do not wait for it.
 #[test]
 fn who_starts_asks_the_likely_keeper_first() {
     let mut members = self::members("entry-00");
     for number in 1..40 {
         let core_share = if number == 33 { 500 } else { 120 };
-        members.add_contact(at(10_000), &listed(&format!("entry-{number:02}"), core_share));
+        members.add_contact(at(10_000), &contact(&format!("entry-{number:02}"), core_share));
     }
     assert_eq!(members.keeping(at(10_000)).keeper, Keeper::Unknown);
     let due = members.due(at(10_000), 3, None);
@@ -229,7 +228,7 @@
 }
 
 #[test]
-fn keepers_of_zones_ask_one_another_each_round() {
+fn keepers_of_zones_contact_one_another_each_round() {
     let mut members = Members::new("entry-00".into(), "one".into(), 900);
     for number in 1..40 {
         let mut state = state(&format!("entry-{number:02}"), true);
@@ -245,34 +244,33 @@
 }
 
 #[test]
-fn the_holder_of_the_duties_is_asked_every_other_second_in_a_large_fleet() {
+fn the_holder_of_the_duties_is_contacted_every_other_second_in_a_large_fleet() {
     let mut members = self::members("entry-00");
     for number in 1..40 {
         members.record_state(at(0), state(&format!("entry-{number:02}"), true));
     }
     let holder = name::Entry::new("entry-33");
-    let asked = (8..48).filter(|round| {
+    let contacted = (8..48).filter(|round| {
         members
             .due(at(round * 250), 3, Some(&holder))
             .iter()
             .any(|(entry, _)| *entry == holder)
     });
-    assert!((5..=7).contains(&asked.count()));
+    assert!((5..=7).contains(&contacted.count()));
 }
 
-/// A VM is gone for good and its row is still read. Entries that never heard it do not name it to others, or it would be
-/// remembered for ever and its share of each limit lie idle.
+/// Guards against an entry that is gone for good while its row is still read: if others kept telling each other of it,
+/// it would never expire, and its share of each limit would stay unused.
 #[test]
 fn who_was_never_heard_is_named_to_nobody_and_soon_forgotten() {
     let mut members = self::members("entry-0");
-    members.add_contact(at(0), &listed("entry-1", 120));
+    members.add_contact(at(0), &contact("entry-1", 120));
     assert!(members.member_list(at(0)).1.is_empty());
     assert_eq!(members.expire(at(9_000)), [name::Entry::new("entry-1")]);
 }
 
-/// A zone is cut off for five seconds, and endpoints there leave. Its entries' calls of the store fail, but it is not the store
-/// that is away: others go on reading it, and what they tell after the cut is true at once. A store that nobody reaches is
-/// away, as far as this entry can tell.
+/// Guards against an entry that takes its own partition for an outage of the store, and keeps using endpoints that left
+/// meanwhile. The store counts as down only if no other entry reaches it either and other zones are not unreachable.
 #[test]
 fn a_cut_off_entry_does_not_take_the_store_for_away() {
     const SPAN: Duration = Duration::from_millis(1_500);
@@ -292,29 +290,29 @@
     );
 }
 
-/// A zone is cut off. Its entries hear each other and ask those of other zones in vain, so after a moment they know; when
-/// the others' processes merely ended, their VMs refuse the connections and nobody is cut off.
+/// An entry whose calls to other zones time out is partitioned. If the processes there merely ended, their VMs refuse
+/// the connections, and it is not.
 #[test]
 fn who_asks_other_zones_in_vain_is_cut_off() {
-    for (is_silent, expected) in [(true, true), (false, false)] {
+    for (timed_out, expected) in [(true, true), (false, false)] {
         let mut members = large(at(10_000));
         assert!(!members.is_cut_off(at(10_500)));
         for number in 1..20 {
             members.record_state(at(11_400), state(&format!("entry-{number:02}"), true));
         }
-        members.record_failure(at(11_400), &"entry-33".into(), is_silent);
+        members.record_failure(at(11_400), &"entry-33".into(), timed_out);
         assert_eq!(members.is_cut_off(at(11_500)), expected);
-        let mut far = state("entry-34", true);
-        far.zone = "two".into();
-        members.record_state(at(11_600), far);
+        let mut remote = state("entry-34", true);
+        remote.zone = "two".into();
+        members.record_state(at(11_600), remote);
         assert!(!members.is_cut_off(at(11_700)), "one is heard again");
     }
 }
 
-/// Three hundred entries tell each other whom they know. If each named all others each time, their words would fill the
-/// links of small VMs; they name their own zone and the keepers of the others, and all of them once in a while.
+/// Guards against membership lists that fill the links of small VMs: each of 300 entries sends those of its own zone
+/// and the keepers of the others, and the complete list only once in a while.
 #[test]
-fn a_large_fleet_names_all_entries_only_once_in_a_while() {
+fn a_large_fleet_rarely_sends_complete_member_lists() {
     let mut members = self::members("entry-000");
     for number in 1..300 {
         let mut state = state(&format!("entry-{number:03}"), true);
@@ -339,31 +337,31 @@
     assert!(!members.is_brief(at(60_500), &"entry-001".into()));
 }
 
-/// Guards against an endpoint's budget at entries that hear one another seldom: in a large fleet only keepers grant.
+/// Guards against permits from entries that exchange states too seldom: in a large fleet only keepers grant.
 #[test]
-fn in_a_large_fleet_the_keepers_grant() {
+fn in_a_large_fleet_only_keepers_grant() {
     let now = at(10_000);
     let granters = large(now).granters(now, true);
     assert_eq!(granters.len(), 2, "one for each zone");
 }
 
-/// Guards against entries that start at once and each grant an endpoint's burst, as they have not heard one another yet.
+/// Guards against entries that start at once and each grant an endpoint's full burst before they know one another.
 #[test]
-fn who_starts_and_has_heard_nobody_grants_nothing_while_there_may_be_others() {
+fn a_starting_entry_grants_nothing_while_it_may_have_peers() {
     let mut members = self::members("entry-0");
     members.set_started(at(100));
     assert_eq!(members.granters(at(200), false), []);
     assert_eq!(members.granters(at(200), true).len(), 1, "it is the only one");
-    members.add_contact(at(200), &listed("entry-1", 120));
+    members.add_contact(at(200), &contact("entry-1", 120));
     assert_eq!(members.granters(at(300), true), []);
     assert_eq!(members.granters(at(9_000), true).len(), 1, "the other one is gone");
     members.record_state(at(9_100), state("entry-1", true));
     assert_eq!(members.granters(at(9_200), true).len(), 2);
 }
 
-/// Guards against an entry that is asked for permits although it is about to end.
+/// Guards against requests for permits to an entry that is shutting down.
 #[test]
-fn who_stops_grants_nothing() {
+fn a_stopping_entry_grants_nothing() {
     let mut members = self::members("entry-0");
     members.record_state(at(100), state("entry-1", true));
     members.record_state(at(100), state("entry-2", true));
