--- a/bergamotshift-forward/src/control/talk.rs
+++ b/bergamotshift-forward/src/control/talk.rs
@@ -9,7 +9,7 @@
 use super::inner::Inner;
 use super::inner::core_share;
 use crate::endpoint::Event;
-use crate::follow::Knowledge;
+use crate::follow::Checkpoint;
 use crate::limits::Keeper;
 use crate::observe::Topic;
 use crate::outside::Cursor;
@@ -21,7 +21,7 @@
 use crate::view::Shared;
 
 /// Returns how fresh something is known, in the form in which it is told.
-pub(super) fn told(knowledge: &Knowledge, now: Instant) -> Option<Freshness> {
+pub(super) fn told(knowledge: &Checkpoint, now: Instant) -> Option<Freshness> {
     knowledge.age(now).map(|age| Freshness {
         cursor: knowledge.cursor().0,
         age_ms: u32::try_from(age.as_millis()).unwrap_or(u32::MAX),
@@ -29,9 +29,9 @@
 }
 
 /// Takes in how fresh another entry knows something that it has in the same state.
-pub(super) fn learn(knowledge: &mut Knowledge, now: Instant, known: Option<Freshness>) {
+pub(super) fn learn(knowledge: &mut Checkpoint, now: Instant, known: Option<Freshness>) {
     if let Some(Freshness { cursor, age_ms }) = known {
-        knowledge.learn(now, Cursor(cursor), Duration::from_millis(age_ms.into()));
+        knowledge.confirm(now, Cursor(cursor), Duration::from_millis(age_ms.into()));
     }
 }
 
@@ -45,12 +45,12 @@
             organisation: name.clone(),
             demand: organisation.demand.get(),
             share: if keeps {
-                organisation.zone_share.told()
+                organisation.zone_share.announced()
             } else {
-                organisation.share.told()
+                organisation.share.announced()
             },
         });
-        let flown = self.directory.endpoints().map(|endpoint| endpoint.flown(keeps));
+        let flown = self.directory.endpoints().map(|endpoint| endpoint.in_flight(keeps));
         let (zones, members) = self.members.member_list(now);
         let reading = self
             .services
@@ -84,12 +84,12 @@
             limit_usage: uses.collect(),
             in_flight: flown.filter(|flown| flown.running > 0).collect(),
             prompt_rates: reading.filter(|(_, rate)| *rate > 0.0).collect(),
-            cached_parts: shared.recall().told(now),
+            cached_parts: shared.recall().announced(now),
             windows: shared.tally.windows(),
             suspicions: self.quarantine.suspicions(now),
             rates: self.told_rates(now),
             rollouts: self.told_rollouts(now),
-            evidence: shared.book.evidence(),
+            evidence: shared.rollout_evidence.evidence(),
             zones,
             members,
         }
@@ -135,8 +135,12 @@
                 continue;
             };
             match (state.stage == Stage::Keeps, is_near) {
-                (false, _) => organisation.share.heard(now, &state.entry, used.demand, used.share),
-                (true, false) => organisation.zone_share.heard(now, &state.zone, used.demand, used.share),
+                (false, _) => organisation
+                    .share
+                    .record_peer(now, &state.entry, used.demand, used.share),
+                (true, false) => organisation
+                    .zone_share
+                    .record_peer(now, &state.zone, used.demand, used.share),
                 // A keeper is told nothing by one before it that does not know yet.
                 (true, true) if keeps => {}
                 (true, true) => organisation.zone_share.adopt(used.share),
@@ -193,7 +197,7 @@
         }
         let mut recall = shared.recall();
         for reading in &state.cached_parts {
-            recall.hear(now, *reading);
+            recall.record(now, *reading);
         }
         drop(recall);
         let counted = self
--- a/bergamotshift-forward/src/peers/keep.rs
+++ b/bergamotshift-forward/src/peers/keep.rs
@@ -47,13 +47,13 @@
         return Response::new(StatusCode::CONFLICT);
     }
     let now = shared.clock.now();
-    record_in_flight(shared, &view, now, &question.entry, &question.flown);
+    record_in_flight(shared, &view, now, &question.entry, &question.in_flight);
     let answer = decide(permits, &view, &question).await;
     if let Some(placement) = answer.placement {
         let mut ledger = shared.ledger();
-        ledger.placed(&question.entry, placement.endpoint, placement.unread);
+        ledger.record_placement(&question.entry, placement.endpoint, placement.unread);
         if let Some(endpoint) = view.endpoint(placement.endpoint) {
-            ledger.sum(endpoint);
+            ledger.apply_to(endpoint);
         }
     }
     match postcard::to_stdvec(&answer) {
@@ -85,9 +85,9 @@
 /// Records the work that an entry of the zone has in flight, and updates the sums of the endpoints concerned.
 fn record_in_flight(shared: &Shared, view: &View, now: Instant, entry: &name::Entry, in_flight: &[InFlight]) {
     let mut ledger = shared.ledger();
-    let changed = ledger.told(now, entry, in_flight);
+    let changed = ledger.update(now, entry, in_flight);
     for endpoint in changed.into_iter().filter_map(|hash| view.endpoint(hash)) {
-        ledger.sum(endpoint);
+        ledger.apply_to(endpoint);
     }
 }
 
@@ -100,8 +100,8 @@
     let Some(accounts) = view.accounts.get(&units.organisation) else {
         return Ok(());
     };
-    accounts.kept.take_over(now, units.before);
-    accounts.kept.take(now, units.count)
+    accounts.zone.charge(now, units.unreported);
+    accounts.zone.take(now, units.count)
 }
 
 /// Chooses an endpoint for a generation, and acquires a permit for it if the endpoint is rate-limited. Returns `None`
@@ -109,13 +109,15 @@
 pub async fn place(permits: &Permits, view: &View, generation: &Generation) -> Option<Placement> {
     for _ in 0..MAX_PLACEMENT_ATTEMPTS {
         let choice = choose(permits.shared(), view, generation)?;
-        let is_limited = choice.endpoint.said.throttle.rate().is_some();
+        let is_limited = choice.endpoint.signals.throttle.rate().is_some();
         if is_limited && !permits.acquire(&choice.endpoint, "").await {
             continue;
         }
         let shared = permits.shared();
         let endpoint = choice.endpoint.hash;
-        shared.recall().note(shared.clock.now(), endpoint, &generation.parts);
+        shared
+            .recall()
+            .record_choice(shared.clock.now(), endpoint, &generation.parts);
         return Some(Placement {
             endpoint,
             unread: choice.unread,
@@ -140,13 +142,13 @@
     let request = choice::Request {
         ask: &ask,
         engine: service.engine,
-        own: &shared.settings.zone,
-        zone: None,
+        own_zone: &shared.settings.zone,
+        preferred_zone: None,
         tried: &generation.avoided,
-        sources: &[],
+        cache_sources: &[],
     };
-    let canary = service.canary_of(generation.is_canary);
+    let canary = service.canary_for(generation.is_canary);
     let recall = shared.recall();
     let weights = choice::Settings::default();
-    choice::among(&weights, shared.clock.now(), service, canary, &request, &recall)
+    choice::choose_with_canary(&weights, shared.clock.now(), service, canary, &request, &recall)
 }
--- a/bergamotshift-forward/src/peers/keepers.rs
+++ b/bergamotshift-forward/src/peers/keepers.rs
@@ -10,7 +10,7 @@
 use super::member::Members;
 use super::member::Peer;
 use crate::limits::Keeper;
-use crate::limits::Keeping;
+use crate::limits::Keepers;
 use crate::limits::granter;
 use crate::limits::keeper;
 use crate::limits::keeper::Candidate;
@@ -54,9 +54,9 @@
     /// An entry that is partitioned takes all others for dead. If it became the keeper, it would grant the same units
     /// as the real keeper, and organisations would exceed their limits. So an entry that hears too few entries of its
     /// zone keeps nothing.
-    pub fn keeping(&self, now: Instant) -> Keeping {
+    pub fn keeping(&self, now: Instant) -> Keepers {
         if !self.is_large() {
-            return Keeping::default();
+            return Keepers::default();
         }
         let local = self.peers.values().filter(|peer| peer.is_in(&self.zone));
         let (others, alive) = local.fold((0, 0), |(others, alive), peer| {
@@ -68,9 +68,9 @@
             core_share: self.core_share,
         };
         let own = Some(own).filter(|_| has_quorum && !self.is_stopping);
-        let [first, second] = keeper::first(self.candidates(now, &self.zone).chain(own));
+        let [first, second] = keeper::top_two(self.candidates(now, &self.zone).chain(own));
         let address = |entry: &name::Entry| self.peers.get(entry).map(|peer| peer.address);
-        Keeping {
+        Keepers {
             keeper: match first {
                 Some(entry) if *entry == self.own => Keeper::Own,
                 Some(entry) => address(entry).map_or(Keeper::Unknown, Keeper::Other),
@@ -143,7 +143,7 @@
         now: Instant,
         zones: impl Iterator<Item = &'a name::Zone>,
     ) -> impl Iterator<Item = (&'a name::Entry, &'a Peer)> {
-        let first = zones.filter_map(move |zone| keeper::first(self.candidates(now, zone))[0]);
+        let first = zones.filter_map(move |zone| keeper::top_two(self.candidates(now, zone))[0]);
         first.filter_map(|entry| Some((entry, self.peers.get(entry)?)))
     }
 
@@ -155,7 +155,7 @@
         let local = self.peers.iter().filter(|(_, peer)| peer.is_in(&self.zone));
         let available = local.filter(|(_, peer)| !peer.is_backing_off(now) && !peer.was_contacted(now));
         let candidates = available.map(|(entry, peer)| peer.candidate(entry));
-        keeper::first(candidates).into_iter().flatten().cloned().collect()
+        keeper::top_two(candidates).into_iter().flatten().cloned().collect()
     }
 
     /// Returns the keepers of the other zones and their addresses.
--- a/bergamotshift-forward/src/peers/member.rs
+++ b/bergamotshift-forward/src/peers/member.rs
@@ -299,7 +299,7 @@
 
     /// Returns whether the fleet is too large for frequent exchanges between all entries.
     pub fn is_large(&self) -> bool {
-        self.peers.len() >= keeper::SMALL
+        self.peers.len() >= keeper::MAX_WITHOUT_KEEPER
     }
 
     /// Sets whether this entry has urgent news for the holder of the duties.
--- a/bergamotshift-forward/src/peers/message.rs
+++ b/bergamotshift-forward/src/peers/message.rs
@@ -6,12 +6,12 @@
 use bergamotshift_claim::lease;
 use bergamotshift_core::prelude::*;
 use bergamotshift_limit::quarantine::Suspicion;
-use bergamotshift_limit::throttle::Word;
+use bergamotshift_limit::throttle::RateLimit;
 use bergamotshift_rollout as rollout;
 use serde::Deserialize;
 use serde::Serialize;
 
-use crate::choice::Reading;
+use crate::choice::CachedPart;
 use crate::duty::Windows;
 use crate::endpoint::Endpoint;
 use crate::endpoint::Registration;
@@ -98,21 +98,21 @@
 impl Rate {
     /// Creates a message from the newest rate limit known for an endpoint.
     pub fn of(endpoint: &Endpoint, now: Instant) -> Self {
-        Self::new(endpoint, endpoint.said.throttle.word(), now)
+        Self::new(endpoint, endpoint.signals.throttle.limit(), now)
     }
 
     /// Creates a message from a rate limit that an endpoint announced.
-    pub fn new(endpoint: &Endpoint, word: Word, now: Instant) -> Self {
+    pub fn new(endpoint: &Endpoint, limit: RateLimit, now: Instant) -> Self {
         Self {
             endpoint: endpoint.hash,
-            rate: word.rate,
-            age_ms: u32::try_from(now.since(word.at).as_millis()).unwrap_or(u32::MAX),
+            rate: limit.rate,
+            age_ms: u32::try_from(now.since(limit.at).as_millis()).unwrap_or(u32::MAX),
         }
     }
 
     /// Converts a message received at `now` back into an announcement, with its time on this entry's clock.
-    pub fn received_at(&self, now: Instant) -> Word {
-        Word {
+    pub fn received_at(&self, now: Instant) -> RateLimit {
+        RateLimit {
             rate: self.rate,
             at: now - Duration::from_millis(self.age_ms.into()),
         }
@@ -204,7 +204,7 @@
     /// Parts of prompts that endpoints read lately for requests that the sender placed; they are likely still cached
     /// there.
     #[serde(rename = "readings")]
-    pub cached_parts: Vec<Reading>,
+    pub cached_parts: Vec<CachedPart>,
     /// Requests by usage window, as the sender counted them.
     pub windows: Windows,
     /// Requests that the sender suspects of crashing endpoints.
--- a/bergamotshift-forward/src/peers/permit.rs
+++ b/bergamotshift-forward/src/peers/permit.rs
@@ -24,8 +24,8 @@
 use crate::exchange::Pool;
 use crate::limits::granter;
 use crate::observe::Topic;
+use crate::view::Origin;
 use crate::view::Shared;
-use crate::view::Source;
 
 /// Path of requests for a permit.
 pub const PATH: &str = "/permit";
@@ -85,12 +85,12 @@
     /// Acquires a permit to send a request to an endpoint, and returns whether it was granted. After a refusal the
     /// endpoint gets no requests until one can be granted. Endpoints without a rate limit need no permit.
     pub async fn acquire(&self, endpoint: &Endpoint, request: &str) -> bool {
-        let Some(rate) = endpoint.said.throttle.rate() else {
+        let Some(rate) = endpoint.signals.throttle.rate() else {
             return true;
         };
         let granters = Arc::clone(&self.shared.view.load().granters);
-        let ranked = granter::ranked(endpoint.hash, &granters).into_iter().flatten();
-        for (candidate, cost) in ranked.zip([1, throttle::SECOND]) {
+        let ranked = granter::top_two(endpoint.hash, &granters).into_iter().flatten();
+        for (candidate, cost) in ranked.zip([1, throttle::DEPUTY_COST]) {
             let verdict = match candidate.address {
                 None => Some(grant(self.shared.clock.now(), endpoint, cost)),
                 Some(address) => self.request_permit(address, endpoint, cost).await,
@@ -100,24 +100,24 @@
             if let Some(address) = candidate.address {
                 let from = address.to_string();
                 self.shared
-                    .hear_rate(now, endpoint, verdict.rate.received_at(now), Source::Entry(&from));
+                    .apply_rate(now, endpoint, verdict.rate.received_at(now), Origin::Entry(&from));
             }
             if let Some(millis) = verdict.wait_ms {
                 endpoint
-                    .said
+                    .signals
                     .throttle
-                    .close(now + Duration::from_millis(millis).max(MIN_PAUSE));
+                    .pause(now + Duration::from_millis(millis).max(MIN_PAUSE));
             }
             self.log(endpoint, request, rate, candidate, verdict);
             return verdict.wait_ms.is_none();
         }
         let now = self.shared.clock.now();
         let pause = if granters.is_empty() {
-            granter::UNKNOWN
+            granter::UNKNOWN_BACKOFF
         } else {
-            granter::PAUSE
+            granter::BACKOFF
         };
-        endpoint.said.throttle.close(now + pause);
+        endpoint.signals.throttle.pause(now + pause);
         if let Some((logger, left_out)) = self.shared.log.room(now, Topic::Limit) {
             info!(logger, "nobody grants a permit"; "request" => request, "rate" => rate,
                 "endpoint" => endpoint.registration.id.as_str(), "entries" => granters.len(),
@@ -135,12 +135,12 @@
         let rate = Rate::of(endpoint, now);
         let entry = self.shared.settings.name.clone();
         let question = Question { entry, rate, cost };
-        let reply = timeout(granter::PATIENCE, self.exchange(address, &question)).await;
+        let reply = timeout(granter::ANSWER_TIMEOUT, self.exchange(address, &question)).await;
         let verdict = reply.ok().flatten();
         let now = self.shared.clock.now();
         let mut backoffs = self.backoffs.borrow_mut();
         if verdict.is_none() {
-            backoffs.insert(address, now + granter::PAUSE);
+            backoffs.insert(address, now + granter::BACKOFF);
             self.shared.metrics.ungranted.inc();
         }
         backoffs.retain(|_, until| now < *until);
@@ -150,7 +150,7 @@
     async fn exchange(&self, address: SocketAddr, question: &Question) -> Option<Verdict> {
         let question = postcard::to_stdvec(question).ok()?;
         let clock = self.shared.clock;
-        let call = exchange::ask_pooled(&self.pool, clock, address, granter::PATIENCE, PATH, &question);
+        let call = exchange::ask_pooled(&self.pool, clock, address, granter::ANSWER_TIMEOUT, PATH, &question);
         let answer = call.await.ok()?;
         (answer.status == StatusCode::OK)
             .then(|| postcard::from_bytes(&answer.body).ok())
@@ -175,7 +175,7 @@
 
 /// Grants a permit for an endpoint, or returns the time until one is available.
 fn grant(now: Instant, endpoint: &Endpoint, cost: u64) -> Verdict {
-    let granted = endpoint.said.throttle.grant(now, cost);
+    let granted = endpoint.signals.throttle.grant(now, cost);
     Verdict {
         rate: Rate::of(endpoint, now),
         wait_ms: granted.err().map(|wait| wait.as_millis() as u64 + 1),
@@ -193,7 +193,7 @@
         return Response::new(StatusCode::CONFLICT);
     };
     let now = shared.clock.now();
-    shared.hear_rate(now, endpoint, rate.received_at(now), Source::Entry(entry.as_str()));
+    shared.apply_rate(now, endpoint, rate.received_at(now), Origin::Entry(entry.as_str()));
     match postcard::to_stdvec(&grant(now, endpoint, cost)) {
         Ok(bytes) => Response::build(StatusCode::OK).body(bytes),
         Err(_) => Response::new(StatusCode::INTERNAL_SERVER_ERROR),
--- a/bergamotshift-forward/src/peers/task.rs
+++ b/bergamotshift-forward/src/peers/task.rs
@@ -22,7 +22,7 @@
 use super::question::read_body;
 use super::rounds::Rounds;
 use crate::control::Control;
-use crate::control::Question;
+use crate::control::Query;
 use crate::exchange;
 use crate::exchange::Connection;
 use crate::exchange::Failure;
@@ -60,16 +60,16 @@
 /// Exchanges states with other entries until the process ends.
 pub async fn run(control: Control) {
     let connections = RefCell::new(HashMap::new());
-    let Some(mut inbox) = control.take_inbox() else {
+    let Some(mut queries) = control.take_queries() else {
         return;
     };
     let responder = control.clone();
     ntex::rt::spawn(async move {
         // The requester may have gone meanwhile.
-        while let Some(question) = inbox.recv().await {
-            match question {
-                Question::Exchange { state, reply } => drop(reply.send(responder.asked(*state))),
-                Question::Document { version, reply } => drop(reply.send(responder.offer(version))),
+        while let Some(query) = queries.recv().await {
+            match query {
+                Query::Exchange { state, reply } => drop(reply.send(responder.handle_state(*state))),
+                Query::Document { version, reply } => drop(reply.send(responder.offer(version))),
             }
         }
     });
@@ -80,7 +80,7 @@
         tokio::time::sleep(round.delay).await;
         control.tick();
         let mut targets: Vec<(Option<name::Entry>, SocketAddr)> = control
-            .due(MAX_CONTACTS)
+            .due_peers(MAX_CONTACTS)
             .into_iter()
             .map(|(entry, address)| (Some(entry), address))
             .collect();
@@ -119,7 +119,7 @@
     let now = control.shared().clock.now();
     let took = now.since(began);
     match result {
-        Ok(reply) => control.answered(reply),
+        Ok(reply) => control.handle_reply(reply),
         Err(error) => {
             if let Some((logger, left_out)) = control.shared().log.room(now, Topic::Peers) {
                 info!(logger, "entry not reached"; "address" => %address, "cause" => %error,
@@ -160,7 +160,7 @@
 }
 
 /// Answers another entry's state with this entry's.
-pub async fn answer_exchange(control: &mpsc::UnboundedSender<Question>, mut request: Request) -> Response {
+pub async fn answer_exchange(control: &mpsc::UnboundedSender<Query>, mut request: Request) -> Response {
     if request.path() != PATH {
         return Response::new(StatusCode::NOT_FOUND);
     }
@@ -170,7 +170,7 @@
     };
     let (reply, answer) = oneshot::channel();
     let state = Box::new(state);
-    if control.send(Question::Exchange { state, reply }).is_err() {
+    if control.send(Query::Exchange { state, reply }).is_err() {
         return Response::new(StatusCode::SERVICE_UNAVAILABLE);
     }
     let Some(bytes) = answer.await.ok().and_then(|reply| postcard::to_stdvec(&reply).ok()) else {
--- a/bergamotshift-forward/src/peers/update.rs
+++ b/bergamotshift-forward/src/peers/update.rs
@@ -9,7 +9,7 @@
 use std::borrow::Cow;
 use std::rc::Rc;
 
-use bergamotshift_core::pace::Pace;
+use bergamotshift_core::throughput::Throughput;
 use bytes::Bytes;
 use futures_util::stream;
 use ntex::http::Request;
@@ -26,7 +26,7 @@
 
 use super::message::Freshness;
 use super::question::read_body;
-use crate::control::Question;
+use crate::control::Query;
 use crate::document::Difference;
 use crate::document::Document;
 use crate::document::Mismatch;
@@ -58,7 +58,7 @@
 /// A request for the newest document.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
-struct Query {
+struct Question {
     /// The version that the requester has; 0 without one.
     version: u64,
 }
@@ -152,13 +152,13 @@
 ///
 /// Returns [`Error`] when the other entry refuses, the connection fails or stalls, or the response is malformed.
 pub async fn fetch(address: SocketAddr, version: u64) -> Result<Download, Error> {
-    let question = postcard::to_stdvec(&Query { version })?;
+    let question = postcard::to_stdvec(&Question { version })?;
     let mut connection = Connection::open(address, STALL_TIMEOUT).await?;
-    let pace = Pace {
+    let throughput = Throughput {
         bytes: MIN_PROGRESS_BYTES,
         within: STALL_TIMEOUT,
     };
-    let answer = exchange::download(&mut connection, address, PATH, &question, pace).await?;
+    let answer = exchange::download(&mut connection, address, PATH, &question, throughput).await?;
     match answer.status {
         StatusCode::OK => {}
         StatusCode::NO_CONTENT => return Err(Error::Nothing),
@@ -173,14 +173,14 @@
 }
 
 /// Answers another entry's request for the newest document.
-pub async fn answer_document(control: &mpsc::UnboundedSender<Question>, mut request: Request) -> Response {
-    let query = match read_body::<Query>(&mut request, MAX_BODY_BYTES).await {
-        Ok(query) => query,
+pub async fn answer_document(control: &mpsc::UnboundedSender<Query>, mut request: Request) -> Response {
+    let question = match read_body::<Question>(&mut request, MAX_BODY_BYTES).await {
+        Ok(question) => question,
         Err(status) => return Response::new(status),
     };
     let (reply, answer) = oneshot::channel();
-    let version = query.version;
-    if control.send(Question::Document { version, reply }).is_err() {
+    let version = question.version;
+    if control.send(Query::Document { version, reply }).is_err() {
         return Response::new(StatusCode::SERVICE_UNAVAILABLE);
     }
     match answer.await {
