--- a/bergamotshift-forward/src/document/difference.rs
+++ b/bergamotshift-forward/src/document/difference.rs
@@ -1,4 +1,4 @@
-//! What a version of the document has that an earlier one has not.
+//! Differences between two versions of the document.
 //!
 //! ```
 //! use bergamotshift_forward::document::Difference;
@@ -23,34 +23,36 @@
 use super::Route;
 use super::Service;
 
-/// Why a difference cannot be applied to a document.
+/// Error of a difference that is applied to another version than its own.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Error)]
 #[error("a difference from version {before} does not fit version {version}")]
 pub struct Mismatch {
-    /// The version that it starts from.
+    /// The version that the difference starts from.
     pub before: u64,
-    /// The version that it was applied to.
+    /// The version of the document that it was applied to.
     pub version: u64,
 }
 
-/// Some of the later version's routes, in their order.
+/// Consecutive routes of the later version.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 enum Run {
-    /// Routes that stand next to each other in the earlier version too.
+    /// Routes that are consecutive in the earlier version too.
     Kept {
-        /// The place of the first one there.
+        /// The index of the first one in the earlier version.
         first: u32,
-        /// How many.
+        /// The number of routes.
         count: u32,
     },
     /// Routes that are new or changed.
     Written(Vec<Route>),
 }
 
-/// What a version of the document has that an earlier one has not. Of thousands of routes a version changes a few, so they
-/// are told one by one; the rest of a document is small and told whole.
+/// The changes from one version of the document to a later one.
+///
+/// A version changes few of thousands of routes, so only changed routes are included. The rest of a document is small
+/// and is included as a whole.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub struct Difference {
@@ -65,7 +67,7 @@
 }
 
 impl Difference {
-    /// Works out what `after` has that `before` has not.
+    /// Computes the difference from `before` to `after`.
     pub fn between(before: &Document, after: &Document) -> Self {
         Self {
             before: before.version,
@@ -77,7 +79,7 @@
         }
     }
 
-    /// Returns how many routes it tells.
+    /// Returns the number of routes that the difference contains.
     pub fn changed_routes(&self) -> usize {
         let written = self.routes.iter().map(|run| match run {
             Run::Kept { .. } => 0,
@@ -86,7 +88,7 @@
         written.sum()
     }
 
-    /// Makes the later version out of the earlier one.
+    /// Applies the difference to the earlier version, and returns the later one.
     ///
     /// # Errors
     ///
@@ -120,20 +122,21 @@
     }
 }
 
+/// Splits the later version's routes into runs of kept and of written ones.
 fn runs(before: &[Route], after: &[Route]) -> Vec<Run> {
-    let places: HashMap<&str, usize> = before
+    let indexes: HashMap<&str, usize> = before
         .iter()
         .enumerate()
-        .map(|(place, route)| (route.name.as_str(), place))
+        .map(|(index, route)| (route.name.as_str(), index))
         .collect();
-    let kept_at = |route: &Route| {
-        let place = *places.get(route.name.as_str())?;
-        (before[place] == *route).then(|| u32::try_from(place).ok()).flatten()
+    let kept_index = |route: &Route| {
+        let index = *indexes.get(route.name.as_str())?;
+        (before[index] == *route).then(|| u32::try_from(index).ok()).flatten()
     };
     let mut runs = Vec::new();
     for route in after {
-        match (kept_at(route), runs.last_mut()) {
-            (Some(place), Some(Run::Kept { first, count })) if *first + *count == place => *count += 1,
+        match (kept_index(route), runs.last_mut()) {
+            (Some(index), Some(Run::Kept { first, count })) if *first + *count == index => *count += 1,
             (Some(first), _) => runs.push(Run::Kept { first, count: 1 }),
             (None, Some(Run::Written(written))) => written.push(route.clone()),
             (None, _) => runs.push(Run::Written(vec![route.clone()])),
--- a/bergamotshift-forward/src/document/mod.rs
+++ b/bergamotshift-forward/src/document/mod.rs
@@ -1,4 +1,4 @@
-//! The operators' document: one version of everything that decides how requests are handled.
+//! The operators' document, which configures how requests are handled.
 
 mod difference;
 mod organisation;
@@ -20,27 +20,27 @@
 pub use self::service::Scale;
 pub use self::service::Service;
 
-/// One whole version of the operators' document.
+/// One version of the operators' document.
 #[derive(Clone, Debug, Default, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub struct Document {
-    /// Grows with each version, in uneven steps.
+    /// The version number; it increases with each version, not always by one.
     pub version: u64,
     /// The routes.
     pub routes: Vec<Route>,
     /// The services.
     pub services: Vec<Service>,
-    /// The organisations; with none, callers need no key.
+    /// The organisations. Without any, callers need no key.
     pub organisations: Vec<Organisation>,
-    /// Bounds on what a caller may send.
+    /// Limits on the size of requests.
     pub bounds: Bounds,
 }
 
-/// Bounds on what a caller may send.
+/// Limits on the size of requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Bounds {
-    /// The largest body, in bytes.
+    /// The maximum size of a request's body, in bytes.
     pub body: usize,
 }
 
--- a/bergamotshift-forward/src/document/organisation.rs
+++ b/bergamotshift-forward/src/document/organisation.rs
@@ -5,42 +5,42 @@
 use serde::Serialize;
 use smol_str::SmolStr;
 
-/// What a limit counts.
+/// The unit that a limit counts.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub enum Unit {
     /// Requests.
     #[default]
     Requests,
-    /// Tokens of the prompt and of the longest output; a request without a size counts as this many.
+    /// Tokens of the prompt and of the longest possible output.
     Tokens {
-        /// What a request without a size counts.
+        /// The number of tokens that a request without a size counts as.
         plain: u32,
     },
 }
 
-/// What an organisation may use, over all entries together.
+/// The rate limit of an organisation, over all entries together.
 #[derive(Clone, Copy, Debug, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub struct Limit {
-    /// Units per second.
+    /// The rate, in units per second.
     pub rate: f64,
-    /// Units beyond that at once.
+    /// The units that may be used at once beyond the rate.
     pub burst: f64,
-    /// What is counted.
+    /// The unit.
     pub unit: Unit,
 }
 
-/// One organisation.
+/// An organisation, whose callers authenticate with its keys.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub struct Organisation {
-    /// Its name.
+    /// The name of the organisation.
     pub name: name::Organisation,
-    /// The keys that its callers show.
+    /// The API keys of its callers.
     pub keys: Vec<SmolStr>,
-    /// Its rank, which goes before a route's.
+    /// The priority of its requests, 0 first; it overrides the route's.
     pub urgency: Option<u8>,
-    /// What it may use; `None` has no bound.
+    /// The rate limit; `None` for no limit.
     pub limit: Option<Limit>,
 }
--- a/bergamotshift-forward/src/document/route.rs
+++ b/bergamotshift-forward/src/document/route.rs
@@ -1,4 +1,4 @@
-//! Routes: which requests go where, and what they are owed.
+//! Routes, which map requests to services and set their timeouts and priorities.
 
 use core::time::Duration;
 
@@ -7,61 +7,61 @@
 use serde::Serialize;
 use smol_str::SmolStr;
 
-/// What may be repeated, and what an answer looks like.
+/// The kind of a route's requests: whether they may be repeated, and the form of the response.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub enum Kind {
-    /// May run any number of times.
+    /// Requests that may run any number of times.
     Idempotent,
-    /// Runs at most once for each attempt of a caller.
+    /// Requests that run at most once for each attempt of a caller.
     #[default]
     Once,
-    /// Answers with a stream of events.
+    /// Requests whose response is a stream of events.
     Stream,
 }
 
-/// A share of a route's requests.
+/// A service's share of a route's requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Split {
-    /// Where the share goes.
+    /// The service.
     pub service: name::Service,
-    /// How large it is against the route's other shares.
+    /// The weight, relative to the route's other shares.
     pub weight: u32,
 }
 
-/// One route.
+/// A route from a host and a path prefix to services.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Route {
-    /// The operators' name for it.
+    /// The name of the route.
     pub name: SmolStr,
-    /// The host that it answers for.
+    /// The host of its requests.
     pub host: SmolStr,
-    /// What its paths begin with; starts and ends with a slash.
+    /// The prefix of its paths, which starts and ends with a slash.
     pub prefix: SmolStr,
-    /// What may be repeated.
+    /// The kind of its requests.
     pub kind: Kind,
-    /// The longest time that a caller is kept waiting.
+    /// The maximum time for which a caller waits.
     pub timeout: Duration,
-    /// The time within which an answer, or the first event, has its full worth.
+    /// The target time for a response, or for the first event of a stream.
     pub objective: Duration,
-    /// The longest pause between two events of a stream that is on time.
+    /// The target for the longest pause between two events of a stream.
     pub pause: Duration,
-    /// Its rank, 0 first.
+    /// The priority, 0 first.
     pub urgency: u8,
-    /// Where its requests go.
+    /// The services that receive its requests.
     pub splits: Vec<Split>,
-    /// The most endpoints to which one caller's attempt is sent.
+    /// The maximum number of endpoints to which one attempt of a caller is sent.
     pub attempts: u32,
     /// Whether callers need no key.
     pub public: bool,
-    /// Whether a broken stream may go on at another endpoint.
+    /// Whether a broken stream may be resumed at another endpoint.
     pub resumable: bool,
 }
 
 impl Route {
-    /// Returns whether a request may be sent again although it may have run.
+    /// Returns whether a request may be sent again even if it may have run already.
     pub const fn is_repeatable(&self) -> bool {
         match self.kind {
             Kind::Idempotent => true,
@@ -70,16 +70,17 @@
         }
     }
 
-    /// Chooses a service for a request by its identifier's hash, so that the shares come out as weighted.
+    /// Chooses a service for a request in proportion to the weights, by the hash of the request's identifier. Returns
+    /// `None` when all weights are 0.
     pub fn service(&self, hash: u64) -> Option<&name::Service> {
         let total: u64 = self.splits.iter().map(|split| u64::from(split.weight)).sum();
-        let mut place = hash.checked_rem(total)?;
+        let mut offset = hash.checked_rem(total)?;
         for split in &self.splits {
             let weight = u64::from(split.weight);
-            if place < weight {
+            if offset < weight {
                 return Some(&split.service);
             }
-            place -= weight;
+            offset -= weight;
         }
         None
     }
--- a/bergamotshift-forward/src/document/service.rs
+++ b/bergamotshift-forward/src/document/service.rs
@@ -1,4 +1,4 @@
-//! Services as the operators declare them.
+//! Services, and the scaling of their endpoints.
 
 use core::time::Duration;
 use std::collections::BTreeMap;
@@ -7,44 +7,46 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// One service.
+/// A service, which is run by any number of endpoints.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub struct Service {
-    /// Its name.
+    /// The name of the service.
     pub name: name::Service,
-    /// The most connections that one of its endpoints takes from all callers together.
+    /// The maximum number of connections that one of its endpoints accepts from all clients together.
     pub connections: u32,
-    /// What its model engines are like; `None` for a plain service.
+    /// The properties of its model engines; `None` for a service without models.
     pub engine: Option<Engine>,
-    /// How many endpoints may be ordered; `None` when they come and go by themselves.
+    /// The bounds of scaling; `None` when this system does not scale the service.
     pub scale: Option<Scale>,
 }
 
-/// What a service's model engines are like.
+/// The properties of a service's model engines.
 #[derive(Clone, Copy, Debug, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub struct Engine {
-    /// Requests that one engine runs at once.
+    /// The number of requests that one engine runs concurrently.
     pub slots: u32,
-    /// Tokens that one engine's memory holds.
+    /// The number of tokens that one engine's memory holds.
     pub memory: u64,
-    /// How long a cached token takes from one engine to another, in milliseconds; `None` when it cannot go.
+    /// The time to transfer a cached token from one engine to another, in milliseconds; `None` when engines cannot
+    /// transfer their caches.
     pub transfer: Option<f64>,
 }
 
-/// How many endpoints of a service may be ordered.
+/// The bounds and costs of scaling a service.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub struct Scale {
-    /// The fewest in an availability zone, of both markets together.
+    /// The minimum number of endpoints in an availability zone, on both markets together.
     pub min: u32,
-    /// The most in an availability zone, of both markets together.
+    /// The maximum number of endpoints in an availability zone, on both markets together.
     pub max: u32,
-    /// How long a new one takes until it serves.
+    /// The time until a new endpoint serves requests.
     pub boot: Duration,
-    /// What a reclaimable one costs against the other kind, between 0 and 1; `None` when there are none.
+    /// The price of a reclaimable endpoint relative to an on-demand one, between 0 and 1; `None` when there are no
+    /// reclaimable ones.
     pub reclaimable_price: Option<f64>,
-    /// What an endpoint costs in each availability zone, by the second and relative to one another.
+    /// The relative price per second of an endpoint in each availability zone.
     pub zone_prices: BTreeMap<name::Zone, f64>,
 }
--- a/bergamotshift-forward/tests/kernel/difference.rs
+++ b/bergamotshift-forward/tests/kernel/difference.rs
@@ -1,4 +1,4 @@
-//! What one version of the document has that another one has not.
+//! Differences between versions of the document.
 
 use std::borrow::Cow;
 
@@ -13,7 +13,7 @@
 
 use crate::support::route;
 
-/// How many routes the documents of properties have at the most.
+/// Maximum number of routes in a generated document.
 const SIZE: usize = 40;
 
 fn document(version: u64, routes: impl IntoIterator<Item = (u8, u8)>) -> Document {
@@ -28,24 +28,24 @@
     }
 }
 
-/// Routes are added, changed, dropped and moved, and some stand twice. What an entry makes out of its own version and the
-/// difference is the other entry's version to the letter, in the same order.
+/// Routes are added, changed, removed, moved and duplicated. The difference applied to the earlier version yields
+/// exactly the later one, in the same order.
 #[test]
-fn whatever_changed_the_later_version_comes_out() {
-    fn comes_out(before: Vec<(u8, u8)>, after: Vec<(u8, u8)>) -> bool {
+fn a_difference_applied_to_the_earlier_version_yields_the_later_one() {
+    fn yields_later_version(before: Vec<(u8, u8)>, after: Vec<(u8, u8)>) -> bool {
         let (before, after) = (document(1, before), document(2, after));
         Difference::between(&before, &after).apply(&before) == Ok(after)
     }
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(SIZE, 7))
         .tests(1_000)
-        .quickcheck(comes_out as fn(Vec<(u8, u8)>, Vec<(u8, u8)>) -> bool);
+        .quickcheck(yields_later_version as fn(Vec<(u8, u8)>, Vec<(u8, u8)>) -> bool);
 }
 
-/// A difference comes over the wire from an entry that may be of another make. Whatever it says, it is applied or refused.
+/// Guards against panics on bytes from an entry of another release: any difference is applied or rejected.
 #[test]
-fn any_bytes_are_a_difference_that_fits_or_an_error() {
-    fn ends(bytes: Vec<u8>) -> bool {
+fn any_bytes_are_applied_or_rejected() {
+    fn returns(bytes: Vec<u8>) -> bool {
         if let Ok(difference) = postcard::from_bytes::<Difference>(&Bytes::from(bytes)) {
             let _ = difference.apply(&document(difference.before, [(1, 0), (2, 0)]));
         }
@@ -54,11 +54,11 @@
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(SIZE, 7))
         .tests(1_000)
-        .quickcheck(ends as fn(Vec<u8>) -> bool);
+        .quickcheck(returns as fn(Vec<u8>) -> bool);
 }
 
 #[test]
-fn only_what_is_new_or_changed_is_told() {
+fn only_new_or_changed_routes_are_included() {
     let before: Vec<(u8, u8)> = (0..40).map(|number| (number, 0)).collect();
     let mut after = before.clone();
     after[7].1 = 1;
@@ -69,19 +69,18 @@
 }
 
 #[test]
-fn a_difference_from_another_version_is_refused() {
+fn a_difference_from_another_version_is_rejected() {
     let (before, after) = (document(1, [(1, 0)]), document(2, [(1, 0), (2, 0)]));
     let difference = Difference::between(&before, &after);
     let mismatch = |version| Err(Mismatch { before: 1, version });
     assert_eq!(difference.apply(&document(3, [(1, 0)])), mismatch(3));
-    // The same version with fewer routes is no such version.
+    // The version number matches, but the document has fewer routes than the difference refers to.
     assert_eq!(difference.apply(&document(1, [])), mismatch(1));
 }
 
-/// An entry is two versions behind. It is told both steps, and comes out where the one that told them is; it says which steps
-/// they were, so that it can tell them on.
+/// An entry that is two versions behind applies both differences, and gets them back to pass them on.
 #[test]
-fn several_steps_lead_to_the_newest_version() {
+fn several_differences_lead_to_the_newest_version() {
     let versions = [
         document(1, [(1, 0), (2, 0)]),
         document(4, [(1, 1), (2, 0)]),
@@ -91,15 +90,15 @@
         Difference::between(&versions[0], &versions[1]),
         Difference::between(&versions[1], &versions[2]),
     ];
-    let told = || Update::Steps(steps.iter().map(Cow::Borrowed).collect());
+    let update = || Update::Steps(steps.iter().map(Cow::Borrowed).collect());
     let newest = (versions[2].clone(), Some(steps.to_vec()));
-    assert_eq!(told().apply(&versions[0]), Ok(newest));
-    assert!(told().apply(&versions[1]).is_err_and(|mismatch| mismatch.before == 1));
+    assert_eq!(update().apply(&versions[0]), Ok(newest));
+    assert!(update().apply(&versions[1]).is_err_and(|mismatch| mismatch.before == 1));
 }
 
-/// An answer without any step leads nowhere, and must not count as the newest document.
+/// Guards against a response without differences that counts as the newest document.
 #[test]
-fn no_step_at_all_is_no_update() {
+fn an_update_without_differences_is_rejected() {
     let before = document(1, [(1, 0)]);
     let mismatch = Mismatch { before: 0, version: 1 };
     assert_eq!(Update::Steps(Vec::new()).apply(&before), Err(mismatch));
