--- a/bergamotshift-forward/src/dialect/metadata.rs
+++ b/bergamotshift-forward/src/dialect/metadata.rs
@@ -1,4 +1,4 @@
-//! What a caller's head says about the work that it asks for.
+//! Metadata in the headers of a caller's request.
 
 use core::time::Duration;
 
@@ -10,49 +10,49 @@
 use super::Dialect;
 use super::LAST_EVENT;
 
-/// One part of a prompt; requests that begin with the same parts share them in an engine's cache.
+/// A part of a prompt. Requests whose prompts begin with the same parts share them in an engine's cache.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 #[derive(Serialize, Deserialize)]
 pub struct Part {
-    /// Identifies the part's content.
+    /// The identifier of the part's content.
     pub id: u64,
-    /// Its length in tokens.
+    /// The length, in tokens.
     pub tokens: u32,
 }
 
-/// How large a generation is.
+/// The size of a generation.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Size {
-    /// Tokens of the prompt.
+    /// The number of tokens of the prompt.
     pub prompt: u32,
-    /// The most tokens to generate.
+    /// The maximum number of tokens to generate.
     pub output: u32,
 }
 
 impl Size {
-    /// Returns all tokens together.
+    /// Returns the total number of tokens.
     pub const fn total(self) -> u64 {
         self.prompt as u64 + self.output as u64
     }
 }
 
-/// What a request's head says beside its HTTP meaning.
+/// The metadata of a request, from headers that callers set for this system.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Metadata {
     /// The caller's identifier of this attempt; empty when it sent none.
     pub id: SmolStr,
-    /// How long the caller still waits.
+    /// The time for which the caller still waits.
     pub time_left: Option<Duration>,
-    /// The size of a generation.
+    /// The size of the generation.
     pub size: Option<Size>,
-    /// The parts of its prompt, in order.
+    /// The parts of the prompt, in order.
     pub parts: Vec<Part>,
-    /// The last event that the caller has of a stream.
+    /// The number of the last event of the stream that the caller received.
     pub last_event: Option<u64>,
 }
 
 impl Metadata {
-    /// Reads a request's head; a value that makes no sense counts as absent.
+    /// Parses the headers of a request. A malformed value counts as absent.
     pub fn read(dialect: &Dialect, headers: &HeaderMap) -> Self {
         let text = |name| headers.get(name).and_then(|value| value.to_str().ok());
         Self {
@@ -66,7 +66,8 @@
         }
     }
 
-    /// Returns the deepest part that other requests may share; the last one is the request's own.
+    /// Returns the last part that other requests may share: the one before the final part, which is specific to the
+    /// request. A single part is returned itself.
     pub fn shared_part(&self) -> Option<Part> {
         let last = self.parts.len().checked_sub(1)?;
         Some(self.parts[last.saturating_sub(1)])
--- a/bergamotshift-forward/src/dialect/mod.rs
+++ b/bergamotshift-forward/src/dialect/mod.rs
@@ -1,7 +1,7 @@
-//! How callers and endpoints name what the request path needs to know.
+//! The headers that callers and endpoints use.
 //!
-//! The formats are fixed and small: decimal numbers, `a,b` pairs and `ID:TOKENS` lists. The header names vary from one
-//! platform to the next, so they are data. The defaults are this product's own.
+//! The formats are fixed and simple: decimal numbers, `a,b` pairs and `ID:TOKENS` lists. The names vary between
+//! platforms, so they are data. The defaults are this product's own names.
 
 mod metadata;
 mod notice;
@@ -22,99 +22,99 @@
 /// The header names and the key scheme that callers and endpoints use.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Dialect {
-    /// Identifies a caller's attempt; endpoints echo it.
+    /// The identifier of a caller's attempt; endpoints echo it.
     pub request: HeaderName,
-    /// How long the sender still waits, in milliseconds.
+    /// The time for which the sender still waits, in milliseconds.
     pub time_left: HeaderName,
-    /// The scheme before the key in `Authorization`.
+    /// The authentication scheme before the key in `Authorization`.
     pub key_scheme: SmolStr,
-    /// The organisation's name, set towards endpoints.
+    /// The name of the organisation, sent to endpoints.
     pub organisation: HeaderName,
-    /// The one endpoint incarnation that may run the request; others refuse it unrun.
+    /// The endpoint incarnation that may run the request; others reject it without running it.
     pub expected: HeaderName,
-    /// The endpoint incarnation that answers.
+    /// The endpoint incarnation that responds.
     pub incarnation: HeaderName,
-    /// Marks an answer whose request did not run and will not.
+    /// The flag of a response whose request did not run and will not run.
     pub not_run: HeaderName,
-    /// Marks an answer that an endpoint made.
+    /// The flag of a response that an endpoint itself created.
     pub seal: HeaderName,
     /// An endpoint's load: running, waiting and slots, comma-separated.
     pub load: HeaderName,
-    /// The requests a second that an endpoint takes from all entries together, as a decimal number.
+    /// An endpoint's rate limit for requests from all entries together, in requests per second as a decimal number.
     pub rate: HeaderName,
-    /// Marks an answer of an endpoint that leaves.
+    /// The flag of a response of an endpoint that is leaving.
     pub leaving: HeaderName,
-    /// The prompt's tokens and the most tokens to generate, comma-separated.
+    /// The number of tokens of the prompt and the maximum number to generate, comma-separated.
     pub size: HeaderName,
-    /// The prompt's parts in order, as comma-separated `ID:TOKENS` with hexadecimal identifiers.
+    /// The parts of the prompt in order, as comma-separated `ID:TOKENS` with hexadecimal identifiers.
     pub prompt: HeaderName,
-    /// How urgent a request is towards endpoints, 0 first and 9 last.
+    /// The priority of a request at endpoints, from 0 (first) to 9 (last).
     pub urgency: HeaderName,
-    /// The address of another endpoint that holds parts of the prompt in its cache.
+    /// The address of another endpoint that has parts of the prompt in its cache.
     pub source: HeaderName,
-    /// Headers that only the system may set towards endpoints.
+    /// Further headers that only the system may send to endpoints.
     pub reserved: Vec<HeaderName>,
 }
 
 impl Default for Dialect {
     fn default() -> Self {
-        const fn own(name: &'static str) -> HeaderName {
+        const fn header_name(name: &'static str) -> HeaderName {
             HeaderName::from_static(name)
         }
         Self {
-            request: own("bergamotshift-request"),
-            time_left: own("bergamotshift-deadline-ms"),
+            request: header_name("bergamotshift-request"),
+            time_left: header_name("bergamotshift-deadline-ms"),
             key_scheme: SmolStr::new_static("Bearer"),
-            organisation: own("bergamotshift-organisation"),
-            expected: own("bergamotshift-expected"),
-            incarnation: own("bergamotshift-incarnation"),
-            not_run: own("bergamotshift-not-run"),
-            seal: own("bergamotshift-seal"),
-            load: own("bergamotshift-load"),
-            rate: own("bergamotshift-limit"),
-            leaving: own("bergamotshift-leaving"),
-            size: own("bergamotshift-size"),
-            prompt: own("bergamotshift-prompt"),
-            urgency: own("bergamotshift-priority"),
-            source: own("bergamotshift-source"),
+            organisation: header_name("bergamotshift-organisation"),
+            expected: header_name("bergamotshift-expected"),
+            incarnation: header_name("bergamotshift-incarnation"),
+            not_run: header_name("bergamotshift-not-run"),
+            seal: header_name("bergamotshift-seal"),
+            load: header_name("bergamotshift-load"),
+            rate: header_name("bergamotshift-limit"),
+            leaving: header_name("bergamotshift-leaving"),
+            size: header_name("bergamotshift-size"),
+            prompt: header_name("bergamotshift-prompt"),
+            urgency: header_name("bergamotshift-priority"),
+            source: header_name("bergamotshift-source"),
             reserved: Vec::new(),
         }
     }
 }
 
-/// An endpoint's load as one of its answers tells it.
+/// An endpoint's load, from a header of one of its responses.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Load {
-    /// Requests that run.
+    /// The number of running requests.
     pub running: u32,
-    /// Requests that wait for a slot.
+    /// The number of requests that wait for a slot.
     pub waiting: u32,
-    /// Places for running requests.
+    /// The number of slots for running requests.
     pub slots: u32,
 }
 
-/// What the system tells an endpoint about a request beside the caller's own headers.
+/// The metadata of a request that the system itself sends to an endpoint.
 #[derive(Clone, Copy, Debug)]
 pub struct Envelope<'a> {
-    /// The incarnation that may run it.
+    /// The endpoint incarnation that may run the request.
     pub expected: &'a str,
-    /// Whose request it is, when a key proved that.
+    /// The organisation of the caller, if authenticated by a key.
     pub organisation: Option<&'a name::Organisation>,
-    /// How long the answer is still waited for, in milliseconds.
+    /// The time for which this entry still waits for the response, in milliseconds.
     pub time_left: u64,
-    /// How urgent it is, 0 first and 9 last; `None` leaves the endpoint's default.
+    /// The priority, from 0 (first) to 9 (last); `None` for the endpoint's default.
     pub urgency: Option<u8>,
-    /// Another endpoint, from which the endpoint gets cached parts of the prompt.
+    /// The other endpoint from which this one can fetch cached parts of the prompt.
     pub source: Option<SocketAddr>,
-    /// The last event that the caller has, when that is later than what the caller's own header says.
+    /// The number of the last event that the caller received, if later than in the caller's own header.
     pub last_event: Option<u64>,
 }
 
-/// The standard header by which an event stream goes on after an event.
+/// The standard header of a request that resumes an event stream, with the last event that the client received.
 pub const LAST_EVENT: HeaderName = HeaderName::from_static("last-event-id");
 
 impl Dialect {
-    /// Returns the key that a caller shows.
+    /// Returns the key in the headers of a caller's request.
     pub fn key<'a>(&self, headers: &'a HeaderMap) -> Option<&'a str> {
         let text = headers.get(header::AUTHORIZATION)?.to_str().ok()?;
         let (scheme, key) = text.split_once(' ')?;
@@ -124,57 +124,57 @@
             .filter(|key| !key.is_empty())
     }
 
-    /// Returns the headers of a request on its way to an endpoint.
+    /// Returns the headers to send to an endpoint with a request.
     ///
-    /// The caller's key and whatever only the system may say are taken off.
+    /// The caller's key and all headers that only the system may set are removed.
     pub fn towards_endpoint(&self, headers: &HeaderMap, envelope: &Envelope<'_>) -> HeaderMap {
-        let mut kept = bergamotshift_endpoint::header::towards_endpoint(headers);
-        // The library keeps the framing of its own; this one is written anew for each connection.
-        let own = [
+        let mut forwarded = bergamotshift_endpoint::header::towards_endpoint(headers);
+        // The library drops hop-by-hop and framing headers, as the framing is written anew for each connection.
+        let system = [
             &self.expected,
             &self.organisation,
             &self.time_left,
             &self.urgency,
             &self.source,
         ];
-        for name in own.into_iter().chain(&self.reserved) {
-            kept.remove(name);
+        for name in system.into_iter().chain(&self.reserved) {
+            forwarded.remove(name);
         }
-        set(&mut kept, &self.expected, envelope.expected);
-        set(&mut kept, &self.time_left, &envelope.time_left.to_string());
+        set(&mut forwarded, &self.expected, envelope.expected);
+        set(&mut forwarded, &self.time_left, &envelope.time_left.to_string());
         if let Some(organisation) = envelope.organisation {
-            set(&mut kept, &self.organisation, organisation.as_str());
+            set(&mut forwarded, &self.organisation, organisation.as_str());
         }
         if let Some(urgency) = envelope.urgency {
-            set(&mut kept, &self.urgency, &urgency.to_string());
+            set(&mut forwarded, &self.urgency, &urgency.to_string());
         }
         if let Some(source) = envelope.source {
-            set(&mut kept, &self.source, &source.to_string());
+            set(&mut forwarded, &self.source, &source.to_string());
         }
-        if let Some(last) = envelope.last_event {
-            set(&mut kept, &LAST_EVENT, &last.to_string());
+        if let Some(last_event) = envelope.last_event {
+            set(&mut forwarded, &LAST_EVENT, &last_event.to_string());
         }
-        kept
+        forwarded
     }
 
-    /// Returns whether an answer belongs to the request `id`.
+    /// Returns whether a response echoes the identifier `id` of the request.
     pub fn echoes(&self, headers: &HeaderMap, id: &str) -> bool {
         headers
             .get(&self.request)
             .is_some_and(|value| value.as_bytes() == id.as_bytes())
     }
 
-    /// Returns whether an answer proves that its request did not run.
+    /// Returns whether a response states that its request did not run.
     pub fn says_not_run(&self, headers: &HeaderMap) -> bool {
         headers.contains_key(&self.not_run)
     }
 
-    /// Returns whether an endpoint made the answer.
+    /// Returns whether an endpoint itself created the response.
     pub fn is_sealed(&self, headers: &HeaderMap) -> bool {
         headers.contains_key(&self.seal)
     }
 
-    /// Returns the load that an answer tells.
+    /// Returns the load in the headers of a response.
     pub fn load(&self, headers: &HeaderMap) -> Option<Load> {
         let text = headers.get(&self.load)?.to_str().ok()?;
         let mut numbers = text.split(',').map(|number| number.trim().parse().ok());
@@ -186,6 +186,7 @@
     }
 }
 
+/// Sets a header, unless the text is not a valid header value.
 fn set(headers: &mut HeaderMap, name: &HeaderName, text: &str) {
     if let Ok(value) = header::HeaderValue::from_str(text) {
         headers.insert(name.clone(), value);
--- a/bergamotshift-forward/src/dialect/notice.rs
+++ b/bergamotshift-forward/src/dialect/notice.rs
@@ -1,4 +1,4 @@
-//! What an endpoint's answer says of the endpoint.
+//! Notices about an endpoint in the headers of its responses.
 
 use core::time::Duration;
 
@@ -8,37 +8,39 @@
 
 use super::Dialect;
 
-/// The value of a mark that says that it does not hold.
-const UNMARKED: &str = "0";
+/// Value of a flag header that clears the flag.
+const CLEARED: &str = "0";
 
-/// What an endpoint says of itself in the head of an answer.
+/// A notice of an endpoint about itself, from the headers of a response.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Notice {
-    /// The requests a second that it takes from all entries together; `None` when it names no limit.
+    /// The rate limit for requests from all entries together, in requests per second; `None` when the endpoint
+    /// announces none.
     pub rate: Option<f64>,
-    /// Whether it leaves.
+    /// Whether the endpoint is leaving.
     pub is_leaving: bool,
-    /// How long it wants nothing from this entry; `None` when it did not turn the request away, or named no time.
+    /// The time for which the endpoint wants no requests from this entry; `None` unless it rejected the request and
+    /// named a time.
     pub retry_after: Option<Duration>,
 }
 
 impl Notice {
-    /// Reads an answer's head; a value that makes no sense counts as absent.
+    /// Parses the headers of a response. A malformed value counts as absent.
     pub fn read(dialect: &Dialect, status: StatusCode, headers: &HeaderMap) -> Self {
         let text = |name| headers.get(name).and_then(|value| value.to_str().ok()).map(str::trim);
         let pause = text(&header::RETRY_AFTER).filter(|_| status == StatusCode::SERVICE_UNAVAILABLE);
         Self {
-            rate: text(&dialect.rate).and_then(quantity),
-            is_leaving: text(&dialect.leaving).is_some_and(|mark| mark != UNMARKED),
+            rate: text(&dialect.rate).and_then(non_negative),
+            is_leaving: text(&dialect.leaving).is_some_and(|value| value != CLEARED),
             retry_after: pause
-                .and_then(quantity)
+                .and_then(non_negative)
                 .and_then(|seconds| Duration::try_from_secs_f64(seconds).ok()),
         }
     }
 }
 
-/// Reads a decimal number that is not negative.
-fn quantity(text: &str) -> Option<f64> {
+/// Parses a decimal number that is finite and not negative.
+fn non_negative(text: &str) -> Option<f64> {
     let number: f64 = text.parse().ok()?;
     Some(number).filter(|number| number.is_finite() && *number >= 0.0)
 }
--- a/bergamotshift-forward/tests/kernel/dialect.rs
+++ b/bergamotshift-forward/tests/kernel/dialect.rs
@@ -1,4 +1,4 @@
-//! What callers say, and what endpoints get to see.
+//! Parsing of callers' headers, and the headers that endpoints receive.
 
 use bergamotshift_core::prelude::*;
 use bergamotshift_forward::dialect::Dialect;
@@ -31,39 +31,42 @@
 }
 
 #[test]
-fn a_head_is_read_with_its_prompt() {
-    let head = headers(&[
+fn headers_are_parsed_with_the_prompt() {
+    let input = headers(&[
         ("bergamotshift-request", "r1"),
         ("bergamotshift-size", "1460,80"),
         ("bergamotshift-prompt", "5c1e:800,91bd:410,e440:250"),
     ]);
-    let ask = Metadata::read(&Dialect::default(), &head);
-    assert_eq!(ask.id, "r1");
-    assert_eq!(ask.size.map(Size::total), Some(1_540));
-    assert_eq!(ask.shared_part().map(|part| part.id), Some(0x91bd));
+    let metadata = Metadata::read(&Dialect::default(), &input);
+    assert_eq!(metadata.id, "r1");
+    assert_eq!(metadata.size.map(Size::total), Some(1_540));
+    assert_eq!(metadata.shared_part().map(|part| part.id), Some(0x91bd));
 }
 
 #[test]
-fn values_without_sense_count_as_absent() {
-    let head = headers(&[
+fn malformed_values_count_as_absent() {
+    let input = headers(&[
         ("bergamotshift-size", "many,few"),
         ("bergamotshift-deadline-ms", "-5"),
         ("bergamotshift-prompt", "zz:1"),
     ]);
-    let ask = Metadata::read(&Dialect::default(), &head);
-    assert_eq!((ask.size, ask.time_left, ask.parts.len()), (None, None, 0));
+    let metadata = Metadata::read(&Dialect::default(), &input);
+    assert_eq!(
+        (metadata.size, metadata.time_left, metadata.parts.len()),
+        (None, None, 0)
+    );
 }
 
-/// A caller sets the headers by which the system steers endpoints, and names another organisation. The endpoint sees
+/// Guards against callers that set headers of the system, such as the name of another organisation. Endpoints receive
 /// neither those nor the caller's key.
 #[test]
-fn a_caller_cannot_steer_an_endpoint_or_pose_as_another_organisation() {
+fn a_caller_cannot_set_headers_of_the_system() {
     let dialect = Dialect {
         organisation: HeaderName::from_static("x-organisation"),
         reserved: vec![HeaderName::from_static("x-hold")],
         ..Dialect::default()
     };
-    let head = headers(&[
+    let input = headers(&[
         ("authorization", "Bearer secret"),
         ("x-organisation", "somebody-else"),
         ("x-hold", "h1"),
@@ -73,7 +76,7 @@
     ]);
     let name = name::Organisation::new("horeca");
     let sent = dialect.towards_endpoint(
-        &head,
+        &input,
         &Envelope {
             organisation: Some(&name),
             ..envelope()
@@ -84,7 +87,7 @@
     assert!(!sent.contains_key("x-dropped"));
     assert_eq!(sent.get("x-organisation").expect("it is set").as_bytes(), b"horeca");
     assert_eq!(sent.get("x-other").expect("it passes").as_bytes(), b"kept");
-    let public = dialect.towards_endpoint(&head, &envelope());
+    let public = dialect.towards_endpoint(&input, &envelope());
     assert!(!public.contains_key("x-organisation"));
 }
 
