--- a/bergamotshift-forward/src/routes/mod.rs
+++ b/bergamotshift-forward/src/routes/mod.rs
@@ -1,4 +1,4 @@
-//! Finds the route of a request and the organisation of a key.
+//! Lookup of the route of a request and of the organisation of a key.
 //!
 //! ```
 //! use bergamotshift_forward::document::{Document, Kind, Route, Split};
@@ -35,7 +35,7 @@
 use crate::document::Organisation;
 use crate::document::Route;
 
-/// A document with indexes over its routes and keys.
+/// A document with indexes of its routes and keys.
 #[derive(Debug, Default)]
 pub struct Table {
     document: Arc<Document>,
@@ -44,16 +44,16 @@
 }
 
 impl Table {
-    /// Makes the indexes of a document.
+    /// Builds the indexes of a document.
     pub fn new(document: Arc<Document>) -> Self {
         let mut hosts: HashMap<SmolStr, HashMap<SmolStr, usize>> = HashMap::new();
-        for (place, route) in document.routes.iter().enumerate() {
+        for (index, route) in document.routes.iter().enumerate() {
             let host = SmolStr::new(route.host.to_ascii_lowercase());
-            hosts.entry(host).or_default().insert(route.prefix.clone(), place);
+            hosts.entry(host).or_default().insert(route.prefix.clone(), index);
         }
         let mut keys = HashMap::new();
-        for (place, organisation) in document.organisations.iter().enumerate() {
-            keys.extend(organisation.keys.iter().map(|key| (key.clone(), place)));
+        for (index, organisation) in document.organisations.iter().enumerate() {
+            keys.extend(organisation.keys.iter().map(|key| (key.clone(), index)));
         }
         Self { document, hosts, keys }
     }
@@ -63,26 +63,26 @@
         &self.document
     }
 
-    /// Returns the route with the longest prefix that begins the path, among those of the host.
+    /// Returns the route of a host with the longest prefix of a path. A port after the host is ignored.
     pub fn route(&self, host: &str, path: &str) -> Option<&Route> {
         let name = host.rsplit_once(':').map_or(host, |(name, _port)| name);
         let prefixes = match self.hosts.get(name) {
             Some(prefixes) => prefixes,
             None => self.hosts.get(name.to_ascii_lowercase().as_str())?,
         };
-        // Every prefix ends with a slash, so only the path up to each slash can be one.
-        let mut slashes = path.rmatch_indices('/').map(|(place, _)| place);
-        let place = slashes.find_map(|slash| prefixes.get(&path[..=slash]))?;
-        Some(&self.document.routes[*place])
+        // Prefixes end with a slash, so only the parts of the path up to each slash are candidates.
+        let mut slashes = path.rmatch_indices('/').map(|(index, _)| index);
+        let index = slashes.find_map(|slash| prefixes.get(&path[..=slash]))?;
+        Some(&self.document.routes[*index])
     }
 
-    /// Returns the organisation that holds a key.
+    /// Returns the organisation of a key.
     pub fn organisation(&self, key: &str) -> Option<&Organisation> {
-        let place = self.keys.get(key)?;
-        Some(&self.document.organisations[*place])
+        let index = self.keys.get(key)?;
+        Some(&self.document.organisations[*index])
     }
 
-    /// Returns whether callers need keys at all.
+    /// Returns whether callers need a key, which is so when there are organisations.
     pub fn requires_keys(&self) -> bool {
         !self.document.organisations.is_empty()
     }
--- a/bergamotshift-forward/tests/kernel/routes.rs
+++ b/bergamotshift-forward/tests/kernel/routes.rs
@@ -1,4 +1,4 @@
-//! Which route, service and organisation a request finds.
+//! Lookup of a request's route, service and organisation.
 
 use std::sync::Arc;
 
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn shares_come_out_as_weighted() {
+fn requests_are_split_by_weight() {
     let mut route = route("/");
     route.splits = vec![
         Split {
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn a_route_without_weight_goes_nowhere() {
+fn a_route_without_weight_has_no_service() {
     let mut route = route("/");
     route.splits[0].weight = 0;
     assert!(route.service(7).is_none());
