--- a/bergamotshift-forward/src/lib.rs
+++ b/bergamotshift-forward/src/lib.rs
@@ -1,14 +1,14 @@
-//! Forwards callers' requests unchanged to endpoints, by host and path.
+//! Forwarding of callers' requests to endpoints, by host and path. The requests are not changed.
 //!
-//! A request's way is one line: [`serve`] reads it and finds its route ([`routes`]) and its organisation's room
-//! ([`limits`]), [`choice`] finds the endpoint that is expected to answer first, and [`exchange`] carries it there and
-//! back. All of that reads one immutable [`view::View`].
+//! A request passes these stages: [`serve`] reads it, finds its route ([`routes`]) and checks its organisation's limit
+//! ([`limits`]); [`choice`] selects the endpoint that is expected to respond first; and [`exchange`] sends the request
+//! there and returns the response. All stages read one immutable [`view::View`].
 //!
-//! One control thread ([`control::Control`]) makes those views from what it follows in the store ([`follow`]), what the
-//! other entries say ([`peers`]) and what requests ran into. It also does the duties that one entry has for all
-//! ([`duty`]), such as ordering endpoints ([`capacity`]).
+//! One control thread ([`control::Control`]) builds those views from the changes in the store ([`follow`]), the states
+//! of other entries ([`peers`]) and the failures of requests. It also performs the duties that one entry has for the
+//! whole fleet ([`duty`]), such as ordering endpoints ([`capacity`]).
 //!
-//! What the outside is called and how it is spoken to stands behind the traits of [`outside`].
+//! External systems are accessed through the traits of [`outside`].
 
 pub mod capacity;
 pub mod choice;
--- a/bergamotshift-forward/src/outside/mod.rs
+++ b/bergamotshift-forward/src/outside/mod.rs
@@ -1,4 +1,4 @@
-//! What the forwarding daemon needs from the outside, beside the table: traits that an adapter implements.
+//! Interfaces to external systems, which platform adapters implement. The table of stored rows has its own interface.
 
 use core::fmt::Debug;
 use core::time::Duration;
@@ -20,15 +20,15 @@
 use crate::document::Document;
 use crate::endpoint::Change;
 
-/// A place in a history of changes; grows with each change.
+/// A position in the store's history of changes, which increases with each change.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Cursor(pub u64);
 
-/// Why changes cannot be told.
+/// Error of reading changes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(ThisError)]
 pub enum Gap {
-    /// The history after the cursor is gone; everything has to be read anew.
+    /// The history after the cursor has been removed, so everything has to be read again.
     #[error("the history after the cursor is gone")]
     Truncated,
     /// The call failed.
@@ -36,120 +36,121 @@
     Failed(#[from] Error),
 }
 
-/// What operators wrote.
+/// The operators' document and rollout orders.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Instructions {
-    /// Their document, if it is there, or changed.
+    /// The document; `None` when there is none, or when it has not changed since the cursor of the call.
     pub document: Option<Document>,
-    /// Their orders to roll out new versions, with what they were told of each.
+    /// The orders to roll out versions, with the state that was last reported of each.
     pub rollouts: Vec<(Rollout, State)>,
-    /// Why an order cannot be read, by the service whose it is.
+    /// The errors of orders that cannot be read, by service.
     pub unreadable: Vec<(name::Service, Error)>,
 }
 
-/// Where the operators keep their document.
+/// Storage of the operators' document and rollout orders.
 pub trait Operators: Debug {
-    /// Reads the newest document, if there is one, and the orders that stand.
+    /// Reads the newest document, if there is one, and the current rollout orders.
     ///
     /// # Errors
     ///
-    /// Returns why it could not be read.
+    /// Returns an error when the call fails.
     fn read(&self) -> Future<'_, Result<(Instructions, Cursor), Error>>;
 
-    /// Waits until operators write something, at most `wait`, and returns what is new.
+    /// Waits for at most `wait` until operators write something, and returns the changes.
     ///
     /// # Errors
     ///
-    /// Returns why nothing is known of changes.
+    /// Returns a [`Gap`] when the changes since `after` cannot be read.
     fn wait_for_change(&self, after: Cursor, wait: Duration) -> Future<'_, Result<(Instructions, Cursor), Gap>>;
 
-    /// Tells the operators how far an order is, unless they were told how it ended; returns what they know now.
+    /// Reports the state of a rollout to the operators, unless its outcome was reported before. Returns the state that
+    /// stands reported now.
     ///
     /// # Errors
     ///
-    /// Returns why they may not have been told.
+    /// Returns an error when the state may not have been reported.
     fn report_rollout(&self, order: Rollout, state: State) -> Future<'_, Result<State, Error>>;
 }
 
-/// Where endpoints register.
+/// Registry of endpoints.
 pub trait Registry: Debug {
-    /// Reads all registrations as of one moment; none of them is [`Change::Removed`].
+    /// Reads a consistent snapshot of all registrations; none of them is [`Change::Removed`].
     ///
     /// # Errors
     ///
-    /// Returns why they could not be read.
+    /// Returns an error when the call fails.
     fn registrations(&self) -> Future<'_, Result<(Vec<Change>, Cursor), Error>>;
 
-    /// Returns what changed after a cursor, at once.
+    /// Returns the changes since a cursor without waiting for any.
     ///
     /// # Errors
     ///
-    /// Returns why nothing is known of changes.
+    /// Returns a [`Gap`] when the changes since `after` cannot be read.
     fn changes(&self, after: Cursor) -> Future<'_, Result<(Vec<Change>, Cursor), Gap>>;
 }
 
-/// Who gives an order, so that the receiver can tell an old holder of the duty from the current one.
+/// Fencing token of a call, by which the receiver rejects calls of a former holder of the duties.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FencingToken {
-    /// The entry.
+    /// The entry that makes the call.
     pub entry: name::Entry,
     /// The fencing number.
     pub number: u64,
 }
 
-/// How many requests of each organisation began to run within one window.
+/// The number of requests of each organisation that started within one window.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Usage {
-    /// The window's number, counted in windows since the start of 1970.
+    /// The number of the window, counted in windows from the start of 1970.
     pub window: u64,
-    /// The requests by organisation.
+    /// The number of requests by organisation.
     pub counts: BTreeMap<name::Organisation, u64>,
 }
 
-/// How many endpoints are wanted somewhere.
+/// An order for a number of endpoints of a service.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Order {
     /// The service.
     pub service: name::Service,
     /// The availability zone.
     pub zone: name::Zone,
-    /// The market they are bought on; the other market's count stays as it is.
+    /// The market on which the endpoints are bought. The number on the other market stays as it is.
     pub market: Market,
-    /// How many.
+    /// The wanted number of endpoints.
     pub count: u32,
 }
 
-/// The calls that one entry at a time makes for all.
+/// Calls that only the holder of the duties makes, for the whole fleet.
 pub trait Duties: Debug {
-    /// Reports a window's usage.
+    /// Reports the usage of a window.
     ///
     /// # Errors
     ///
-    /// Returns why it was not taken.
+    /// Returns an error when the report was not accepted.
     fn report(&self, holder: FencingToken, usage: Usage) -> Future<'_, Result<(), Error>>;
 
     /// Orders endpoints.
     ///
     /// # Errors
     ///
-    /// Returns [`Error::NoCapacity`] when there is no room there at the moment.
+    /// Returns [`Error::NoCapacity`] when the zone has no capacity at the moment.
     fn order(&self, holder: FencingToken, order: Order) -> Future<'_, Result<(), Error>>;
 }
 
-/// Everything outside, as the control thread meets it.
+/// Clients of the external systems, for one thread.
 #[derive(Clone, Debug)]
 pub struct Clients {
     /// The operators' document.
     pub operators: Rc<dyn Operators>,
     /// The endpoints' registrations.
     pub registry: Rc<dyn Registry>,
-    /// The system's own rows.
+    /// The table of this system's own rows.
     pub table: Rc<dyn Table>,
-    /// The calls of one entry at a time; `None` when nobody wants them.
+    /// The calls of the holder of the duties; `None` when no external system takes them.
     pub duties: Option<Rc<dyn Duties>>,
 }
 
-/// Where a process finds the outside.
+/// Addresses of the external systems.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Addresses {
     /// The store, as host and port.
@@ -158,14 +159,14 @@
     pub cloud: Option<SmolStr>,
 }
 
-/// A kind of outside, which registers itself.
+/// A platform adapter, which registers itself as a plug-in.
 #[derive(Clone, Copy, Debug)]
 pub struct Kind {
-    /// The name by which settings choose it.
+    /// The name of the adapter in the settings.
     pub name: &'static str,
-    /// Returns how its callers and endpoints name things.
+    /// The function that returns the headers of its callers and endpoints.
     pub dialect: fn() -> Dialect,
-    /// Makes the clients of one thread.
+    /// The function that creates the clients for one thread.
     pub connect: fn(Addresses) -> Future<'static, Result<Clients, Error>>,
 }
 
--- a/bergamotshift-forward/src/random.rs
+++ b/bergamotshift-forward/src/random.rs
@@ -1,15 +1,16 @@
-//! Random numbers from the system.
+//! Random number generators with a seed from the operating system.
 
 use rand::SeedableRng;
 use rand::TryRng;
 use rand::rngs::SysRng;
 use rand_pcg::Pcg64Mcg;
 
-/// Seeds a generator from the system, so that two threads or entries never draw the same identifiers.
+/// Returns a generator with a random seed from the operating system, so that two threads or entries do not generate the
+/// same identifiers.
 ///
 /// # Panics
 ///
-/// Panics when the system gives no random bytes; no identifier could be trusted then.
+/// Panics when the operating system provides no random bytes, as no identifier could be relied on to be unique then.
 pub fn generator() -> Pcg64Mcg {
     let mut seed = [0; 16];
     SysRng
