--- a/bergamotshift-forward/src/outside/mod.rs
+++ b/bergamotshift-forward/src/outside/mod.rs
@@ -64,7 +64,7 @@
     fn wait_for_change(&self, after: Cursor, wait: Duration) -> Future<'_, Result<(Instructions, Cursor), Gap>>;
 
     /// Reports the state of a rollout to the operators, unless its outcome was reported before. Returns the state that
-    /// stands reported now.
+    /// is reported afterwards.
     ///
     /// # Errors
     ///
--- a/bergamotshift-forward/src/peers/holders.rs
+++ b/bergamotshift-forward/src/peers/holders.rs
@@ -25,7 +25,7 @@
 /// The source of a newer document.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Source {
-    /// No entry has announced one lately.
+    /// No entry has announced one recently.
     Nobody,
     /// Every entry that has one is at its limit of uploads, or failed to deliver it.
     Busy,
--- a/bergamotshift-forward/src/peers/keep.rs
+++ b/bergamotshift-forward/src/peers/keep.rs
@@ -33,8 +33,9 @@
 
 /// Answers a request of an entry of the zone.
 ///
-/// An entry that is not the keeper by its own view, nor the deputy asked as such, responds with a conflict. The
-/// requester's view of the zone then differs from this entry's, and two keepers would grant the zone's share twice.
+/// An entry that is not the keeper by its own view, nor the deputy of a request that addresses the deputy, responds
+/// with a conflict. The requester's view of the zone then differs from this entry's, and two keepers would grant the
+/// zone's share twice.
 pub async fn answer_keep(permits: &Permits, mut request: Request) -> Response {
     let shared = permits.shared();
     let question = match read_body::<Question>(&mut request, MAX_BODY_BYTES).await {
@@ -131,7 +132,7 @@
 
 fn choose(shared: &Shared, view: &View, generation: &Generation) -> Option<Choice> {
     let service = view.services.get(&generation.service)?;
-    let ask = Metadata {
+    let metadata = Metadata {
         size: Some(Size {
             prompt: generation.prompt,
             output: 0,
@@ -140,7 +141,7 @@
         ..Metadata::default()
     };
     let request = choice::Request {
-        ask: &ask,
+        ask: &metadata,
         engine: service.engine,
         own_zone: &shared.settings.zone,
         preferred_zone: None,
--- a/bergamotshift-forward/src/peers/keepers.rs
+++ b/bergamotshift-forward/src/peers/keepers.rs
@@ -19,17 +19,17 @@
 /// several entries there per second.
 const PARTITION_TIMEOUT: Duration = Duration::from_millis(1_200);
 
-/// An entry may keep its zone only while at least one in this many of the zone's other entries is alive to it. A single
-/// VM that is partitioned hears none of them, whereas the rest of a zone that lost more than half of its processes goes
-/// on.
+/// An entry may be the keeper of its zone only while at least one in this many of the zone's other entries counts as
+/// alive. A single partitioned VM receives nothing from them, whereas a zone that lost more than half of its processes
+/// at once keeps working.
 const QUORUM_DIVISOR: usize = 4;
 
 impl Members {
-    /// Returns whether this entry is partitioned from all other zones: it received nothing from them lately, and calls
-    /// to some of their entries timed out.
+    /// Returns whether this entry is partitioned from all other zones: it received nothing from them recently, and
+    /// calls to some of their entries timed out.
     ///
-    /// The VM of an entry whose process ended refuses connections, so a surviving entry does not take a fleet that was
-    /// killed for a partition.
+    /// The VM of an entry whose process ended refuses connections, so a surviving entry does not mistake a killed fleet
+    /// for a partition.
     pub fn is_cut_off(&self, now: Instant) -> bool {
         let is_remote = |peer: &&Peer| peer.zone.as_ref().is_some_and(|zone| *zone != self.zone);
         let mut remote = self.peers.values().filter(is_remote);
@@ -42,7 +42,7 @@
     /// state within `span` reaches the store, and this entry is not partitioned.
     ///
     /// After an outage, registrations may be missing from the store until it has recovered, and their endpoints stay in
-    /// use. An entry that took its own partition for an outage would keep sending requests to endpoints that left
+    /// use. An entry that mistook its own partition for an outage would keep sending requests to endpoints that left
     /// two seconds before.
     pub fn suspects_store_outage(&self, now: Instant, span: Duration) -> bool {
         let is_reached = self.recent_states(now, span).any(|(_, state)| state.reaches_store);
@@ -51,9 +51,9 @@
 
     /// Returns the keeper of this entry's zone and its deputy.
     ///
-    /// An entry that is partitioned takes all others for dead. If it became the keeper, it would grant the same units
-    /// as the real keeper, and organisations would exceed their limits. So an entry that hears too few entries of its
-    /// zone keeps nothing.
+    /// A partitioned entry considers all others dead. If it became the keeper, it would grant the same units as the
+    /// real keeper, and organisations would exceed their limits. So an entry never becomes the keeper without a quorum
+    /// of its zone.
     pub fn keeping(&self, now: Instant) -> Keepers {
         if !self.is_large() {
             return Keepers::default();
@@ -149,8 +149,8 @@
 
     /// Returns the entries of this zone that would be its keeper and deputy if they were alive.
     ///
-    /// These are contacted first. When all entries restarted at once, it took a second until they heard from the
-    /// highest-ranked one, and no caller was admitted meanwhile.
+    /// These are contacted first. Otherwise, when all entries restart at once, it takes a second until they receive a
+    /// state from the highest-ranked one, and no caller is admitted meanwhile.
     pub(super) fn likely_keepers(&self, now: Instant) -> Vec<name::Entry> {
         let local = self.peers.iter().filter(|(_, peer)| peer.is_in(&self.zone));
         let available = local.filter(|(_, peer)| !peer.is_backing_off(now) && !peer.was_contacted(now));
--- a/bergamotshift-forward/src/peers/member.rs
+++ b/bergamotshift-forward/src/peers/member.rs
@@ -99,7 +99,7 @@
         }
     }
 
-    /// Returns whether any entry received a message from it lately.
+    /// Returns whether any entry received a message from it recently.
     pub(super) fn is_alive(&self, now: Instant) -> bool {
         self.last_heard > Instant::ZERO && now.since(self.last_heard) < LIVENESS_TIMEOUT
     }
@@ -185,9 +185,9 @@
             let Some(peer) = self.peers.get_mut(&member.entry) else {
                 continue;
             };
-            let heard = now - Duration::from_millis(member.age_ms.into());
-            if heard > peer.last_heard {
-                peer.last_heard = heard;
+            let heard_at = now - Duration::from_millis(member.age_ms.into());
+            if heard_at > peer.last_heard {
+                peer.last_heard = heard_at;
                 peer.is_stopping = member.is_stopping;
             }
             peer.zone = zones
@@ -275,7 +275,7 @@
             .iter_mut()
             .filter(|(_, peer)| !peer.is_backing_off(now))
             .collect();
-        // An entry that contacted this one lately has already sent its state.
+        // An entry that contacted this one recently has already sent its state.
         available.sort_by_key(|(_, peer)| {
             peer.last_contact
                 .max(peer.last_state.as_ref().map_or(Instant::ZERO, |(at, _)| *at))
@@ -336,7 +336,7 @@
         recent.filter_map(|(entry, peer)| peer.last_state.as_ref().map(|(_, state)| (entry, state)))
     }
 
-    /// Returns this entry's rank: the number of entries before it by name that sent their state lately and reach the
+    /// Returns this entry's rank: the number of entries before it by name that sent their state recently and reach the
     /// store.
     pub fn rank(&self, now: Instant) -> usize {
         let eligible = self
--- a/bergamotshift-forward/src/peers/message.rs
+++ b/bergamotshift-forward/src/peers/message.rs
@@ -201,7 +201,7 @@
     /// Prompt tokens per second that the sender's callers submit, by service.
     #[serde(rename = "reading")]
     pub prompt_rates: Vec<(name::Service, f64)>,
-    /// Parts of prompts that endpoints read lately for requests that the sender placed; they are likely still cached
+    /// Parts of prompts that endpoints read recently for requests that the sender placed; they are likely still cached
     /// there.
     #[serde(rename = "readings")]
     pub cached_parts: Vec<CachedPart>,
--- a/bergamotshift-forward/src/peers/permit.rs
+++ b/bergamotshift-forward/src/peers/permit.rs
@@ -63,7 +63,7 @@
 pub struct Permits {
     shared: Arc<Shared>,
     pool: RefCell<Pool>,
-    /// The end of the backoff of each entry that did not reply lately.
+    /// The end of the backoff of each entry that did not reply recently.
     backoffs: RefCell<HashMap<SocketAddr, Instant>>,
 }
 
