--- a/bergamotshift-forward/src/control/behind.rs
+++ b/bergamotshift-forward/src/control/behind.rs
@@ -9,8 +9,8 @@
 
 use super::Control;
 use super::inner::Inner;
-use super::talk::learn;
-use super::talk::told;
+use super::talk::confirm;
+use super::talk::known;
 use crate::document::Mismatch;
 use crate::observe::Topic;
 use crate::peers::Holder;
@@ -22,39 +22,39 @@
 
 /// How long an entry may know that it lacks the newest document until it sends its callers to others. A copy takes a
 /// quarter of a second over the narrowest links, and operators expect a change to be in force within two.
-const LATE: Duration = Duration::from_secs(2);
+const MAX_DOCUMENT_LAG: Duration = Duration::from_secs(2);
 
 impl Control {
     /// Returns where a document can be had that is newer than the one in force.
-    pub fn source(&self) -> Source {
+    pub fn document_source(&self) -> Source {
         let now = self.now();
         let inner = self.inner.borrow();
         inner.members.source(now, inner.document.version)
     }
 
     /// Returns how long another entry has been known to have a newer document.
-    pub fn behind(&self) -> Option<Duration> {
+    pub fn document_lag(&self) -> Option<Duration> {
         let now = self.now();
-        self.inner.borrow().behind.map(|since| now.since(since))
+        self.inner.borrow().behind_since.map(|since| now.since(since))
     }
 
     /// Waits until an entry can be asked for a newer document.
-    pub async fn news(&self) {
-        while !matches!(self.source(), Source::Holder(_)) {
-            self.news.notified().await;
+    pub async fn wait_for_holder(&self) {
+        while !matches!(self.document_source(), Source::Holder(_)) {
+            self.newer_document.notified().await;
         }
     }
 
-    pub(super) fn tell_news(&self) {
-        if self.inner.borrow().behind.is_some() {
-            self.news.notify_waiters();
+    pub(super) fn notify_newer_document(&self) {
+        if self.inner.borrow().behind_since.is_some() {
+            self.newer_document.notify_waiters();
         }
     }
 
     /// Notes that an entry did not give its document, and for how long it is not asked again.
-    pub fn not_given(&self, holder: &Holder, span: Duration) {
+    pub fn defer_holder(&self, holder: &Holder, delay: Duration) {
         let now = self.now();
-        self.inner.borrow_mut().members.spare(now, &holder.entry, span);
+        self.inner.borrow_mut().members.spare(now, &holder.entry, delay);
     }
 
     /// Returns what another entry is given that has a version of the document.
@@ -68,11 +68,11 @@
         let Ok(permit) = Arc::clone(&self.uploads).try_acquire_owned() else {
             return Offer::Busy;
         };
-        let Some(encoded) = inner.copies.encoded(&document, version) else {
+        let Some(encoded) = inner.updates.update_from(&document, version) else {
             return Offer::Nothing;
         };
         Offer::Update {
-            known: told(&inner.document_known, now),
+            known: known(&inner.document_freshness, now),
             encoded,
             permit,
         }
@@ -83,7 +83,7 @@
     /// # Errors
     ///
     /// Returns [`Mismatch`] when what came starts from another version than the one in force.
-    pub fn given(&self, holder: &Holder, arrival: Arrival, took: Duration) -> Result<(), Mismatch> {
+    pub fn apply_update(&self, holder: &Holder, arrival: Arrival, took: Duration) -> Result<(), Mismatch> {
         let now = self.now();
         let mut inner = self.inner.borrow_mut();
         let (document, steps) = arrival.update.apply(&inner.document)?;
@@ -93,11 +93,11 @@
                 "bytes" => arrival.bytes, "steps" => steps.as_ref().map(Vec::len),
                 "ms" => took.as_millis() as u64, "left_out" => left_out);
         }
-        inner.put_document(now, &self.shared, document, steps, holder.entry.as_str());
+        inner.apply_document(now, &self.shared, document, steps, holder.entry.as_str());
         if inner.document.version == version {
             // Failure: the copy says nothing of how fresh it is, so the store is asked at once for what changed since this
             // entry's last look. Symptom: it answers with the whole document once more.
-            learn(&mut inner.document_known, now - took, arrival.known);
+            confirm(&mut inner.document_freshness, now - took, arrival.known);
         }
         Ok(())
     }
@@ -105,13 +105,13 @@
 
 impl Inner {
     /// Notes which version of the document another entry has.
-    pub(super) fn hear_document(&mut self, now: Instant, shared: &Shared, state: &State) {
+    pub(super) fn record_peer_document(&mut self, now: Instant, shared: &Shared, state: &State) {
         if state.document <= self.document.version {
             return;
         }
         shared.newest_document.fetch_max(state.document, Ordering::AcqRel);
-        if self.behind.is_none() {
-            self.behind = Some(now);
+        if self.behind_since.is_none() {
+            self.behind_since = Some(now);
             shared.metrics.behind.set(1);
             info!(shared.log.always(), "document behind"; "version" => self.document.version,
                 "newest" => state.document, "entry" => state.entry.as_str(),
@@ -120,15 +120,18 @@
     }
 
     /// Works out whether the document in force is behind, and for too long.
-    pub(super) fn lag(&mut self, now: Instant, shared: &Shared) {
-        if self.document.version >= shared.newest_document.load(Ordering::Acquire) && self.behind.take().is_some() {
+    pub(super) fn update_lag(&mut self, now: Instant, shared: &Shared) {
+        if self.document.version >= shared.newest_document.load(Ordering::Acquire) && self.behind_since.take().is_some()
+        {
             shared.metrics.behind.set(0);
         }
-        let late = self.behind.is_some_and(|since| now.since(since) >= LATE);
+        let late = self
+            .behind_since
+            .is_some_and(|since| now.since(since) >= MAX_DOCUMENT_LAG);
         if shared.late.swap(late, Ordering::AcqRel) != late {
             info!(shared.log.always(), "document late"; "late" => late, "version" => self.document.version,
                 "newest" => shared.newest_document.load(Ordering::Acquire),
-                "behind_ms" => self.behind.map(|since| now.since(since).as_millis() as u64));
+                "behind_ms" => self.behind_since.map(|since| now.since(since).as_millis() as u64));
         }
     }
 }
--- a/bergamotshift-forward/src/control/copies.rs
+++ b/bergamotshift-forward/src/control/copies.rs
@@ -11,36 +11,36 @@
 use crate::peers::Update;
 
 /// How many steps from version to version are kept; entries that are further behind get the whole document.
-const STEPS: usize = 8;
+const MAX_STEPS: usize = 8;
 
 /// What changed from version to version lately, and what others were given of it.
 ///
 /// Failure: each version of the document goes to each entry as a whole, however little it changes. Symptom: a change of one
 /// key costs 77 entries 300 kB each, and fills the links of the narrowest while it goes round.
 #[derive(Debug, Default)]
-pub(super) struct Copies {
+pub(super) struct UpdateCache {
     steps: VecDeque<Difference>,
     /// What was given to others, by the version that they had.
     encoded: BTreeMap<u64, Bytes>,
 }
 
-impl Copies {
+impl UpdateCache {
     /// Notes the steps that led to the document in force.
-    pub(super) fn step(&mut self, document: &Document, steps: Vec<Difference>) {
+    pub(super) fn push_steps(&mut self, document: &Document, steps: Vec<Difference>) {
         self.encoded.clear();
         self.steps.extend(steps);
         // Together they must stay shorter than the document; those before are of no use.
-        let mut written = 0;
-        let useful = self.steps.iter().rev().take(STEPS).take_while(|step| {
-            written += step.written();
-            written < document.routes.len().max(1)
+        let mut total = 0;
+        let useful = self.steps.iter().rev().take(MAX_STEPS).take_while(|step| {
+            total += step.written();
+            total < document.routes.len().max(1)
         });
-        let spare = self.steps.len() - useful.count();
-        self.steps.drain(..spare);
+        let surplus = self.steps.len() - useful.count();
+        self.steps.drain(..surplus);
     }
 
     /// Returns what an entry lacks that has a version; `None` when it cannot be encoded.
-    pub(super) fn encoded(&mut self, document: &Document, version: u64) -> Option<Bytes> {
+    pub(super) fn update_from(&mut self, document: &Document, version: u64) -> Option<Bytes> {
         if let Some(encoded) = self.encoded.get(&version) {
             return Some(encoded.clone());
         }
--- a/bergamotshift-forward/src/control/inner.rs
+++ b/bergamotshift-forward/src/control/inner.rs
@@ -19,7 +19,7 @@
 use rand::Rng;
 use slog::info;
 
-use super::copies::Copies;
+use super::copies::UpdateCache;
 use super::organisation::Organisation;
 use crate::document::Difference;
 use crate::document::Document;
@@ -38,35 +38,35 @@
 use crate::view::Shared;
 
 /// How long what an entry said once stands in a large fleet, where news of it come through others and in some seconds.
-const HEARD_LARGE: Duration = Duration::from_secs(5);
+const LARGE_FLEET_STATE_TTL: Duration = Duration::from_secs(5);
 
 /// Over what time the reading of prompts is averaged; new endpoints take seconds to boot, so it follows quickly.
-const READING: Duration = Duration::from_secs(3);
+const PROMPT_DEMAND_WINDOW: Duration = Duration::from_secs(3);
 
 /// How long what another entry said of its work under way counts; older figures say nothing of now.
-pub(super) const FRESH: Duration = Duration::from_millis(1_500);
+pub(super) const STATE_TTL: Duration = Duration::from_millis(1_500);
 
 /// How many entries there may be until the list of them was read; more than a small site has.
-pub(super) const UNKNOWN: usize = 12;
+pub(super) const ASSUMED_ENTRIES: usize = 12;
 
 /// How many windows of usage are kept of other entries.
-const WINDOWS: u64 = 6;
+const USAGE_WINDOWS: u64 = 6;
 
 /// What outlives pictures of one service.
 #[derive(Debug)]
-pub(super) struct Lasting {
+pub(super) struct ServiceState {
     pub(super) budget: Arc<Budget>,
     /// Prompt tokens that callers asked to have read since the last tick.
-    pub(super) asked: Arc<AtomicU64>,
+    pub(super) requested_tokens: Arc<AtomicU64>,
     /// The same by the second.
-    pub(super) reading: Demand,
+    pub(super) prompt_demand: Demand,
     /// Tokens of a usual prompt.
-    pub(super) usual_prompt: Arc<AtomicU64>,
+    pub(super) typical_prompt: Arc<AtomicU64>,
 }
 
 /// Another entry that holds the duties, or did.
 #[derive(Clone, Debug)]
-pub(super) struct Holder {
+pub(super) struct DutyHolder {
     pub(super) entry: name::Entry,
     /// When it was last so.
     pub(super) at: Instant,
@@ -77,45 +77,45 @@
 #[derive(Debug)]
 pub(super) struct Inner {
     pub(super) document: Arc<Document>,
-    pub(super) document_known: Freshness,
+    pub(super) document_freshness: Freshness,
     /// Since when another entry has been known to have a newer document; `None` when none has.
-    pub(super) behind: Option<Instant>,
+    pub(super) behind_since: Option<Instant>,
     /// What others are given of the document.
-    pub(super) copies: Copies,
+    pub(super) updates: UpdateCache,
     pub(super) directory: Directory,
-    pub(super) registrations_known: Freshness,
+    pub(super) registrations_freshness: Freshness,
     pub(super) organisations: BTreeMap<name::Organisation, Organisation>,
-    pub(super) services: BTreeMap<name::Service, Lasting>,
+    pub(super) services: BTreeMap<name::Service, ServiceState>,
     pub(super) members: Members,
     pub(super) quarantine: Quarantine,
     /// What each life of each other entry counted.
-    pub(super) counted: BTreeMap<(name::Entry, u64), Windows>,
+    pub(super) peer_usage: BTreeMap<(name::Entry, u64), Windows>,
     /// Which versions of each service may take work.
     pub(super) standings: BTreeMap<name::Service, Standing>,
     /// The share of each service's new version in the last picture.
     pub(super) shares: BTreeMap<name::Service, u16>,
     /// What each life of each other entry saw of the answers of two versions.
-    pub(super) testimonies: BTreeMap<(name::Entry, u64), Vec<(name::Service, Evidence)>>,
+    pub(super) peer_evidence: BTreeMap<(name::Entry, u64), Vec<(name::Service, Evidence)>>,
     /// Whether this entry holds the duties.
-    pub(super) holds: bool,
+    pub(super) holds_duties: bool,
     /// What this entry tells of the duties' lease.
-    pub(super) word: Option<Word>,
+    pub(super) lease_notice: Option<Word>,
     /// What another entry told last of that lease, and when.
-    pub(super) heard_word: Option<(Word, Instant)>,
+    pub(super) peer_lease_notice: Option<(Word, Instant)>,
     /// Which other entry was last known to hold the duties, or to have given them up.
-    pub(super) holder: Option<Holder>,
+    pub(super) duty_holder: Option<DutyHolder>,
     /// Whether the list of entries was read.
-    pub(super) lists_entries: bool,
+    pub(super) entries_listed: bool,
     /// The organisations that the entries wrote to be busy before this process started, until they are taken in.
-    pub(super) remembered: Option<Vec<name::Organisation>>,
+    pub(super) busy_before_start: Option<Vec<name::Organisation>>,
     /// The calls that failed when they were last made.
-    pub(super) lost_calls: BTreeSet<&'static str>,
+    pub(super) failed_calls: BTreeSet<&'static str>,
     pub(super) life: u64,
     /// Who keeps the zone.
     pub(super) keeping: Keeping,
     /// The entries that grant requests to endpoints which name a rate.
     pub(super) granters: Arc<[granter::Candidate]>,
-    ticked: Instant,
+    last_tick: Instant,
 }
 
 impl Inner {
@@ -129,37 +129,37 @@
         members.start(now);
         Self {
             document: Arc::default(),
-            document_known: Freshness::default(),
-            behind: None,
-            copies: Copies::default(),
+            document_freshness: Freshness::default(),
+            behind_since: None,
+            updates: UpdateCache::default(),
             directory: Directory::default(),
-            registrations_known: Freshness::default(),
+            registrations_freshness: Freshness::default(),
             organisations: BTreeMap::new(),
             services: BTreeMap::new(),
             members,
             quarantine: Quarantine::new(quarantine::Settings::default()),
-            counted: BTreeMap::new(),
+            peer_usage: BTreeMap::new(),
             standings: BTreeMap::new(),
             shares: BTreeMap::new(),
-            testimonies: BTreeMap::new(),
-            holds: false,
-            word: None,
-            heard_word: None,
-            holder: None,
-            lists_entries: false,
-            remembered: None,
-            lost_calls: BTreeSet::new(),
+            peer_evidence: BTreeMap::new(),
+            holds_duties: false,
+            lease_notice: None,
+            peer_lease_notice: None,
+            duty_holder: None,
+            entries_listed: false,
+            busy_before_start: None,
+            failed_calls: BTreeSet::new(),
             life: random::generator().next_u64(),
             keeping: Keeping::default(),
             granters: Arc::default(),
-            ticked: now,
+            last_tick: now,
         }
     }
 
     /// Returns how many entries come before this one for what need be done once; one that does not reach the store
     /// comes last.
     pub(super) fn rank(&self, now: Instant) -> usize {
-        if self.lost_calls.is_empty() {
+        if self.failed_calls.is_empty() {
             self.members.rank(now)
         } else {
             self.members.count()
@@ -167,7 +167,7 @@
     }
 
     /// Puts a document in force if it is newer than the one that is; `steps` led to it, where they are known.
-    pub(super) fn put_document(
+    pub(super) fn apply_document(
         &mut self,
         now: Instant,
         shared: &Shared,
@@ -184,37 +184,37 @@
         let version = i64::try_from(document.version).unwrap_or(i64::MAX);
         shared.metrics.document.set(version);
         let steps = steps.unwrap_or_else(|| vec![Difference::between(&self.document, &document)]);
-        self.copies.step(&document, steps);
+        self.updates.push_steps(&document, steps);
         self.document = Arc::new(document);
         shared
             .newest_document
             .fetch_max(self.document.version, Ordering::AcqRel);
         // Versions that follow one another quickly are got one by one; who gets on is not left behind.
-        self.behind = self.behind.map(|_since| now);
-        self.lag(now, shared);
-        self.deal(now, shared);
-        self.remember(now, shared);
+        self.behind_since = self.behind_since.map(|_since| now);
+        self.update_lag(now, shared);
+        self.update_parts(now, shared);
+        self.restore_limits(now, shared);
         self.publish(shared);
     }
 
     /// Takes in what somebody tells of the registrations.
-    pub(super) fn on_endpoints(&mut self, now: Instant, shared: &Shared, event: Event, from: &str) {
+    pub(super) fn apply_endpoints(&mut self, now: Instant, shared: &Shared, event: Event, from: &str) {
         let (before, digest) = (self.directory.endpoints().count(), self.directory.digest());
-        let leaving = self.directory.on(now, event);
-        self.left(now, shared, &leaving, from);
+        let leaving = self.directory.apply(now, event);
+        self.handle_leaving(now, shared, &leaving, from);
         if digest == self.directory.digest() && shared.view.load().knows_endpoints {
             return;
         }
         let after = self.directory.endpoints().count();
         if let Some((logger, left_out)) = shared.log.room(now, Topic::Belief) {
             info!(logger, "endpoints changed"; "before" => before, "after" => after, "from" => from,
-                "cursor" => self.registrations_known.cursor().0, "left_out" => left_out);
+                "cursor" => self.registrations_freshness.cursor().0, "left_out" => left_out);
         }
         self.publish(shared);
     }
 
     /// Takes in that endpoints stopped taking work.
-    fn left(&mut self, now: Instant, shared: &Shared, leaving: &[Arc<Endpoint>], from: &str) {
+    fn handle_leaving(&mut self, now: Instant, shared: &Shared, leaving: &[Arc<Endpoint>], from: &str) {
         for endpoint in leaving {
             self.quarantine.announce(now, victim(endpoint));
             if let Some((logger, left_out)) = shared.log.room(now, Topic::Belief) {
@@ -222,7 +222,7 @@
                     "service" => endpoint.registration.service.as_str(),
                     "zone" => endpoint.registration.zone.as_str(), "from" => from,
                     "leaves_in_ms" => endpoint.registration.leaves_in.map(|left| left.as_millis() as u64),
-                    "cursor" => self.registrations_known.cursor().0, "left_out" => left_out);
+                    "cursor" => self.registrations_freshness.cursor().0, "left_out" => left_out);
             }
         }
         if !leaving.is_empty() {
@@ -232,13 +232,13 @@
 
     /// Works out shares and figures anew.
     pub(super) fn tick(&mut self, now: Instant, shared: &Shared) {
-        let span = now.since(self.ticked);
-        self.ticked = now;
+        let span = now.since(self.last_tick);
+        self.last_tick = now;
         let timing = Timing::default();
         for organisation in self.organisations.values_mut() {
             organisation.demand.note(
                 timing.memory,
-                organisation.account.take_asked() + organisation.kept.take_asked(),
+                organisation.account.take_asked() + organisation.zone_account.take_asked(),
                 span,
             );
         }
@@ -247,7 +247,9 @@
         let slack = retry_slack(shared, self.members.count());
         for service in self.services.values_mut() {
             service.budget.bound(slack);
-            service.reading.note(READING, service.asked.swap(0, Relaxed), span);
+            service
+                .prompt_demand
+                .note(PROMPT_DEMAND_WINDOW, service.requested_tokens.swap(0, Relaxed), span);
         }
         for entry in self.members.expire(now) {
             if let Some((logger, left_out)) = shared.log.room(now, Topic::Belief) {
@@ -259,61 +261,71 @@
         }
         if !self.directory.is_settled() {
             // What another entry read lately proves what is missing, also when it brought no news.
-            let age = self.registrations_known.age(now).unwrap_or(FRESH);
+            let age = self.registrations_freshness.age(now).unwrap_or(STATE_TTL);
             let left = self.directory.settle(now, now - age);
-            self.left(now, shared, &left, "time");
+            self.handle_leaving(now, shared, &left, "time");
         }
-        self.keep(now, shared);
-        self.grant(now, shared);
-        self.strand(now, shared);
-        self.lag(now, shared);
-        self.deal(now, shared);
+        self.update_keeping(now, shared);
+        self.update_granters(now, shared);
+        self.update_stranded(now, shared);
+        self.update_lag(now, shared);
+        self.update_parts(now, shared);
         self.apply_shares(now, shared);
         shared.ledger().expire(now);
-        self.sum_flown(now, shared);
-        let oldest = shared.tally.current().saturating_sub(WINDOWS);
-        self.counted.retain(|_, windows| {
+        self.update_in_flight(now, shared);
+        let oldest = shared.tally.current().saturating_sub(USAGE_WINDOWS);
+        self.peer_usage.retain(|_, windows| {
             windows.retain(|window, _| *window >= oldest);
             !windows.is_empty()
         });
-        shared.metrics.peers.set(self.members.heard(now, FRESH).count() as i64);
+        shared
+            .metrics
+            .peers
+            .set(self.members.heard(now, STATE_TTL).count() as i64);
         self.quarantine.expire(now);
     }
 
     /// Returns the prompt tokens a second that callers of a service ask all entries to have read.
-    pub(super) fn reading(&self, now: Instant, service: &name::Service) -> f64 {
-        let own = self.services.get(service).map_or(0.0, |lasting| lasting.reading.get());
+    pub(super) fn prompt_demand(&self, now: Instant, service: &name::Service) -> f64 {
+        let own = self
+            .services
+            .get(service)
+            .map_or(0.0, |state| state.prompt_demand.get());
         // Failure: in a large fleet each entry is heard every other second, and the figures of those heard less lately
         // are left out. Symptom: the demand comes out at three quarters of what it is.
-        let others = self.members.heard(now, self.patience());
+        let others = self.members.heard(now, self.state_ttl());
         let told = others.flat_map(|(_, state)| state.reading.iter().filter(|(name, _)| name == service));
         own + told.map(|(_, rate)| rate).sum::<f64>()
     }
 
     /// Returns whether another entry said lately that the store answers it.
     pub(super) fn others_reach_store(&self, now: Instant) -> bool {
-        self.members.heard(now, FRESH).any(|(_, state)| state.reaches_store)
+        self.members.heard(now, STATE_TTL).any(|(_, state)| state.reaches_store)
     }
 
     /// Returns whether another entry is known to hold the duties, in a large fleet by word that others pass on. The lease
     /// guards against two holders, so this only bounds how late a successor begins to watch it.
     pub(super) fn is_held_elsewhere(&self, now: Instant) -> bool {
-        self.holder
+        self.duty_holder
             .as_ref()
-            .is_some_and(|holder| holder.holds && now.since(holder.at) < FRESH)
+            .is_some_and(|holder| holder.holds && now.since(holder.at) < STATE_TTL)
     }
 
     /// Returns how long what each other entry said once stands for what it does now.
-    fn patience(&self) -> Duration {
-        if self.members.is_large() { HEARD_LARGE } else { FRESH }
+    fn state_ttl(&self) -> Duration {
+        if self.members.is_large() {
+            LARGE_FLEET_STATE_TTL
+        } else {
+            STATE_TTL
+        }
     }
 }
 
 /// Returns this entry's part of what repeated sends may add to a service; the ratio holds by itself, as each entry counts
 /// its own requests.
-pub(super) fn budget(shared: &Shared) -> Budget {
+pub(super) fn retry_budget(shared: &Shared) -> Budget {
     const RATIO_USED: f64 = 0.75;
-    let slack = retry_slack(shared, UNKNOWN);
+    let slack = retry_slack(shared, ASSUMED_ENTRIES);
     Budget::new(retry::Settings {
         ratio: shared.settings.retry.ratio * RATIO_USED,
         reserve: slack,
@@ -324,7 +336,7 @@
 /// Returns one entry's even share of the repeated sends that all may make beyond the ratio. A small site's is that of the
 /// most entries that it has, so that it does not change with every entry that comes and goes.
 fn retry_slack(shared: &Shared, entries: usize) -> u32 {
-    (shared.settings.retry.slack / entries.max(UNKNOWN) as f64).max(1.0) as u32
+    (shared.settings.retry.slack / entries.max(ASSUMED_ENTRIES) as f64).max(1.0) as u32
 }
 
 /// Returns the part of a core that this entry may use, in thousandths.
--- a/bergamotshift-forward/src/control/mod.rs
+++ b/bergamotshift-forward/src/control/mod.rs
@@ -68,10 +68,10 @@
 pub struct Control {
     shared: Arc<Shared>,
     inner: Rc<RefCell<Inner>>,
-    questions: mpsc::UnboundedSender<Query>,
+    queries: mpsc::UnboundedSender<Query>,
     inbox: Rc<RefCell<Option<mpsc::UnboundedReceiver<Query>>>>,
     /// Wakes whoever follows the document when another entry has a newer one.
-    news: Rc<Notify>,
+    newer_document: Rc<Notify>,
     /// How many more entries may be given the document now.
     uploads: Arc<Semaphore>,
 }
@@ -79,14 +79,14 @@
 impl Control {
     /// Makes a control that knows nothing yet.
     pub fn new(shared: Arc<Shared>) -> Self {
-        let (questions, inbox) = mpsc::unbounded_channel();
+        let (queries, inbox) = mpsc::unbounded_channel();
         let inner = Inner::new(&shared);
         Self {
             shared,
             inner: Rc::new(RefCell::new(inner)),
-            questions,
+            queries,
             inbox: Rc::new(RefCell::new(Some(inbox))),
-            news: Rc::default(),
+            newer_document: Rc::default(),
             uploads: Arc::new(Semaphore::new(UPLOADS)),
         }
     }
@@ -98,7 +98,7 @@
 
     /// Returns where questions of other entries go.
     pub fn query_sender(&self) -> mpsc::UnboundedSender<Query> {
-        self.questions.clone()
+        self.queries.clone()
     }
 
     /// Returns the questions of other entries; `None` from the second call on.
@@ -116,14 +116,14 @@
     pub fn record_call(&self, call: &'static str, error: Option<&bergamotshift_platform::Error>) {
         self.shared.metrics.called(call, error.is_none());
         let mut inner = self.inner.borrow_mut();
-        let lost = inner.lost_calls.contains(call);
+        let lost = inner.failed_calls.contains(call);
         match error {
             Some(error) if !lost => {
-                inner.lost_calls.insert(call);
+                inner.failed_calls.insert(call);
                 info!(self.shared.log.always(), "dependency lost"; "call" => call, "cause" => %error);
             }
             None if lost => {
-                inner.lost_calls.remove(call);
+                inner.failed_calls.remove(call);
                 info!(self.shared.log.always(), "dependency regained"; "call" => call);
             }
             _ => {}
@@ -139,24 +139,24 @@
     pub fn document_cursor(&self) -> Option<Cursor> {
         let inner = self.inner.borrow();
         inner
-            .document_known
+            .document_freshness
             .age(self.now())
-            .map(|_| inner.document_known.cursor())
+            .map(|_| inner.document_freshness.cursor())
     }
 
     /// Returns how long until the document has to be looked at.
     pub fn document_due(&self, look: Duration) -> Duration {
         let now = self.now();
         let inner = self.inner.borrow();
-        inner.document_known.due(now, look, inner.rank(now))
+        inner.document_freshness.due(now, look, inner.rank(now))
     }
 
     /// Takes in what the store tells of the document.
-    pub fn read_document(&self, written: Written, cursor: Cursor) {
+    pub fn apply_stored_document(&self, written: Written, cursor: Cursor) {
         let now = self.now();
         let mut inner = self.inner.borrow_mut();
-        inner.document_known.confirm(now, cursor, Duration::ZERO);
-        inner.read_rollouts(now, &self.shared, written.rollouts);
+        inner.document_freshness.confirm(now, cursor, Duration::ZERO);
+        inner.apply_stored_rollouts(now, &self.shared, written.rollouts);
         for (service, cause) in &written.unread {
             self.shared.metrics.unread.inc();
             if let Some((logger, left_out)) = self.shared.log.room(now, Topic::Belief) {
@@ -165,7 +165,7 @@
             }
         }
         if let Some(document) = written.document {
-            inner.put_document(now, &self.shared, document, None, "store");
+            inner.apply_document(now, &self.shared, document, None, "store");
         }
     }
 
@@ -173,33 +173,33 @@
     pub fn registrations_cursor(&self) -> Option<Cursor> {
         let inner = self.inner.borrow();
         inner
-            .registrations_known
+            .registrations_freshness
             .age(self.now())
-            .map(|_| inner.registrations_known.cursor())
+            .map(|_| inner.registrations_freshness.cursor())
     }
 
     /// Returns how long until the registrations have to be looked at.
     pub fn registrations_due(&self, look: Duration) -> Duration {
         let now = self.now();
         let inner = self.inner.borrow();
-        inner.registrations_known.due(now, look, inner.rank(now))
+        inner.registrations_freshness.due(now, look, inner.rank(now))
     }
 
     /// Takes in what the store tells of the registrations.
-    pub fn read_registrations(&self, event: Event, cursor: Cursor) {
+    pub fn apply_stored_registrations(&self, event: Event, cursor: Cursor) {
         let now = self.now();
         let mut inner = self.inner.borrow_mut();
         // Another entry may have told of newer changes while this answer was on its way.
-        let is_older = cursor < inner.registrations_known.cursor();
+        let is_older = cursor < inner.registrations_freshness.cursor();
         if is_older && matches!(event, Event::Listed(_)) {
             return;
         }
-        inner.registrations_known.confirm(now, cursor, Duration::ZERO);
-        inner.on_endpoints(now, &self.shared, event, "store");
+        inner.registrations_freshness.confirm(now, cursor, Duration::ZERO);
+        inner.apply_endpoints(now, &self.shared, event, "store");
     }
 
     /// Counts and logs what stands among the registrations and cannot be read.
-    pub fn unread(&self, changes: &[Change]) {
+    pub fn report_unreadable(&self, changes: &[Change]) {
         for change in changes {
             let Change::Unreadable { id, cause } = change else {
                 continue;
@@ -213,17 +213,17 @@
     }
 
     /// Takes in that the store did not tell of the registrations.
-    pub fn registrations_lost(&self) {
+    pub fn registrations_unavailable(&self) {
         let now = self.now();
         let mut inner = self.inner.borrow_mut();
         // Only while the store is away does what is missing there prove nothing.
-        if inner.members.misses_store(now, inner::FRESH) {
-            inner.on_endpoints(now, &self.shared, Event::Lost, "store");
+        if inner.members.misses_store(now, inner::STATE_TTL) {
+            inner.apply_endpoints(now, &self.shared, Event::StoreFailed, "store");
         }
     }
 
     /// Takes in that an endpoint ended while it had a request.
-    pub fn on_death(&self, endpoint: u64, fingerprint: Fingerprint) {
+    pub fn endpoint_died(&self, endpoint: u64, fingerprint: Fingerprint) {
         let now = self.now();
         let mut inner = self.inner.borrow_mut();
         let Some(victim) = inner.directory.by_hash(endpoint).map(|endpoint| victim(endpoint)) else {
@@ -241,7 +241,7 @@
     }
 
     /// Notes that the list names another entry.
-    pub fn named(&self, listed: &Listed) {
+    pub fn add_listed(&self, listed: &Listed) {
         let now = self.now();
         self.inner.borrow_mut().members.listed(now, listed);
     }
@@ -252,32 +252,32 @@
     /// Failure: entries join one after the other, and each starts with a part of every organisation's burst, which the ones
     /// before hold too. Symptom: with sixteen that join, an organisation has its burst more than twice. Only an entry that is
     /// back, or the first one, gets a part at once; one that joins gets what the others leave.
-    pub fn listed(&self, busy: Option<Vec<name::Organisation>>) {
+    pub fn entry_list_read(&self, busy: Option<Vec<name::Organisation>>) {
         let mut inner = self.inner.borrow_mut();
-        let is_first = !inner.lists_entries;
-        inner.lists_entries = true;
+        let is_first = !inner.entries_listed;
+        inner.entries_listed = true;
         if is_first {
             if busy.is_none() {
                 info!(self.shared.log.always(), "limits left to others"; "members" => inner.members.count());
             }
-            inner.remembered = busy;
+            inner.busy_before_start = busy;
             let now = self.now();
-            inner.remember(now, &self.shared);
+            inner.restore_limits(now, &self.shared);
             inner.publish(&self.shared);
         }
     }
 
     /// Returns the organisations that asked for much of their limits lately.
-    pub fn busy(&self) -> Vec<name::Organisation> {
+    pub fn busy_organisations(&self) -> Vec<name::Organisation> {
         let now = self.now();
-        self.inner.borrow().busy(now)
+        self.inner.borrow().busy_organisations(now)
     }
 
     /// Returns whom to ask now.
     pub fn due_peers(&self, limit: usize) -> Vec<(name::Entry, SocketAddr)> {
         let now = self.now();
         let mut inner = self.inner.borrow_mut();
-        let holder = inner.holder.as_ref().map(|holder| holder.entry.clone());
+        let holder = inner.duty_holder.as_ref().map(|holder| holder.entry.clone());
         inner.members.hurry(self.shared.rollout_evidence.take_urgent());
         inner.members.due(now, limit, holder.as_ref())
     }
@@ -293,7 +293,7 @@
     }
 
     /// Returns how many entries are known, this one included.
-    pub fn members(&self) -> usize {
+    pub fn entry_count(&self) -> usize {
         self.inner.borrow().members.count()
     }
 
@@ -323,16 +323,16 @@
     /// Takes in what another entry says of itself, and returns what it is told.
     pub fn handle_state(&self, state: State) -> Reply {
         let now = self.now();
-        let reply = self.inner.borrow_mut().asked(now, &self.shared, state);
-        self.tell_news();
+        let reply = self.inner.borrow_mut().handle_state(now, &self.shared, state);
+        self.notify_newer_document();
         reply
     }
 
     /// Takes in another entry's answer.
     pub fn handle_reply(&self, reply: Reply) {
         let now = self.now();
-        self.inner.borrow_mut().answered(now, &self.shared, reply);
-        self.tell_news();
+        self.inner.borrow_mut().handle_reply(now, &self.shared, reply);
+        self.notify_newer_document();
     }
 
     /// Works out shares and figures anew; called several times a second.
@@ -344,15 +344,15 @@
     /// Notes whether this entry holds the duties, and what it tells of their lease.
     pub fn set_duties(&self, held: bool, word: Option<Word>) {
         let mut inner = self.inner.borrow_mut();
-        inner.holds = held;
-        inner.word = word;
+        inner.holds_duties = held;
+        inner.lease_notice = word;
         self.shared.metrics.holder.set(i64::from(held));
     }
 
     /// Returns what another entry said of the duties' lease since the last call, as of now.
     pub fn take_lease_notice(&self) -> Option<Word> {
         let now = self.now();
-        let (word, at) = self.inner.borrow_mut().heard_word.take()?;
+        let (word, at) = self.inner.borrow_mut().peer_lease_notice.take()?;
         Some(word.after(now.since(at)))
     }
 
@@ -377,7 +377,7 @@
     pub fn usage(&self, window: u64) -> BTreeMap<name::Organisation, u64> {
         let inner = self.inner.borrow();
         let mut sum = self.shared.tally.windows().remove(&window).unwrap_or_default();
-        let others = inner.counted.values().filter_map(|windows| windows.get(&window));
+        let others = inner.peer_usage.values().filter_map(|windows| windows.get(&window));
         for (organisation, count) in others.flatten() {
             *sum.entry(organisation.clone()).or_default() += count;
         }
@@ -387,7 +387,7 @@
     /// Returns the prompt tokens a second that callers of a service ask all entries to have read.
     pub fn prompt_demand(&self, service: &name::Service) -> f64 {
         let now = self.now();
-        self.inner.borrow().reading(now, service)
+        self.inner.borrow().prompt_demand(now, service)
     }
 
     /// Returns the endpoints that take work.
--- a/bergamotshift-forward/src/control/organisation.rs
+++ b/bergamotshift-forward/src/control/organisation.rs
@@ -6,8 +6,8 @@
 use bergamotshift_core::prelude::*;
 use slog::info;
 
+use super::inner::ASSUMED_ENTRIES;
 use super::inner::Inner;
-use super::inner::UNKNOWN;
 use crate::document::Limit;
 use crate::limits::Account;
 use crate::limits::Demand;
@@ -22,7 +22,7 @@
 use crate::view::Shared;
 
 /// The part of the units beyond a limit that entries deal out; the rest covers requests that overdraw their share.
-const SLACK_USED: f64 = 0.4;
+const SLACK_FRACTION: f64 = 0.4;
 
 /// How many times the burst all entries together may deal out while an organisation is far below its limit.
 ///
@@ -34,25 +34,25 @@
 
 /// How long an organisation counts as busy: a window over which limits are judged, and the time between two writes of an
 /// entry's row.
-const BUSY: Duration = Duration::from_secs(13);
+const BUSY_DURATION: Duration = Duration::from_secs(13);
 
 /// What a process that starts and keeps its zone takes to be used up, in bursts. Only as many requests as there are zones
 /// overdraw, and a process that was killed is back after a second, so that half a burst more in one window stays within
 /// the tenth by which a limit may be exceeded.
-const USED_KEEPER: f64 = 0.5;
+const KEEPER_USED_BURSTS: f64 = 0.5;
 
 #[derive(Debug, Default)]
 pub(super) struct Organisation {
     pub(super) account: Arc<Account>,
     /// What this entry grants to all of its zone, when it keeps that.
-    pub(super) kept: Arc<Account>,
+    pub(super) zone_account: Arc<Account>,
     /// This entry's share in a small fleet.
     pub(super) share: Share<name::Entry>,
     /// The zone's share in a large one.
     pub(super) zone_share: Share<name::Zone>,
     pub(super) demand: Demand,
     /// When it last asked for more than what is calm, as far as this entry knows.
-    pub(super) busy: Option<Instant>,
+    pub(super) last_busy: Option<Instant>,
     /// This entry's part of the limit.
     part: Option<Part>,
 }
@@ -60,28 +60,28 @@
 impl Organisation {
     /// Works out this entry's part of the limit among `members` entries; `slack` are units that all together may let in
     /// beyond its burst.
-    fn deal(&mut self, now: Instant, limit: Option<Limit>, slack: f64, members: usize) {
+    fn update_part(&mut self, now: Instant, limit: Option<Limit>, slack: f64, members: usize) {
         let timing = Timing::default();
         let fraction = self.share.next(now, &timing, self.demand, members);
         self.part = limit.map(|limit| {
             if self.share.asked(now, &timing, self.demand) >= limit.rate * timing.calm {
-                self.busy = Some(now);
+                self.last_busy = Some(now);
             }
             let calm = self.share.is_calm(now, &timing, self.demand, members, limit.rate);
-            whole(limit, slack).times(fraction, fraction.max(spread(calm, members)))
+            total(limit, slack).times(fraction, fraction.max(min_burst_fraction(calm, members)))
         });
         self.account.set(now, self.part);
     }
 
     /// Takes in that all entries knew the organisation to be far below its limit before this process started.
-    fn was_calm(&self, now: Instant) {
+    fn relieve_calm(&self, now: Instant) {
         if let Some(part) = self.part {
             self.account.relieve(now, part, USED_CALM);
         }
     }
 
     /// Works out the part of the limit that this entry grants as the keeper of its zone, or as its deputy, among `zones`.
-    fn deal_zone(&mut self, now: Instant, limit: Option<Limit>, slack: f64, zones: usize, keeping: Keeping) {
+    fn update_zone_part(&mut self, now: Instant, limit: Option<Limit>, slack: f64, zones: usize, keeping: Keeping) {
         let timing = Timing::default();
         let is_keeper = keeping.keeper == Keeper::Own;
         if !is_keeper && !keeping.is_deputy {
@@ -95,17 +95,17 @@
         let part = limit.map(|limit| {
             let calm = is_keeper && self.zone_share.is_calm(now, &timing, self.demand, zones, limit.rate);
             let whole = Part {
-                used: USED_KEEPER,
-                ..whole(limit, slack)
+                used: KEEPER_USED_BURSTS,
+                ..total(limit, slack)
             };
-            whole.times(fraction, fraction.max(spread(calm, zones)))
+            whole.times(fraction, fraction.max(min_burst_fraction(calm, zones)))
         });
-        self.kept.set(now, part);
+        self.zone_account.set(now, part);
     }
 }
 
 /// Returns a whole limit, with what may be let in beyond it.
-fn whole(limit: Limit, slack: f64) -> Part {
+fn total(limit: Limit, slack: f64) -> Part {
     Part {
         rate: limit.rate,
         burst: limit.burst + slack,
@@ -115,7 +115,7 @@
 }
 
 /// Returns the part of a burst that each of `members` may use at the least.
-fn spread(is_calm: bool, members: usize) -> f64 {
+fn min_burst_fraction(is_calm: bool, members: usize) -> f64 {
     if is_calm {
         (CALM_BURSTS / members as f64).min(1.0)
     } else {
@@ -125,8 +125,9 @@
 
 impl Inner {
     /// Returns the organisations that asked for much of their limits lately.
-    pub(super) fn busy(&self, now: Instant) -> Vec<name::Organisation> {
-        let is_busy = |organisation: &&Organisation| organisation.busy.is_some_and(|at| now.since(at) < BUSY);
+    pub(super) fn busy_organisations(&self, now: Instant) -> Vec<name::Organisation> {
+        let is_busy =
+            |organisation: &&Organisation| organisation.last_busy.is_some_and(|at| now.since(at) < BUSY_DURATION);
         let busy = self
             .organisations
             .iter()
@@ -140,8 +141,8 @@
     /// for a second after the end of an outage half of all callers are refused, though they ask for half of their limits.
     /// What the entries wrote down some seconds before says who may have been at its limit; the others get a part of their
     /// bursts at once.
-    pub(super) fn remember(&mut self, now: Instant, shared: &Shared) {
-        let Some(busy) = self.remembered.take_if(|_| self.document.version > 0) else {
+    pub(super) fn restore_limits(&mut self, now: Instant, shared: &Shared) {
+        let Some(busy) = self.busy_before_start.take_if(|_| self.document.version > 0) else {
             return;
         };
         info!(shared.log.always(), "limits remembered"; "busy" => busy.len(),
@@ -149,15 +150,15 @@
         for declared in &Arc::clone(&self.document).organisations {
             let organisation = self.organisations.entry(declared.name.clone()).or_default();
             if busy.contains(&declared.name) {
-                organisation.busy = Some(now);
+                organisation.last_busy = Some(now);
             } else {
-                organisation.was_calm(now);
+                organisation.relieve_calm(now);
             }
         }
     }
 
     /// Works out who keeps the zone.
-    pub(super) fn keep(&mut self, now: Instant, shared: &Shared) {
+    pub(super) fn update_keeping(&mut self, now: Instant, shared: &Shared) {
         if shared.is_stopping() {
             self.members.stop();
         }
@@ -173,15 +174,19 @@
         shared.metrics.keeper.set(i64::from(is_keeper));
         self.keeping = keeping;
         // The accounts come first: whoever is asked from now on grants from them.
-        self.deal(now, shared);
+        self.update_parts(now, shared);
         self.publish(shared);
     }
 
     /// Works out this entry's part of each limit.
-    pub(super) fn deal(&mut self, now: Instant, shared: &Shared) {
+    pub(super) fn update_parts(&mut self, now: Instant, shared: &Shared) {
         let known = self.members.count();
-        let members = if self.lists_entries { known } else { known.max(UNKNOWN) };
-        let slack = shared.settings.limit.slack * SLACK_USED;
+        let members = if self.entries_listed {
+            known
+        } else {
+            known.max(ASSUMED_ENTRIES)
+        };
+        let slack = shared.settings.limit.slack * SLACK_FRACTION;
         let document = Arc::clone(&self.document);
         let zones = self.members.zones().len();
         let is_large = self.members.is_large();
@@ -189,9 +194,9 @@
             let organisation = self.organisations.entry(declared.name.clone()).or_default();
             let limit = declared.limit.filter(|limit| limit.rate > 0.0);
             if is_large {
-                organisation.deal_zone(now, limit, slack, zones, self.keeping);
+                organisation.update_zone_part(now, limit, slack, zones, self.keeping);
             } else {
-                organisation.deal(now, limit, slack, members);
+                organisation.update_part(now, limit, slack, members);
             }
         }
     }
--- a/bergamotshift-forward/src/control/publish.rs
+++ b/bergamotshift-forward/src/control/publish.rs
@@ -8,8 +8,8 @@
 use bergamotshift_rollout::standing::Admission;
 
 use super::inner::Inner;
-use super::inner::Lasting;
-use super::inner::budget;
+use super::inner::ServiceState;
+use super::inner::retry_budget;
 use super::organisation::Organisation;
 use crate::endpoint::Endpoint;
 use crate::limits::Demand;
@@ -23,7 +23,7 @@
     fn accounts(&self) -> Accounts {
         Accounts {
             own: Arc::clone(&self.account),
-            zone: Arc::clone(&self.kept),
+            zone: Arc::clone(&self.zone_account),
         }
     }
 }
@@ -46,19 +46,22 @@
         let document = Arc::clone(&self.document);
         let mut services = HashMap::new();
         for service in &document.services {
-            let lasting = self.services.entry(service.name.clone()).or_insert_with(|| Lasting {
-                budget: Arc::new(budget(shared)),
-                asked: Arc::new(AtomicU64::new(0)),
-                reading: Demand::default(),
-                usual_prompt: Arc::default(),
-            });
+            let state = self
+                .services
+                .entry(service.name.clone())
+                .or_insert_with(|| ServiceState {
+                    budget: Arc::new(retry_budget(shared)),
+                    requested_tokens: Arc::new(AtomicU64::new(0)),
+                    prompt_demand: Demand::default(),
+                    typical_prompt: Arc::default(),
+                });
             let picture = Service {
                 canary: None,
                 endpoints: endpoints.remove(&service.name).unwrap_or_default().into(),
                 engine: service.engine,
-                budget: Arc::clone(&lasting.budget),
-                requested_tokens: Arc::clone(&lasting.asked),
-                typical_prompt: Arc::clone(&lasting.usual_prompt),
+                budget: Arc::clone(&state.budget),
+                requested_tokens: Arc::clone(&state.requested_tokens),
+                typical_prompt: Arc::clone(&state.typical_prompt),
             };
             let canary = self.canary(now, &service.name);
             services.insert(service.name.clone(), Service { canary, ..picture });
@@ -77,7 +80,7 @@
             keeping: self.keeping,
             granters: Arc::clone(&self.granters),
             knows_endpoints: self.directory.endpoints().next().is_some(),
-            knows_entries: self.lists_entries,
+            knows_entries: self.entries_listed,
         };
         let is_known = view.is_known();
         shared.view.store(Arc::new(view));
--- a/bergamotshift-forward/src/control/rollouts.rs
+++ b/bergamotshift-forward/src/control/rollouts.rs
@@ -84,7 +84,7 @@
     }
 
     /// Takes in the orders that the operators wrote, with what they were told of each.
-    pub(super) fn read_rollouts(&mut self, now: Instant, shared: &Shared, written: Vec<(Order, State)>) {
+    pub(super) fn apply_stored_rollouts(&mut self, now: Instant, shared: &Shared, written: Vec<(Order, State)>) {
         for (order, state) in written {
             let directive = state.is_final().then_some(Directive {
                 order: order.number,
@@ -93,25 +93,25 @@
                 phase: state.into(),
                 share: 0,
             });
-            self.hear_rollout(now, shared, order, Duration::ZERO, directive, "store");
+            self.apply_rollout(now, shared, order, Duration::ZERO, directive, "store");
         }
     }
 
     /// Takes in what another entry tells of orders.
-    pub(super) fn hear_rollouts(&mut self, now: Instant, shared: &Shared, state: &peers::State) {
+    pub(super) fn apply_peer_rollouts(&mut self, now: Instant, shared: &Shared, state: &peers::State) {
         for told in &state.rollouts {
             let age = Duration::from_millis(told.age_ms.into());
             let order = told.order.clone();
-            self.hear_rollout(now, shared, order, age, told.directive, state.entry.as_str());
+            self.apply_rollout(now, shared, order, age, told.directive, state.entry.as_str());
         }
         let key = (state.entry.clone(), state.life);
         // Whoever takes the duties over next hears the whole sums anew.
-        if self.holds && !state.evidence.is_empty() {
-            self.testimonies.insert(key, state.evidence.clone());
+        if self.holds_duties && !state.evidence.is_empty() {
+            self.peer_evidence.insert(key, state.evidence.clone());
         }
     }
 
-    fn hear_rollout(
+    fn apply_rollout(
         &mut self,
         now: Instant,
         shared: &Shared,
@@ -145,7 +145,7 @@
     }
 
     /// Returns what this entry tells others of the orders.
-    pub(super) fn told_rollouts(&self, now: Instant) -> Vec<peers::Rollout> {
+    pub(super) fn announced_rollouts(&self, now: Instant) -> Vec<peers::Rollout> {
         let told = self.standings.values().filter_map(|standing| {
             Some(peers::Rollout {
                 order: standing.last_order()?.clone(),
@@ -158,7 +158,7 @@
 
     /// Publishes a picture if a new version's share or standing changed, and counts the answers of open orders alone.
     pub(super) fn apply_shares(&mut self, now: Instant, shared: &Shared) {
-        self.open_book(shared);
+        self.track_open_orders(shared);
         let share_of = |standing: &Standing| match standing.directive() {
             // What a version may get changes with the end of an order, also where the share stays the same.
             Some(directive) if directive.phase.is_final() => ENDED,
@@ -179,14 +179,14 @@
     }
 
     /// Has the answers of the services with an open order counted, and forgets those of others.
-    fn open_book(&mut self, shared: &Shared) {
+    fn track_open_orders(&mut self, shared: &Shared) {
         let open = self.standings.iter().filter(|(_, standing)| standing.is_open());
         let orders: BTreeMap<_, _> = open
             .filter_map(|(service, standing)| Some((service.clone(), standing.last_order()?.number)))
             .collect();
         shared.rollout_evidence.open(&orders);
         if orders.is_empty() {
-            self.testimonies.clear();
+            self.peer_evidence.clear();
         }
     }
 
@@ -196,23 +196,23 @@
         let order = standing.last_order()?.number;
         let share = standing.share(now);
         let phase = standing.directive().map(|directive| directive.phase);
-        let (stable, canary) = self.by_version(service);
+        let (stable, canary) = self.endpoints_by_version(service);
         let most = match phase {
-            Some(Phase::Canary) => canaries(stable.len(), share),
+            Some(Phase::Canary) => canary_count(stable.len(), share),
             Some(Phase::Stress) => 1,
             _ => canary.len(),
         };
-        let usual = &self.services.get(service)?.usual_prompt;
+        let usual = &self.services.get(service)?.typical_prompt;
         Some(Canary {
             order,
-            endpoints: spread(canary, order, most).into(),
+            endpoints: spread_over_zones(canary, order, most).into(),
             share,
-            largest: (phase == Some(Phase::Stress)).then(|| usual.load(Relaxed)),
+            max_prompt_tokens: (phase == Some(Phase::Stress)).then(|| usual.load(Relaxed)),
         })
     }
 
     /// Returns the endpoints that take work, of the version in force and of the new one.
-    fn by_version(&self, service: &name::Service) -> (Vec<&Arc<Endpoint>>, Vec<&Arc<Endpoint>>) {
+    fn endpoints_by_version(&self, service: &name::Service) -> (Vec<&Arc<Endpoint>>, Vec<&Arc<Endpoint>>) {
         let of = |admission: Admission| {
             let own = self.directory.endpoints().filter(|endpoint| {
                 endpoint.registration.service == *service
@@ -228,11 +228,11 @@
         let order = standing.last_order()?.clone();
         let mut evidence = Evidence::new(order.number);
         let own = shared.rollout_evidence.evidence();
-        let all = self.testimonies.values().flatten().chain(&own);
+        let all = self.peer_evidence.values().flatten().chain(&own);
         for (_, seen) in all.filter(|(of, _)| of == service) {
             evidence.add(seen);
         }
-        let (stable, canary) = self.by_version(service);
+        let (stable, canary) = self.endpoints_by_version(service);
         let slots = canary.iter().map(|endpoint| endpoint.registration.slots);
         Some(Rollout {
             directive: standing.directive().copied(),
@@ -251,13 +251,13 @@
 
 /// Returns how many endpoints of the new version take a share of the requests, so that each is loaded as one of those in
 /// force is.
-fn canaries(stable: usize, share: u16) -> usize {
+fn canary_count(stable: usize, share: u16) -> usize {
     let alike = stable as f64 * f64::from(share) / f64::from(WHOLE);
     (alike as usize).max(1)
 }
 
 /// Returns so many endpoints, on which all entries agree: spread over the zones, by hash.
-fn spread(endpoints: Vec<&Arc<Endpoint>>, order: u64, most: usize) -> Vec<Arc<Endpoint>> {
+fn spread_over_zones(endpoints: Vec<&Arc<Endpoint>>, order: u64, most: usize) -> Vec<Arc<Endpoint>> {
     let mut zones: BTreeMap<&name::Zone, Vec<(u64, &Arc<Endpoint>)>> = BTreeMap::new();
     for endpoint in endpoints {
         let key = xxh3_64_with_seed(&endpoint.hash.to_le_bytes(), order);
--- a/bergamotshift-forward/src/control/talk.rs
+++ b/bergamotshift-forward/src/control/talk.rs
@@ -5,7 +5,7 @@
 use bergamotshift_core::prelude::*;
 use slog::info;
 
-use super::inner::Holder;
+use super::inner::DutyHolder;
 use super::inner::Inner;
 use super::inner::core_share;
 use crate::endpoint::Event;
@@ -21,17 +21,17 @@
 use crate::view::Shared;
 
 /// Returns how fresh something is known, in the form in which it is told.
-pub(super) fn told(knowledge: &Freshness, now: Instant) -> Option<Known> {
-    knowledge.age(now).map(|age| Known {
-        cursor: knowledge.cursor().0,
+pub(super) fn known(freshness: &Freshness, now: Instant) -> Option<Known> {
+    freshness.age(now).map(|age| Known {
+        cursor: freshness.cursor().0,
         age_ms: u32::try_from(age.as_millis()).unwrap_or(u32::MAX),
     })
 }
 
 /// Takes in how fresh another entry knows something that it has in the same state.
-pub(super) fn learn(knowledge: &mut Freshness, now: Instant, known: Option<Known>) {
+pub(super) fn confirm(freshness: &mut Freshness, now: Instant, known: Option<Known>) {
     if let Some(Known { cursor, age_ms }) = known {
-        knowledge.confirm(now, Cursor(cursor), Duration::from_millis(age_ms.into()));
+        freshness.confirm(now, Cursor(cursor), Duration::from_millis(age_ms.into()));
     }
 }
 
@@ -55,7 +55,7 @@
         let reading = self
             .services
             .iter()
-            .map(|(name, lasting)| (name.clone(), lasting.reading.get()));
+            .map(|(name, service)| (name.clone(), service.prompt_demand.get()));
         State {
             entry: shared.settings.name.clone(),
             life: self.life,
@@ -67,28 +67,28 @@
                 true => Stage::Keeps,
                 false => Stage::Serves,
             },
-            holds: self.holds,
-            lease: self.word,
-            holder: self.holder.as_ref().filter(|holder| holder.holds).map(|holder| {
+            holds: self.holds_duties,
+            lease: self.lease_notice,
+            holder: self.duty_holder.as_ref().filter(|holder| holder.holds).map(|holder| {
                 let age = now.since(holder.at).as_millis();
                 (holder.entry.clone(), u32::try_from(age).unwrap_or(u32::MAX))
             }),
-            reaches_store: self.lost_calls.is_empty(),
+            reaches_store: self.failed_calls.is_empty(),
             document: self.document.version,
-            document_known: told(&self.document_known, now),
+            document_known: known(&self.document_freshness, now),
             endpoints: self.directory.digest(),
             // Failure: this entry keeps endpoints whose registrations are missing, since the store was away for it, and
             // another one takes them over as the newest state. Symptom: endpoints that left get work for good. What is
             // not settled is not told as knowledge.
-            endpoints_known: told(&self.registrations_known, now).filter(|_| self.directory.is_settled()),
+            endpoints_known: known(&self.registrations_freshness, now).filter(|_| self.directory.is_settled()),
             uses: uses.collect(),
             flown: flown.filter(|flown| flown.running > 0).collect(),
             reading: reading.filter(|(_, rate)| *rate > 0.0).collect(),
             readings: shared.recall().told(now),
             windows: shared.tally.windows(),
             suspicions: self.quarantine.suspicions(now),
-            rates: self.told_rates(now),
-            rollouts: self.told_rollouts(now),
+            rates: self.announced_rates(now),
+            rollouts: self.announced_rollouts(now),
             evidence: shared.rollout_evidence.evidence(),
             zones,
             members,
@@ -96,12 +96,12 @@
     }
 
     /// Takes in what another entry says of itself, and returns what it is told: also what it has in an older state.
-    pub(super) fn asked(&mut self, now: Instant, shared: &Shared, state: State) -> Reply {
+    pub(super) fn handle_state(&mut self, now: Instant, shared: &Shared, state: State) -> Reply {
         let theirs = (state.endpoints, state.endpoints_known);
         let is_brief = state.is_brief();
-        self.heard(now, shared, state);
+        self.apply_state(now, shared, state);
         let cursor = theirs.1.map_or(0, |known| known.cursor);
-        let fresher = self.registrations_known.cursor().0 > cursor
+        let fresher = self.registrations_freshness.cursor().0 > cursor
             && self.directory.is_settled()
             && self.directory.digest() != theirs.0;
         let own = self.state(now, shared);
@@ -112,22 +112,22 @@
     }
 
     /// Takes in another entry's answer.
-    pub(super) fn answered(&mut self, now: Instant, shared: &Shared, reply: Reply) {
+    pub(super) fn handle_reply(&mut self, now: Instant, shared: &Shared, reply: Reply) {
         let Reply { state, endpoints } = reply;
         let from = state.entry.clone();
         if let Some(endpoints) = endpoints
             && state
                 .endpoints_known
-                .is_some_and(|known| known.cursor > self.registrations_known.cursor().0)
+                .is_some_and(|known| known.cursor > self.registrations_freshness.cursor().0)
         {
-            learn(&mut self.registrations_known, now, state.endpoints_known);
-            self.on_endpoints(now, shared, Event::Relayed(endpoints), from.as_str());
+            confirm(&mut self.registrations_freshness, now, state.endpoints_known);
+            self.apply_endpoints(now, shared, Event::Relayed(endpoints), from.as_str());
         }
-        self.heard(now, shared, state);
+        self.apply_state(now, shared, state);
     }
 
     /// Takes in which shares of limits another entry, or another zone, uses.
-    fn hear_uses(&mut self, now: Instant, shared: &Shared, state: &State) {
+    fn apply_peer_uses(&mut self, now: Instant, shared: &Shared, state: &State) {
         let keeps = self.keeping.keeper == Keeper::Own;
         let is_near = state.zone == shared.settings.zone;
         for used in &state.uses {
@@ -144,48 +144,51 @@
         }
     }
 
-    fn heard(&mut self, now: Instant, shared: &Shared, state: State) {
+    fn apply_state(&mut self, now: Instant, shared: &Shared, state: State) {
         if state.entry == shared.settings.name {
             return;
         }
         self.members.told(now, &state.zones, &state.members);
-        self.hear_uses(now, shared, &state);
-        let before = self.heard_word.map(|(word, _)| word);
+        self.apply_peer_uses(now, shared, &state);
+        let before = self.peer_lease_notice.map(|(word, _)| word);
         if let Some(word) = state
             .lease
             .filter(|word| before.is_none_or(|before| word.replaces(before)))
         {
-            self.heard_word = Some((word, now));
+            self.peer_lease_notice = Some((word, now));
         }
-        let was_holder = self.holder.as_ref().is_some_and(|holder| holder.entry == state.entry);
+        let was_holder = self
+            .duty_holder
+            .as_ref()
+            .is_some_and(|holder| holder.entry == state.entry);
         let said = if state.holds || was_holder {
-            Some(Holder {
+            Some(DutyHolder {
                 entry: state.entry.clone(),
                 at: now,
                 holds: state.holds,
             })
         } else {
             let told = state.holder.clone();
-            told.map(|(entry, age)| Holder {
+            told.map(|(entry, age)| DutyHolder {
                 entry,
                 at: now - Duration::from_millis(age.into()),
                 holds: true,
             })
         };
         if let Some(holder) = said.filter(|holder| holder.entry != shared.settings.name)
-            && self.holder.as_ref().is_none_or(|before| before.at < holder.at)
+            && self.duty_holder.as_ref().is_none_or(|before| before.at < holder.at)
         {
-            self.holder = Some(holder);
+            self.duty_holder = Some(holder);
         }
-        self.hear_rates(now, shared, &state);
-        self.hear_rollouts(now, shared, &state);
-        self.hear_document(now, shared, &state);
+        self.apply_peer_rates(now, shared, &state);
+        self.apply_peer_rollouts(now, shared, &state);
+        self.record_peer_document(now, shared, &state);
         // Who has the same, and knows it to be newer, makes this entry's knowledge as fresh as its own.
         if state.document == self.document.version {
-            learn(&mut self.document_known, now, state.document_known);
+            confirm(&mut self.document_freshness, now, state.document_known);
         }
         if state.endpoints == self.directory.digest() {
-            learn(&mut self.registrations_known, now, state.endpoints_known);
+            confirm(&mut self.registrations_freshness, now, state.endpoints_known);
         }
         if !state.suspicions.is_empty() {
             self.quarantine.merge(now, &state.suspicions);
@@ -196,7 +199,7 @@
             recall.hear(now, *reading);
         }
         drop(recall);
-        let counted = self.counted.entry((state.entry.clone(), state.life)).or_default();
+        let counted = self.peer_usage.entry((state.entry.clone(), state.life)).or_default();
         for (window, counts) in &state.windows {
             counted.insert(*window, counts.clone());
         }
--- a/bergamotshift-forward/src/control/zone.rs
+++ b/bergamotshift-forward/src/control/zone.rs
@@ -8,19 +8,19 @@
 use bergamotshift_core::prelude::*;
 use slog::info;
 
-use super::inner::FRESH;
 use super::inner::Inner;
+use super::inner::STATE_TTL;
 use crate::limits::Keeper;
 use crate::peers::Stage;
 use crate::view::Shared;
 
 /// How long the keepers of zones hear nothing of a zone until its endpoints are left for last; they ask one another every
 /// quarter of a second.
-const ROUNDS: Duration = Duration::from_millis(900);
+const ZONE_SILENCE_TIMEOUT: Duration = Duration::from_millis(900);
 
 impl Inner {
     /// Works out whether this entry is cut off from endpoints that its callers need.
-    pub(super) fn strand(&self, now: Instant, shared: &Shared) {
+    pub(super) fn update_stranded(&self, now: Instant, shared: &Shared) {
         let zone = &shared.settings.zone;
         let lacks = |service: &name::Service| {
             let mut own = self.directory.endpoints().filter(|endpoint| {
@@ -41,11 +41,11 @@
     ///
     /// The keepers of the other zones tell that of their whole zones. The entries of the own zone tell their own; what
     /// they tell this one as the keeper is newer, and counted apart.
-    pub(super) fn sum_flown(&self, now: Instant, shared: &Shared) {
+    pub(super) fn update_in_flight(&self, now: Instant, shared: &Shared) {
         let is_large = self.members.is_large();
         let ledger = shared.ledger();
         let mut sums: HashMap<u64, (u32, u64)> = HashMap::new();
-        for (entry, state) in self.members.heard(now, FRESH) {
+        for (entry, state) in self.members.heard(now, STATE_TTL) {
             let is_near = state.zone == shared.settings.zone;
             let counts = !is_large || (state.stage == Stage::Keeps) != is_near && !ledger.contains(entry);
             for flown in state.flown.iter().filter(|_| counts) {
@@ -72,7 +72,11 @@
         if self.keeping.keeper != Keeper::Own {
             return BTreeSet::new();
         }
-        let heard: BTreeSet<&name::Zone> = self.members.heard(now, ROUNDS).map(|(_, state)| &state.zone).collect();
+        let heard: BTreeSet<&name::Zone> = self
+            .members
+            .heard(now, ZONE_SILENCE_TIMEOUT)
+            .map(|(_, state)| &state.zone)
+            .collect();
         let zones = self.members.zones().into_iter();
         let silent = zones.filter(|zone| **zone != shared.settings.zone && !heard.contains(zone));
         silent.cloned().collect()
--- a/bergamotshift-forward/src/endpoint/directory.rs
+++ b/bergamotshift-forward/src/endpoint/directory.rs
@@ -14,11 +14,11 @@
 
 /// How long after the store is back a registration that lapsed meanwhile may still be renewed; the platform promises
 /// about two seconds.
-const RENEWAL: Duration = Duration::from_millis(2_300);
+const RENEWAL_GRACE: Duration = Duration::from_millis(2_300);
 
 /// How long a leaving endpoint is remembered after its registration went: its last requests end within this time, and
 /// no old listing can bring it back.
-const MEMORY: Duration = Duration::from_mins(1);
+const REMOVED_RETENTION: Duration = Duration::from_mins(1);
 
 /// One change of a registration.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -46,49 +46,54 @@
     /// All registrations that another entry knows from a newer moment.
     Relayed(Vec<Registration>),
     /// A call of the store failed.
-    Lost,
+    StoreFailed,
 }
 
 #[derive(Clone, Debug)]
-struct Known {
+struct Record {
     endpoint: Arc<Endpoint>,
     /// Since when its registration is missing without proof that it left.
-    lapsed: Option<Instant>,
+    lapsed_since: Option<Instant>,
     /// Since when it is gone.
-    gone: Option<Instant>,
+    gone_since: Option<Instant>,
     /// Whether it said itself that it leaves; no later word takes that back.
-    said: bool,
+    announced_leaving: bool,
 }
 
 /// Folds events into the endpoints that may get work.
 #[derive(Debug, Default)]
 pub struct Directory {
-    known: BTreeMap<SmolStr, Known>,
+    records: BTreeMap<SmolStr, Record>,
     /// When a call of the store last failed.
-    lost: Option<Instant>,
+    store_failed_at: Option<Instant>,
 }
 
 impl Directory {
     /// Takes an event in and returns the endpoints that stopped taking work by it.
-    pub fn on(&mut self, now: Instant, event: Event) -> Vec<Arc<Endpoint>> {
+    pub fn apply(&mut self, now: Instant, event: Event) -> Vec<Arc<Endpoint>> {
         let mut leaving = Vec::new();
         match event {
-            Event::Lost => self.lost = Some(now),
+            Event::StoreFailed => self.store_failed_at = Some(now),
             Event::Listed(registrations) | Event::Relayed(registrations) => {
                 let listed: BTreeSet<SmolStr> = registrations.iter().map(|one| one.id.clone()).collect();
                 for registration in registrations {
-                    self.written(registration, &mut leaving);
+                    self.upsert(registration, &mut leaving);
                 }
-                let missing: Vec<SmolStr> = self.known.keys().filter(|id| !listed.contains(*id)).cloned().collect();
+                let missing: Vec<SmolStr> = self
+                    .records
+                    .keys()
+                    .filter(|id| !listed.contains(*id))
+                    .cloned()
+                    .collect();
                 for id in missing {
-                    self.removed(now, &id, &mut leaving);
+                    self.remove(now, &id, &mut leaving);
                 }
             }
             Event::Changed(changes) => {
                 for change in changes {
                     match change {
-                        Change::Written(registration) => self.written(registration, &mut leaving),
-                        Change::Removed(id) | Change::Unreadable { id, .. } => self.removed(now, &id, &mut leaving),
+                        Change::Written(registration) => self.upsert(registration, &mut leaving),
+                        Change::Removed(id) | Change::Unreadable { id, .. } => self.remove(now, &id, &mut leaving),
                     }
                 }
             }
@@ -99,8 +104,8 @@
 
     /// Returns the endpoints that are not gone.
     pub fn endpoints(&self) -> impl Iterator<Item = &Arc<Endpoint>> {
-        let present = self.known.values().filter(|known| known.gone.is_none());
-        present.map(|known| &known.endpoint)
+        let present = self.records.values().filter(|record| record.gone_since.is_none());
+        present.map(|record| &record.endpoint)
     }
 
     /// Returns the registrations of all endpoints that are not gone, for an entry that cannot read them itself.
@@ -115,7 +120,7 @@
     /// Returns whether every missing registration is proof by now; until then nothing that is known here may count as
     /// newer than what others know.
     pub fn is_settled(&self) -> bool {
-        self.known.values().all(|known| known.lapsed.is_none())
+        self.records.values().all(|record| record.lapsed_since.is_none())
     }
 
     /// Returns a digest of the endpoints that are registered and of those among them that leave.
@@ -126,11 +131,11 @@
     /// fresh its own knowledge is.
     pub fn digest(&self) -> u64 {
         let registered = self
-            .known
+            .records
             .values()
-            .filter(|known| known.gone.is_none() && known.lapsed.is_none());
+            .filter(|record| record.gone_since.is_none() && record.lapsed_since.is_none());
         let marks = registered
-            .map(|known| &known.endpoint)
+            .map(|record| &record.endpoint)
             .map(|endpoint| endpoint.hash.rotate_left(u32::from(endpoint.is_withdrawn())));
         marks.fold(0, u64::wrapping_add)
     }
@@ -145,36 +150,36 @@
     /// Failure: an endpoint crashes and starts again under its identifier. Symptom: it is taken to hold the cached parts,
     /// the work and the marks of the incarnation before, whose late words hide it. An incarnation that started later takes
     /// the place of the one before; a word of an earlier one says nothing any more.
-    fn written(&mut self, registration: Registration, leaving: &mut Vec<Arc<Endpoint>>) {
+    fn upsert(&mut self, registration: Registration, leaving: &mut Vec<Arc<Endpoint>>) {
         let leaves = registration.leaving;
-        let before = self.known.get(&registration.id);
-        match before.map(|known| known.endpoint.registration.born.cmp(&registration.born)) {
+        let before = self.records.get(&registration.id);
+        match before.map(|record| record.endpoint.registration.born.cmp(&registration.born)) {
             Some(Ordering::Greater) => return,
             Some(Ordering::Less) => {
-                let ended = self.known.remove(&registration.id);
+                let ended = self.records.remove(&registration.id);
                 leaving.extend(
                     ended
-                        .map(|known| known.endpoint)
+                        .map(|record| record.endpoint)
                         .filter(|endpoint| endpoint.mark_leaving()),
                 );
             }
             Some(Ordering::Equal) | None => {}
         }
-        let known = self.known.entry(registration.id.clone()).or_insert_with(|| Known {
+        let record = self.records.entry(registration.id.clone()).or_insert_with(|| Record {
             endpoint: Arc::new(Endpoint::new(registration.clone())),
-            lapsed: None,
-            gone: None,
-            said: leaves,
+            lapsed_since: None,
+            gone_since: None,
+            announced_leaving: leaves,
         });
-        known.lapsed = None;
-        known.said |= leaves;
-        if known.said {
-            if known.endpoint.mark_leaving() {
-                leaving.push(Arc::clone(&known.endpoint));
+        record.lapsed_since = None;
+        record.announced_leaving |= leaves;
+        if record.announced_leaving {
+            if record.endpoint.mark_leaving() {
+                leaving.push(Arc::clone(&record.endpoint));
             }
-        } else if known.gone.take().is_some() {
+        } else if record.gone_since.take().is_some() {
             // It was only missing, because it or the store was cut off.
-            known.endpoint = Arc::new(known.endpoint.reregistered(registration));
+            record.endpoint = Arc::new(record.endpoint.reregistered(registration));
         }
     }
 
@@ -183,18 +188,18 @@
     /// Failure: the store was away, and registrations lapsed because nobody could renew them. Symptom: every endpoint
     /// looks gone at once and all callers are refused. Right after such a time a missing registration proves nothing
     /// until the endpoints had time to renew it; that is enough, since the platform promises when it is proof again.
-    fn removed(&mut self, now: Instant, id: &SmolStr, leaving: &mut Vec<Arc<Endpoint>>) {
-        let unsure = self.lost.is_some_and(|lost| now.since(lost) < RENEWAL);
-        let Some(known) = self.known.get_mut(id).filter(|known| known.gone.is_none()) else {
+    fn remove(&mut self, now: Instant, id: &SmolStr, leaving: &mut Vec<Arc<Endpoint>>) {
+        let unsure = self.store_failed_at.is_some_and(|lost| now.since(lost) < RENEWAL_GRACE);
+        let Some(record) = self.records.get_mut(id).filter(|record| record.gone_since.is_none()) else {
             return;
         };
-        if unsure && !known.said {
-            known.lapsed.get_or_insert(now);
+        if unsure && !record.announced_leaving {
+            record.lapsed_since.get_or_insert(now);
             return;
         }
-        known.gone = Some(now);
-        if known.endpoint.mark_leaving() {
-            leaving.push(Arc::clone(&known.endpoint));
+        record.gone_since = Some(now);
+        if record.endpoint.mark_leaving() {
+            leaving.push(Arc::clone(&record.endpoint));
         }
     }
 
@@ -202,17 +207,19 @@
     /// stopped taking work.
     pub fn settle(&mut self, now: Instant, as_of: Instant) -> Vec<Arc<Endpoint>> {
         let mut leaving = Vec::new();
-        let calm = self.lost.is_none_or(|lost| as_of.since(lost) >= RENEWAL);
-        for known in self.known.values_mut() {
-            if calm && known.lapsed.take().is_some() {
-                known.gone = Some(now);
-                if known.endpoint.mark_leaving() {
-                    leaving.push(Arc::clone(&known.endpoint));
+        let calm = self
+            .store_failed_at
+            .is_none_or(|lost| as_of.since(lost) >= RENEWAL_GRACE);
+        for record in self.records.values_mut() {
+            if calm && record.lapsed_since.take().is_some() {
+                record.gone_since = Some(now);
+                if record.endpoint.mark_leaving() {
+                    leaving.push(Arc::clone(&record.endpoint));
                 }
             }
         }
-        self.known
-            .retain(|_, known| known.gone.is_none_or(|gone| now.since(gone) < MEMORY));
+        self.records
+            .retain(|_, record| record.gone_since.is_none_or(|gone| now.since(gone) < REMOVED_RETENTION));
         leaving
     }
 }
--- a/bergamotshift-forward/src/endpoint/ledger.rs
+++ b/bergamotshift-forward/src/endpoint/ledger.rs
@@ -10,13 +10,13 @@
 
 /// How long what an entry told counts. Entries with work under way tell several times a second; one that was killed has
 /// none any more.
-const MEMORY: Duration = Duration::from_secs(3);
+const REPORT_TTL: Duration = Duration::from_secs(3);
 
 /// What one entry has under way.
 #[derive(Debug, Default)]
-struct Told {
-    at: Instant,
-    flown: HashMap<u64, Flown>,
+struct Report {
+    received: Instant,
+    in_flight: HashMap<u64, Flown>,
 }
 
 /// Adds up what the entries of a zone have under way at each endpoint.
@@ -26,7 +26,7 @@
 /// entry tells next replaces all that it told before, so a lost message or an entry that ends leaves nothing behind.
 #[derive(Debug, Default)]
 pub struct Ledger {
-    entries: HashMap<name::Entry, Told>,
+    entries: HashMap<name::Entry, Report>,
 }
 
 impl Ledger {
@@ -34,22 +34,25 @@
     pub fn update(&mut self, now: Instant, entry: &name::Entry, flown: &[Flown]) -> Vec<u64> {
         let flown = flown.iter().map(|one| (one.endpoint, *one)).collect();
         let told = self.entries.entry(entry.clone()).or_default();
-        told.at = now;
-        let before = core::mem::replace(&mut told.flown, flown);
-        before.into_keys().chain(told.flown.keys().copied()).collect()
+        told.received = now;
+        let before = core::mem::replace(&mut told.in_flight, flown);
+        before.into_keys().chain(told.in_flight.keys().copied()).collect()
     }
 
     /// Counts a request that this entry placed for another one.
     pub fn record_placement(&mut self, entry: &name::Entry, endpoint: u64, unread: u64) {
         let told = self.entries.entry(entry.clone()).or_default();
-        let flown = told.flown.entry(endpoint).or_insert(Flown::at(endpoint));
+        let flown = told.in_flight.entry(endpoint).or_insert(Flown::at(endpoint));
         flown.running += 1;
         flown.unread += unread;
     }
 
     /// Sets what an endpoint has under way by this entry's choice.
     pub fn apply_to(&self, endpoint: &Endpoint) {
-        let here = self.entries.values().filter_map(|told| told.flown.get(&endpoint.hash));
+        let here = self
+            .entries
+            .values()
+            .filter_map(|told| told.in_flight.get(&endpoint.hash));
         let (running, unread) = here.fold((0, 0), |(running, unread), flown| {
             (running + flown.running, unread + flown.unread)
         });
@@ -63,6 +66,6 @@
 
     /// Forgets what was told long ago.
     pub fn expire(&mut self, now: Instant) {
-        self.entries.retain(|_, told| now.since(told.at) < MEMORY);
+        self.entries.retain(|_, told| now.since(told.received) < REPORT_TTL);
     }
 }
--- a/bergamotshift-forward/src/endpoint/mod.rs
+++ b/bergamotshift-forward/src/endpoint/mod.rs
@@ -3,7 +3,7 @@
 mod directory;
 mod health;
 mod ledger;
-mod said;
+mod signals;
 
 use core::net::SocketAddr;
 use core::sync::atomic::AtomicBool;
@@ -24,7 +24,7 @@
 pub use self::directory::Event;
 pub use self::health::Health;
 pub use self::ledger::Ledger;
-pub use self::said::Signals;
+pub use self::signals::Signals;
 use crate::peers::Flown;
 use crate::rollouts::Witness;
 
@@ -57,14 +57,14 @@
 
 /// Work that is under way at an endpoint.
 #[derive(Debug, Default)]
-pub struct Flight {
+pub struct Load {
     /// Requests that were sent and have not ended.
     pub running: AtomicU32,
     /// Prompt tokens that are still to be read before those requests' first events.
     pub unread: AtomicU64,
 }
 
-impl Flight {
+impl Load {
     /// Sets both figures.
     pub fn set(&self, running: u32, unread: u64) {
         self.running.store(running, Relaxed);
@@ -81,11 +81,11 @@
     /// (cached parts, work under way, suspicions) is known by this, so nothing of it is held against the next one.
     pub hash: u64,
     /// What this entry has under way there.
-    pub own: Flight,
+    pub own: Load,
     /// What the other entries have under way there, as they last said.
-    pub others: Flight,
+    pub others: Load,
     /// What the entries of the zone have under way there by the choice of this one, their keeper.
-    pub placed: Flight,
+    pub placed: Load,
     /// How it fared lately.
     pub health: Health,
     /// What it said of itself in its answers; outlives a time in which it is not registered.
@@ -102,9 +102,9 @@
             hash: xxh3_64_with_seed(registration.id.as_bytes(), registration.born),
             leaving: AtomicBool::new(registration.leaving),
             registration,
-            own: Flight::default(),
-            others: Flight::default(),
-            placed: Flight::default(),
+            own: Load::default(),
+            others: Load::default(),
+            placed: Load::default(),
             health: Health::default(),
             signals: Arc::default(),
             silent: AtomicBool::new(false),
--- a/bergamotshift-forward/src/endpoint/said.rs
+++ b/bergamotshift-forward/src/endpoint/signals.rs
@@ -12,7 +12,7 @@
 pub struct Signals {
     /// The rate that it names.
     pub throttle: Throttle,
-    leaves: AtomicBool,
+    leaving: AtomicBool,
     /// Until when it wants nothing from this entry.
     paused: Until,
 }
@@ -20,12 +20,12 @@
 impl Signals {
     /// Returns whether it said that it leaves.
     pub fn is_leaving(&self) -> bool {
-        self.leaves.load(Relaxed)
+        self.leaving.load(Relaxed)
     }
 
     /// Notes that it said that it leaves, and returns whether that is news.
     pub fn mark_leaving(&self) -> bool {
-        !self.leaves.swap(true, Relaxed)
+        !self.leaving.swap(true, Relaxed)
     }
 
     /// Notes until when it wants nothing from this entry; an earlier time takes nothing back.
--- a/bergamotshift-forward/src/follow/knowledge.rs
+++ b/bergamotshift-forward/src/follow/knowledge.rs
@@ -8,13 +8,13 @@
 
 /// How much longer each entry waits than the one before it in rank, so that they do not all ask at once when the first
 /// one is gone.
-const STEP: Duration = Duration::from_millis(150);
+const RANK_DELAY: Duration = Duration::from_millis(150);
 
 /// The most steps: however many entries there are, knowledge is never older than a few looks.
-const MOST_STEPS: u32 = 3;
+const MAX_RANK_STEPS: u32 = 3;
 
 /// How many entries may each call the store as often as one alone would.
-const CALLERS: usize = 16;
+const FULL_RATE_CALLERS: usize = 16;
 
 /// Returns how long one of `members` entries waits between two calls of the store, where one alone would wait for `pause`.
 ///
@@ -22,7 +22,7 @@
 /// calls are made while it is away, and every call is paid for. With more entries each waits longer, so that together
 /// they ask as often; whoever has an answer first tells the others.
 pub fn scale_pause(pause: Duration, members: usize) -> Duration {
-    pause * u32::try_from(members.div_ceil(CALLERS)).unwrap_or(u32::MAX)
+    pause * u32::try_from(members.div_ceil(FULL_RATE_CALLERS)).unwrap_or(u32::MAX)
 }
 
 /// What is known as of some moment.
@@ -57,9 +57,9 @@
     /// Every entry could ask for itself, and calls would grow with the entries. So the first in rank asks every `look`,
     /// and tells the others; the next ones ask only when their knowledge is older than that, because the first is gone
     /// or cannot reach the store. No entry is chosen, so none has to be found dead first.
-    pub fn due(&self, now: Instant, look: Duration, rank: usize) -> Duration {
-        let steps = u32::try_from(rank).unwrap_or(u32::MAX).min(MOST_STEPS);
-        let patience = look + STEP * steps;
-        self.age(now).map_or(Duration::ZERO, |age| patience.saturating_sub(age))
+    pub fn due(&self, now: Instant, interval: Duration, rank: usize) -> Duration {
+        let steps = u32::try_from(rank).unwrap_or(u32::MAX).min(MAX_RANK_STEPS);
+        let max_age = interval + RANK_DELAY * steps;
+        self.age(now).map_or(Duration::ZERO, |age| max_age.saturating_sub(age))
     }
 }
--- a/bergamotshift-forward/src/follow/members.rs
+++ b/bergamotshift-forward/src/follow/members.rs
@@ -25,21 +25,21 @@
 
 /// The time between two writes of the own row in a small fleet. In a large one each entry writes less often: with 77 of
 /// them these writes were a quarter of all calls of the store.
-const WRITE: Duration = Duration::from_secs(5);
+const WRITE_INTERVAL: Duration = Duration::from_secs(5);
 
 /// How many writes lie between two readings. Entries name one another, so the list is for those that know nobody.
-const WRITES: u32 = 3;
+const WRITES_PER_READ: u32 = 3;
 
 /// The time until the next try after a call failed.
-const PAUSE: Duration = Duration::from_millis(500);
+const RETRY_DELAY: Duration = Duration::from_millis(500);
 
 /// How old a row may be. Failure: a VM is gone for good and its row stays. Symptom: every entry that starts waits for an
 /// entry that never speaks, and leaves its share of each limit unused. Two writes that failed, and clocks that differ by
 /// seconds, stay below this many times the time between two writes, and this much more.
-const OLDEST: (u32, Duration) = (3, Duration::from_secs(3));
+const MAX_ROW_AGE: (u32, Duration) = (3, Duration::from_secs(3));
 
 /// The most rows of a page.
-const PAGE: u32 = 500;
+const PAGE_SIZE: u32 = 500;
 
 /// An entry's row.
 #[derive(Debug)]
@@ -60,8 +60,8 @@
 }
 
 /// Returns how old a row may be whose writer waits for so many seconds between two writes.
-fn oldest(every: u64) -> Duration {
-    let (times, more) = OLDEST;
+fn max_row_age(every: u64) -> Duration {
+    let (times, more) = MAX_ROW_AGE;
     Duration::from_secs(every).saturating_mul(times) + more
 }
 
@@ -70,14 +70,14 @@
     let mut round = 0;
     loop {
         // The list is read first: the own row still says what the process before knew.
-        let read = round % WRITES != 0 || read(&control, &table).await;
+        let read = round % WRITES_PER_READ != 0 || read(&control, &table).await;
         let written = write(&control, &table).await;
         control.shared().metrics.called("entries", read && written);
         if read && written {
             round += 1;
-            tokio::time::sleep(scale_pause(WRITE, control.members())).await;
+            tokio::time::sleep(scale_pause(WRITE_INTERVAL, control.entry_count())).await;
         } else {
-            tokio::time::sleep(scale_pause(PAUSE, control.members())).await;
+            tokio::time::sleep(scale_pause(RETRY_DELAY, control.entry_count())).await;
         }
     }
 }
@@ -90,8 +90,8 @@
         at: control.shared().tally.today().as_secs(),
         zone: settings.zone.clone(),
         core_share: control.core_share(),
-        every: scale_pause(WRITE, control.members()).as_secs(),
-        busy: control.busy(),
+        every: scale_pause(WRITE_INTERVAL, control.entry_count()).as_secs(),
+        busy: control.busy_organisations(),
     };
     let Ok(body) = postcard::to_stdvec(&row) else {
         return false;
@@ -114,7 +114,7 @@
     let mut busy = Vec::new();
     let (mut others, mut is_back) = (0, false);
     loop {
-        let page = match table.query(SmolStr::new_static(PARTITION), after, PAGE).await {
+        let page = match table.query(SmolStr::new_static(PARTITION), after, PAGE_SIZE).await {
             Ok(page) => page,
             Err(error) => {
                 info!(control.shared().log.always(), "list of entries not read"; "cause" => %error);
@@ -123,12 +123,12 @@
         };
         for (name, row) in &page.rows {
             match postcard::from_bytes::<Row>(&row.body) {
-                Ok(row) if today.saturating_sub(Duration::from_secs(row.at)) < oldest(row.every) => {
+                Ok(row) if today.saturating_sub(Duration::from_secs(row.at)) < max_row_age(row.every) => {
                     busy.extend(row.busy);
                     let is_own = *name == control.shared().settings.name.as_str();
                     is_back |= is_own;
                     others += usize::from(!is_own);
-                    control.named(&Listed {
+                    control.add_listed(&Listed {
                         entry: name::Entry::new(name),
                         address: row.address,
                         zone: row.zone,
@@ -145,7 +145,7 @@
         let Some(next) = page.next else {
             // Where others serve and it has no row of its own, the entry joins them.
             let joins = others > 0 && !is_back;
-            control.listed(Some(busy).filter(|_| !joins));
+            control.entry_list_read(Some(busy).filter(|_| !joins));
             return true;
         };
         after = Some(next);
--- a/bergamotshift-forward/src/follow/notes.rs
+++ b/bergamotshift-forward/src/follow/notes.rs
@@ -10,7 +10,7 @@
 use crate::peers::Note;
 
 /// How long an endpoint may take to accept a connection before it counts as down.
-const PATIENCE: Duration = Duration::from_millis(300);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// Takes in notes for as long as the process lives.
 ///
@@ -24,8 +24,8 @@
             continue;
         };
         let address = found.registration.address;
-        if let Err(Failure::Connect(_)) = Connection::open(address, PATIENCE).await {
-            control.on_death(endpoint, fingerprint);
+        if let Err(Failure::Connect(_)) = Connection::open(address, CONNECT_TIMEOUT).await {
+            control.endpoint_died(endpoint, fingerprint);
         }
     }
 }
--- a/bergamotshift-forward/src/view/mod.rs
+++ b/bergamotshift-forward/src/view/mod.rs
@@ -91,7 +91,7 @@
     /// That share, in thousandths.
     pub share: u16,
     /// Tokens of the largest prompt that it takes; `None` for all.
-    pub largest: Option<u64>,
+    pub max_prompt_tokens: Option<u64>,
 }
 
 impl Canary {
@@ -99,7 +99,7 @@
     pub fn accepts(&self, id: &str, prompt: Option<u32>) -> bool {
         let place = xxh3_64_with_seed(id.as_bytes(), self.order) % u64::from(WHOLE);
         let is_small = self
-            .largest
+            .max_prompt_tokens
             .is_none_or(|largest| u64::from(prompt.unwrap_or(0)) <= largest);
         !self.endpoints.is_empty() && is_small && place < u64::from(self.share)
     }
--- a/bergamotshift-forward/tests/kernel/directory.rs
+++ b/bergamotshift-forward/tests/kernel/directory.rs
@@ -22,14 +22,14 @@
 
 fn directory(now: Instant) -> Directory {
     let mut directory = Directory::default();
-    directory.on(now, Event::Listed(listed()));
+    directory.apply(now, Event::Listed(listed()));
     directory
 }
 
 #[test]
 fn a_removed_registration_ends_its_endpoint_at_once() {
     let mut directory = directory(at(0));
-    let left = directory.on(at(100), Event::Changed(vec![Change::Removed("a".into())]));
+    let left = directory.apply(at(100), Event::Changed(vec![Change::Removed("a".into())]));
     assert_eq!(left.len(), 1);
     assert_eq!(taking(&directory), 1);
 }
@@ -41,8 +41,8 @@
         leaving: true,
         ..registration("a", "one")
     };
-    directory.on(at(100), Event::Changed(vec![Change::Written(leaving)]));
-    directory.on(at(200), Event::Changed(vec![Change::Written(registration("a", "one"))]));
+    directory.apply(at(100), Event::Changed(vec![Change::Written(leaving)]));
+    directory.apply(at(200), Event::Changed(vec![Change::Written(registration("a", "one"))]));
     assert_eq!(taking(&directory), 1);
 }
 
@@ -51,14 +51,14 @@
 #[test]
 fn what_lapsed_while_the_store_was_away_is_used_until_it_had_time_to_return() {
     let mut directory = directory(at(0));
-    directory.on(at(5_000), Event::Lost);
-    directory.on(at(5_300), Event::Listed(Vec::new()));
+    directory.apply(at(5_000), Event::StoreFailed);
+    directory.apply(at(5_300), Event::Listed(Vec::new()));
     assert_eq!(taking(&directory), 2);
-    directory.on(
+    directory.apply(
         at(6_000),
         Event::Changed(vec![Change::Written(registration("a", "one"))]),
     );
-    directory.on(at(7_700), Event::Changed(Vec::new()));
+    directory.apply(at(7_700), Event::Changed(Vec::new()));
     assert_eq!(taking(&directory), 1, "the one that did not return is gone");
 }
 
@@ -67,8 +67,8 @@
 #[test]
 fn what_was_read_before_the_time_to_return_proves_nothing_after_it() {
     let mut directory = directory(at(0));
-    directory.on(at(5_000), Event::Lost);
-    directory.on(at(5_300), Event::Listed(Vec::new()));
+    directory.apply(at(5_000), Event::StoreFailed);
+    directory.apply(at(5_300), Event::Listed(Vec::new()));
     directory.settle(at(7_900), at(7_000));
     assert_eq!(taking(&directory), 2);
     directory.settle(at(8_400), at(7_900));
@@ -80,9 +80,9 @@
 #[test]
 fn an_endpoint_that_registers_again_takes_work_again() {
     let mut directory = directory(at(0));
-    directory.on(at(1_000), Event::Changed(vec![Change::Removed("a".into())]));
+    directory.apply(at(1_000), Event::Changed(vec![Change::Removed("a".into())]));
     assert_eq!(taking(&directory), 1);
-    directory.on(
+    directory.apply(
         at(9_000),
         Event::Changed(vec![Change::Written(registration("a", "one"))]),
     );
@@ -95,17 +95,17 @@
 fn a_directory_with_lapsed_endpoints_is_not_settled() {
     let mut directory = directory(at(0));
     assert!(directory.is_settled());
-    directory.on(at(5_000), Event::Lost);
-    directory.on(at(5_300), Event::Changed(vec![Change::Removed("a".into())]));
+    directory.apply(at(5_000), Event::StoreFailed);
+    directory.apply(at(5_300), Event::Changed(vec![Change::Removed("a".into())]));
     assert!(!directory.is_settled());
-    directory.on(at(8_000), Event::Changed(Vec::new()));
+    directory.apply(at(8_000), Event::Changed(Vec::new()));
     assert!(directory.is_settled());
 }
 
 #[test]
 fn a_relayed_list_is_taken_as_a_whole() {
     let mut directory = directory(at(0));
-    directory.on(
+    directory.apply(
         at(100),
         Event::Relayed(vec![registration("b", "two"), registration("c", "two")]),
     );
@@ -122,7 +122,7 @@
         leaving: true,
         ..registration("a", "one")
     };
-    other.on(at(1_000), Event::Changed(vec![Change::Written(leaving)]));
+    other.apply(at(1_000), Event::Changed(vec![Change::Written(leaving)]));
     assert_ne!(one.digest(), other.digest());
 }
 
@@ -139,16 +139,16 @@
 #[test]
 fn an_incarnation_takes_the_place_of_the_one_before() {
     let mut directory = Directory::default();
-    directory.on(at(0), Event::Listed(vec![born(100)]));
+    directory.apply(at(0), Event::Listed(vec![born(100)]));
     let before = Arc::clone(directory.endpoints().next().expect("it is there"));
     let leaving = Registration {
         leaving: true,
         ..born(100)
     };
-    directory.on(at(100), Event::Changed(vec![Change::Written(leaving.clone())]));
+    directory.apply(at(100), Event::Changed(vec![Change::Written(leaving.clone())]));
     assert_eq!(taking(&directory), 0);
 
-    directory.on(at(200), Event::Changed(vec![Change::Written(born(200))]));
+    directory.apply(at(200), Event::Changed(vec![Change::Written(born(200))]));
     assert_eq!(taking(&directory), 1);
     let after = Arc::clone(directory.endpoints().next().expect("it is there"));
     assert_ne!(
@@ -157,8 +157,8 @@
     );
     assert!(before.is_leaving(), "requests under way there know that it is over");
 
-    directory.on(at(300), Event::Changed(vec![Change::Written(leaving)]));
-    directory.on(at(400), Event::Relayed(vec![born(100)]));
+    directory.apply(at(300), Event::Changed(vec![Change::Written(leaving)]));
+    directory.apply(at(400), Event::Relayed(vec![born(100)]));
     assert_eq!(taking(&directory), 1);
 }
 
@@ -167,11 +167,11 @@
 #[test]
 fn an_incarnation_after_one_that_left_takes_work_until_it_leaves_itself() {
     let mut directory = Directory::default();
-    directory.on(at(0), Event::Listed(vec![born(100)]));
-    directory.on(at(100), Event::Changed(vec![Change::Removed("a".into())]));
-    directory.on(at(200), Event::Changed(vec![Change::Written(born(200))]));
+    directory.apply(at(0), Event::Listed(vec![born(100)]));
+    directory.apply(at(100), Event::Changed(vec![Change::Removed("a".into())]));
+    directory.apply(at(200), Event::Changed(vec![Change::Written(born(200))]));
     assert_eq!(taking(&directory), 1);
-    let left = directory.on(at(300), Event::Changed(vec![Change::Removed("a".into())]));
+    let left = directory.apply(at(300), Event::Changed(vec![Change::Removed("a".into())]));
     assert_eq!((left.len(), taking(&directory)), (1, 0));
 }
 
@@ -183,7 +183,7 @@
         id: "a".into(),
         cause: Error::Unknown("no registration".to_owned()),
     };
-    directory.on(at(100), Event::Changed(vec![unread]));
+    directory.apply(at(100), Event::Changed(vec![unread]));
     assert_eq!(taking(&directory), 1);
 }
 
@@ -199,10 +199,10 @@
     let mut directory = directory(at(0));
     say_leaving(&directory, "a");
     assert_eq!(taking(&directory), 1);
-    directory.on(at(100), Event::Changed(vec![Change::Removed("a".into())]));
-    directory.on(at(200), Event::Changed(vec![Change::Written(registration("a", "one"))]));
+    directory.apply(at(100), Event::Changed(vec![Change::Removed("a".into())]));
+    directory.apply(at(200), Event::Changed(vec![Change::Written(registration("a", "one"))]));
     assert_eq!(taking(&directory), 1);
-    directory.on(at(300), Event::Relayed(listed()));
+    directory.apply(at(300), Event::Relayed(listed()));
     assert_eq!(taking(&directory), 1);
 }
 
@@ -215,7 +215,7 @@
         born: 7,
         ..registration("a", "one")
     };
-    directory.on(at(100), Event::Changed(vec![Change::Written(reborn)]));
+    directory.apply(at(100), Event::Changed(vec![Change::Written(reborn)]));
     assert_eq!(taking(&directory), 2);
 }
 
