--- a/bergamotshift-forward/src/control/behind.rs
+++ b/bergamotshift-forward/src/control/behind.rs
@@ -1,4 +1,4 @@
-//! A document that another entry has, and this one lacks.
+//! Tracks whether another entry has a newer document, and exchanges documents between entries.
 
 use core::sync::atomic::Ordering;
 use core::time::Duration;
@@ -20,44 +20,48 @@
 use crate::peers::update::Arrival;
 use crate::view::Shared;
 
-/// How long an entry may know that it lacks the newest document until it sends its callers to others. A copy takes a
-/// quarter of a second over the narrowest links, and operators expect a change to be in force within two.
+/// Time after which an entry that lacks the newest document reports itself as not ready, so that its callers go to other
+/// entries. A copy takes a quarter of a second over the slowest links, and operators expect a change to be in force
+/// within two seconds.
 const MAX_DOCUMENT_LAG: Duration = Duration::from_secs(2);
 
 impl Control {
-    /// Returns where a document can be had that is newer than the one in force.
+    /// Returns the entry from which a document newer than the one in force can be fetched.
     pub fn document_source(&self) -> Source {
         let now = self.now();
         let inner = self.inner.borrow();
         inner.members.source(now, inner.document.version)
     }
 
-    /// Returns how long another entry has been known to have a newer document.
+    /// Returns for how long this entry has known that another entry has a newer document; `None` if none has.
     pub fn document_lag(&self) -> Option<Duration> {
         let now = self.now();
         self.inner.borrow().behind_since.map(|since| now.since(since))
     }
 
-    /// Waits until an entry can be asked for a newer document.
+    /// Waits until another entry is available to fetch a newer document from.
     pub async fn wait_for_holder(&self) {
         while !matches!(self.document_source(), Source::Holder(_)) {
             self.newer_document.notified().await;
         }
     }
 
+    /// Wakes the tasks that wait for a newer document, if another entry has one.
     pub(super) fn notify_newer_document(&self) {
         if self.inner.borrow().behind_since.is_some() {
             self.newer_document.notify_waiters();
         }
     }
 
-    /// Notes that an entry did not give its document, and for how long it is not asked again.
+    /// Excludes an entry that did not provide its document from further fetches for `delay`.
     pub fn defer_holder(&self, holder: &Holder, delay: Duration) {
         let now = self.now();
         self.inner.borrow_mut().members.spare(now, &holder.entry, delay);
     }
 
-    /// Returns what another entry is given that has a version of the document.
+    /// Returns the update for another entry that has `version` of the document.
+    ///
+    /// Returns [`Offer::Busy`] if the maximum number of uploads is in progress.
     pub fn offer(&self, version: u64) -> Offer {
         let now = self.now();
         let mut inner = self.inner.borrow_mut();
@@ -78,11 +82,11 @@
         }
     }
 
-    /// Puts a document in force that another entry gave, `took` after it was asked.
+    /// Puts a document in force that another entry provided; `took` is the duration of the fetch.
     ///
     /// # Errors
     ///
-    /// Returns [`Mismatch`] when what came starts from another version than the one in force.
+    /// Returns [`Mismatch`] if the update does not start from the version in force.
     pub fn apply_update(&self, holder: &Holder, arrival: Arrival, took: Duration) -> Result<(), Mismatch> {
         let now = self.now();
         let mut inner = self.inner.borrow_mut();
@@ -95,8 +99,8 @@
         }
         inner.apply_document(now, &self.shared, document, steps, holder.entry.as_str());
         if inner.document.version == version {
-            // Failure: the copy says nothing of how fresh it is, so the store is asked at once for what changed since this
-            // entry's last look. Symptom: it answers with the whole document once more.
+            // Without the sender's freshness, this entry would query the store at once for changes since its own last
+            // read, and the store would return the whole document again.
             confirm(&mut inner.document_freshness, now - took, arrival.known);
         }
         Ok(())
@@ -104,7 +108,7 @@
 }
 
 impl Inner {
-    /// Notes which version of the document another entry has.
+    /// Records which version of the document another entry has.
     pub(super) fn record_peer_document(&mut self, now: Instant, shared: &Shared, state: &State) {
         if state.document <= self.document.version {
             return;
@@ -119,7 +123,7 @@
         }
     }
 
-    /// Works out whether the document in force is behind, and for too long.
+    /// Updates whether the document in force is behind the newest one, and whether it has been for too long.
     pub(super) fn update_lag(&mut self, now: Instant, shared: &Shared) {
         if self.document.version >= shared.newest_document.load(Ordering::Acquire) && self.behind_since.take().is_some()
         {
--- a/bergamotshift-forward/src/control/copies.rs
+++ b/bergamotshift-forward/src/control/copies.rs
@@ -1,4 +1,4 @@
-//! What other entries are given of the document.
+//! Caches the document updates that are sent to other entries.
 
 use std::borrow::Cow;
 use std::collections::BTreeMap;
@@ -10,26 +10,27 @@
 use crate::document::Document;
 use crate::peers::Update;
 
-/// How many steps from version to version are kept; entries that are further behind get the whole document.
+/// Maximum number of differences between successive versions that are kept; entries that are further behind receive the
+/// whole document.
 const MAX_STEPS: usize = 8;
 
-/// What changed from version to version lately, and what others were given of it.
+/// Recent differences between successive document versions, and the encoded updates that were built from them.
 ///
-/// Failure: each version of the document goes to each entry as a whole, however little it changes. Symptom: a change of one
-/// key costs 77 entries 300 kB each, and fills the links of the narrowest while it goes round.
+/// Sending the whole document for every change is too expensive: a change of one key costs 77 entries 300 kB each, and
+/// saturates the slowest links while it spreads.
 #[derive(Debug, Default)]
 pub(super) struct UpdateCache {
     steps: VecDeque<Difference>,
-    /// What was given to others, by the version that they had.
+    /// Encoded updates, by the version that the receiver has.
     encoded: BTreeMap<u64, Bytes>,
 }
 
 impl UpdateCache {
-    /// Notes the steps that led to the document in force.
+    /// Adds the differences that led to the document in force, and drops those that are no longer useful.
     pub(super) fn push_steps(&mut self, document: &Document, steps: Vec<Difference>) {
         self.encoded.clear();
         self.steps.extend(steps);
-        // Together they must stay shorter than the document; those before are of no use.
+        // All differences together must be smaller than the document; older ones are useless.
         let mut total = 0;
         let useful = self.steps.iter().rev().take(MAX_STEPS).take_while(|step| {
             total += step.written();
@@ -39,7 +40,7 @@
         self.steps.drain(..surplus);
     }
 
-    /// Returns what an entry lacks that has a version; `None` when it cannot be encoded.
+    /// Returns the encoded update for an entry that has `version`; `None` if it cannot be encoded.
     pub(super) fn update_from(&mut self, document: &Document, version: u64) -> Option<Bytes> {
         if let Some(encoded) = self.encoded.get(&version) {
             return Some(encoded.clone());
--- a/bergamotshift-forward/src/control/inner.rs
+++ b/bergamotshift-forward/src/control/inner.rs
@@ -1,4 +1,4 @@
-//! The state behind the control, and what the passing of time does to it.
+//! The state of the control thread and its periodic update.
 
 use core::sync::atomic::AtomicU64;
 use core::sync::atomic::Ordering;
@@ -37,84 +37,98 @@
 use crate::random;
 use crate::view::Shared;
 
-/// How long what an entry said once stands in a large fleet, where news of it come through others and in some seconds.
+/// Time for which an entry's state counts as current in a large fleet, where updates arrive through other entries and take
+/// some seconds.
 const LARGE_FLEET_STATE_TTL: Duration = Duration::from_secs(5);
 
-/// Over what time the reading of prompts is averaged; new endpoints take seconds to boot, so it follows quickly.
+/// Time over which the demand for prompt tokens is averaged. It is short because new endpoints take seconds to boot.
 const PROMPT_DEMAND_WINDOW: Duration = Duration::from_secs(3);
 
-/// How long what another entry said of its work under way counts; older figures say nothing of now.
+/// Time for which the state of another entry counts as current; older in-flight figures are out of date.
 pub(super) const STATE_TTL: Duration = Duration::from_millis(1_500);
 
-/// How many entries there may be until the list of them was read; more than a small site has.
+/// Number of entries assumed until the list of entries has been read; more than a small site has.
 pub(super) const ASSUMED_ENTRIES: usize = 12;
 
-/// How many windows of usage are kept of other entries.
+/// Number of usage windows that are kept of other entries.
 const USAGE_WINDOWS: u64 = 6;
 
-/// What outlives pictures of one service.
+/// State of one service that outlives individual views.
 #[derive(Debug)]
 pub(super) struct ServiceState {
+    /// Limit on retries.
     pub(super) budget: Arc<Budget>,
-    /// Prompt tokens that callers asked to have read since the last tick.
+    /// Prompt tokens that callers requested since the last tick.
     pub(super) requested_tokens: Arc<AtomicU64>,
-    /// The same by the second.
+    /// Prompt tokens that callers request per second, averaged.
     pub(super) prompt_demand: Demand,
-    /// Tokens of a usual prompt.
+    /// Moving average of prompt sizes, in tokens.
     pub(super) typical_prompt: Arc<AtomicU64>,
 }
 
-/// Another entry that holds the duties, or did.
+/// Another entry that holds the duties or held them before.
 #[derive(Clone, Debug)]
 pub(super) struct DutyHolder {
+    /// Name of the entry.
     pub(super) entry: name::Entry,
-    /// When it was last so.
+    /// Time at which this was last reported.
     pub(super) at: Instant,
-    /// Whether it holds them; one that stops says itself that it does not any more.
+    /// Whether it holds the duties; an entry that stops reports that it no longer does.
     pub(super) holds: bool,
 }
 
+/// State of the control thread.
 #[derive(Debug)]
 pub(super) struct Inner {
+    /// Document in force.
     pub(super) document: Arc<Document>,
+    /// Freshness of the document.
     pub(super) document_freshness: Freshness,
-    /// Since when another entry has been known to have a newer document; `None` when none has.
+    /// Time since which another entry is known to have a newer document; `None` if none has.
     pub(super) behind_since: Option<Instant>,
-    /// What others are given of the document.
+    /// Document updates for other entries.
     pub(super) updates: UpdateCache,
+    /// Known endpoints.
     pub(super) directory: Directory,
+    /// Freshness of the registrations.
     pub(super) registrations_freshness: Freshness,
+    /// Limits and demand by organisation.
     pub(super) organisations: BTreeMap<name::Organisation, Organisation>,
+    /// State by service.
     pub(super) services: BTreeMap<name::Service, ServiceState>,
+    /// Other entries.
     pub(super) members: Members,
+    /// Requests suspected of crashing endpoints.
     pub(super) quarantine: Quarantine,
-    /// What each life of each other entry counted.
+    /// Usage counted by each process of each other entry.
     pub(super) peer_usage: BTreeMap<(name::Entry, u64), Windows>,
-    /// Which versions of each service may take work.
+    /// Rollout state that determines which versions of each service may receive requests.
     pub(super) standings: BTreeMap<name::Service, Standing>,
-    /// The share of each service's new version in the last picture.
+    /// Share of requests for each service's new version in the last view, in thousandths.
     pub(super) shares: BTreeMap<name::Service, u16>,
-    /// What each life of each other entry saw of the answers of two versions.
+    /// Evidence on old and new versions collected by each process of each other entry.
     pub(super) peer_evidence: BTreeMap<(name::Entry, u64), Vec<(name::Service, Evidence)>>,
     /// Whether this entry holds the duties.
     pub(super) holds_duties: bool,
-    /// What this entry tells of the duties' lease.
+    /// Notice about the duties' lease that this entry sends to others.
     pub(super) lease_notice: Option<Word>,
-    /// What another entry told last of that lease, and when.
+    /// Latest notice about that lease from another entry, and when it arrived.
     pub(super) peer_lease_notice: Option<(Word, Instant)>,
-    /// Which other entry was last known to hold the duties, or to have given them up.
+    /// Other entry that was last known to hold the duties, or to have released them.
     pub(super) duty_holder: Option<DutyHolder>,
-    /// Whether the list of entries was read.
+    /// Whether the list of entries has been read.
     pub(super) entries_listed: bool,
-    /// The organisations that the entries wrote to be busy before this process started, until they are taken in.
+    /// Organisations that the entries stored as busy before this process started, until they have been applied.
     pub(super) busy_before_start: Option<Vec<name::Organisation>>,
-    /// The calls that failed when they were last made.
+    /// Calls of the store whose last attempt failed.
     pub(super) failed_calls: BTreeSet<&'static str>,
+    /// Random identifier of this process.
     pub(super) life: u64,
-    /// Who keeps the zone.
+    /// Keeper and deputy of the zone.
     pub(super) keeping: Keeping,
-    /// The entries that grant requests to endpoints which name a rate.
+    /// Entries that grant requests to endpoints with an announced rate.
     pub(super) granters: Arc<[granter::Candidate]>,
+    /// Time of the last tick.
     last_tick: Instant,
 }
 
@@ -156,8 +170,8 @@
         }
     }
 
-    /// Returns how many entries come before this one for what need be done once; one that does not reach the store
-    /// comes last.
+    /// Returns the number of entries that precede this one for tasks that only one entry performs. An entry that cannot
+    /// reach the store ranks last.
     pub(super) fn rank(&self, now: Instant) -> usize {
         if self.failed_calls.is_empty() {
             self.members.rank(now)
@@ -166,7 +180,7 @@
         }
     }
 
-    /// Puts a document in force if it is newer than the one that is; `steps` led to it, where they are known.
+    /// Puts a document in force if it is newer than the current one. `steps` are the differences that led to it, if known.
     pub(super) fn apply_document(
         &mut self,
         now: Instant,
@@ -189,7 +203,8 @@
         shared
             .newest_document
             .fetch_max(self.document.version, Ordering::AcqRel);
-        // Versions that follow one another quickly are got one by one; who gets on is not left behind.
+        // Versions that follow each other quickly are fetched one by one; the lag restarts with each, since the entry makes
+        // progress.
         self.behind_since = self.behind_since.map(|_since| now);
         self.update_lag(now, shared);
         self.update_parts(now, shared);
@@ -197,7 +212,7 @@
         self.publish(shared);
     }
 
-    /// Takes in what somebody tells of the registrations.
+    /// Applies an event about registrations, and publishes a new view if the endpoints changed.
     pub(super) fn apply_endpoints(&mut self, now: Instant, shared: &Shared, event: Event, from: &str) {
         let (before, digest) = (self.directory.endpoints().count(), self.directory.digest());
         let leaving = self.directory.apply(now, event);
@@ -213,7 +228,7 @@
         self.publish(shared);
     }
 
-    /// Takes in that endpoints stopped taking work.
+    /// Handles endpoints that stopped accepting requests.
     fn handle_leaving(&mut self, now: Instant, shared: &Shared, leaving: &[Arc<Endpoint>], from: &str) {
         for endpoint in leaving {
             self.quarantine.announce(now, victim(endpoint));
@@ -230,7 +245,7 @@
         }
     }
 
-    /// Works out shares and figures anew.
+    /// Expires old state, and recomputes limit shares, in-flight counts and metrics.
     pub(super) fn tick(&mut self, now: Instant, shared: &Shared) {
         let span = now.since(self.last_tick);
         self.last_tick = now;
@@ -242,8 +257,8 @@
                 span,
             );
         }
-        // Failure: dozens of entries save up what a dozen may. Symptom: when endpoints break, all together send again more
-        // than the platform allows, and the ones that are left break too.
+        // The retry budget of each entry shrinks as the fleet grows. Otherwise dozens of entries together would retry more
+        // than the platform allows when endpoints fail, and overload the remaining endpoints.
         let slack = retry_slack(shared, self.members.count());
         for service in self.services.values_mut() {
             service.budget.bound(slack);
@@ -260,10 +275,10 @@
             }
         }
         if !self.directory.is_settled() {
-            // What another entry read lately proves what is missing, also when it brought no news.
+            // A recent read by another entry also proves which registrations are missing, even if nothing changed.
             let age = self.registrations_freshness.age(now).unwrap_or(STATE_TTL);
-            let left = self.directory.settle(now, now - age);
-            self.handle_leaving(now, shared, &left, "time");
+            let leaving = self.directory.settle(now, now - age);
+            self.handle_leaving(now, shared, &leaving, "time");
         }
         self.update_keeping(now, shared);
         self.update_granters(now, shared);
@@ -285,33 +300,33 @@
         self.quarantine.expire(now);
     }
 
-    /// Returns the prompt tokens a second that callers of a service ask all entries to have read.
+    /// Returns the prompt tokens per second that callers of a service request from all entries.
     pub(super) fn prompt_demand(&self, now: Instant, service: &name::Service) -> f64 {
         let own = self
             .services
             .get(service)
             .map_or(0.0, |state| state.prompt_demand.get());
-        // Failure: in a large fleet each entry is heard every other second, and the figures of those heard less lately
-        // are left out. Symptom: the demand comes out at three quarters of what it is.
+        // In a large fleet each entry is heard from only every other second. With the short TTL of small fleets, a quarter of
+        // the demand would be left out.
         let others = self.members.heard(now, self.state_ttl());
-        let told = others.flat_map(|(_, state)| state.reading.iter().filter(|(name, _)| name == service));
-        own + told.map(|(_, rate)| rate).sum::<f64>()
+        let demands = others.flat_map(|(_, state)| state.reading.iter().filter(|(name, _)| name == service));
+        own + demands.map(|(_, rate)| rate).sum::<f64>()
     }
 
-    /// Returns whether another entry said lately that the store answers it.
+    /// Returns whether another entry recently reported that it reaches the store.
     pub(super) fn others_reach_store(&self, now: Instant) -> bool {
         self.members.heard(now, STATE_TTL).any(|(_, state)| state.reaches_store)
     }
 
-    /// Returns whether another entry is known to hold the duties, in a large fleet by word that others pass on. The lease
-    /// guards against two holders, so this only bounds how late a successor begins to watch it.
+    /// Returns whether another entry is known to hold the duties; in a large fleet, from reports that other entries relay.
+    /// The lease prevents two holders, so this only bounds how late a successor begins to watch it.
     pub(super) fn is_held_elsewhere(&self, now: Instant) -> bool {
         self.duty_holder
             .as_ref()
             .is_some_and(|holder| holder.holds && now.since(holder.at) < STATE_TTL)
     }
 
-    /// Returns how long what each other entry said once stands for what it does now.
+    /// Returns the time for which the state of another entry counts as current.
     fn state_ttl(&self) -> Duration {
         if self.members.is_large() {
             LARGE_FLEET_STATE_TTL
@@ -321,8 +336,8 @@
     }
 }
 
-/// Returns this entry's part of what repeated sends may add to a service; the ratio holds by itself, as each entry counts
-/// its own requests.
+/// Returns this entry's part of a service's retry budget. The ratio needs no division, as each entry counts its own
+/// requests.
 pub(super) fn retry_budget(shared: &Shared) -> Budget {
     const RATIO_USED: f64 = 0.75;
     let slack = retry_slack(shared, ASSUMED_ENTRIES);
@@ -333,17 +348,18 @@
     })
 }
 
-/// Returns one entry's even share of the repeated sends that all may make beyond the ratio. A small site's is that of the
-/// most entries that it has, so that it does not change with every entry that comes and goes.
+/// Returns one entry's even share of the retries that all entries may make beyond the ratio. A small site uses the share for
+/// [`ASSUMED_ENTRIES`], so that the share does not change with every entry that joins or leaves.
 fn retry_slack(shared: &Shared, entries: usize) -> u32 {
     (shared.settings.retry.slack / entries.max(ASSUMED_ENTRIES) as f64).max(1.0) as u32
 }
 
-/// Returns the part of a core that this entry may use, in thousandths.
+/// Returns the share of a CPU core that this entry may use, in thousandths.
 pub(super) fn core_share(shared: &Shared) -> u16 {
     (shared.settings.core_share * 1e3) as u16
 }
 
+/// Returns the quarantine's key for an endpoint.
 pub(super) fn victim(endpoint: &Endpoint) -> quarantine::Victim {
     let vm = name::Vm::new(&endpoint.registration.id);
     quarantine::Victim::new(vm, Incarnation::new(endpoint.registration.born))
--- a/bergamotshift-forward/src/control/mod.rs
+++ b/bergamotshift-forward/src/control/mod.rs
@@ -1,4 +1,4 @@
-//! What the control thread knows, and the pictures that it publishes from that.
+//! The control thread's state, and the views of it that are published to the threads that serve requests.
 
 mod behind;
 mod copies;
@@ -44,40 +44,42 @@
 use crate::peers::update::UPLOADS;
 use crate::view::Shared;
 
-/// A question of another entry, with the way back of its answer.
+/// A query from another entry, with the channel for its answer.
 #[derive(Debug)]
 pub enum Query {
-    /// What this entry knows.
+    /// Exchange of states between two entries.
     Exchange {
-        /// What the other entry says of itself.
+        /// State of the other entry.
         state: Box<State>,
-        /// Gets the answer.
+        /// Channel for the answer.
         reply: oneshot::Sender<Reply>,
     },
-    /// The newest document.
+    /// Request for a newer document.
     Document {
-        /// The version that the other entry has.
+        /// Version that the other entry has.
         version: u64,
-        /// Gets the answer.
+        /// Channel for the answer.
         reply: oneshot::Sender<Offer>,
     },
 }
 
-/// What the control thread knows; clones share it.
+/// Handle to the control thread's state; clones share the state.
 #[derive(Clone, Debug)]
 pub struct Control {
     shared: Arc<Shared>,
     inner: Rc<RefCell<Inner>>,
+    /// Sender of the queries from other entries.
     queries: mpsc::UnboundedSender<Query>,
+    /// Receiver of those queries, until it is taken.
     inbox: Rc<RefCell<Option<mpsc::UnboundedReceiver<Query>>>>,
-    /// Wakes whoever follows the document when another entry has a newer one.
+    /// Wakes the task that follows the document when another entry has a newer one.
     newer_document: Rc<Notify>,
-    /// How many more entries may be given the document now.
+    /// Limits the number of concurrent uploads of the document to other entries.
     uploads: Arc<Semaphore>,
 }
 
 impl Control {
-    /// Makes a control that knows nothing yet.
+    /// Creates a control without a document, endpoints or peers.
     pub fn new(shared: Arc<Shared>) -> Self {
         let (queries, inbox) = mpsc::unbounded_channel();
         let inner = Inner::new(&shared);
@@ -91,28 +93,29 @@
         }
     }
 
-    /// Returns what the threads share.
+    /// Returns the state that all threads of the entry share.
     pub const fn shared(&self) -> &Arc<Shared> {
         &self.shared
     }
 
-    /// Returns where questions of other entries go.
+    /// Returns the sender for queries from other entries.
     pub fn query_sender(&self) -> mpsc::UnboundedSender<Query> {
         self.queries.clone()
     }
 
-    /// Returns the questions of other entries; `None` from the second call on.
+    /// Returns the receiver of queries from other entries; `None` from the second call on.
     pub fn take_queries(&self) -> Option<mpsc::UnboundedReceiver<Query>> {
         self.inbox.borrow_mut().take()
     }
 
-    /// Returns how many of the entries heard lately come before this one; the first does what need be done once.
+    /// Returns the number of recently heard entries that precede this one. The entry with rank 0 performs tasks that are
+    /// needed only once in the fleet.
     pub fn rank(&self) -> usize {
         let now = self.now();
         self.inner.borrow().rank(now)
     }
 
-    /// Counts a call of the store, and logs when it stops or begins to answer.
+    /// Counts a call of the store, and logs when the call begins to fail or succeeds again.
     pub fn record_call(&self, call: &'static str, error: Option<&bergamotshift_platform::Error>) {
         self.shared.metrics.called(call, error.is_none());
         let mut inner = self.inner.borrow_mut();
@@ -135,7 +138,7 @@
         Arc::clone(&self.inner.borrow().document)
     }
 
-    /// Returns up to which change the document is known; `None` before it was read.
+    /// Returns the cursor up to which the document is known; `None` before the first read.
     pub fn document_cursor(&self) -> Option<Cursor> {
         let inner = self.inner.borrow();
         inner
@@ -144,14 +147,14 @@
             .map(|_| inner.document_freshness.cursor())
     }
 
-    /// Returns how long until the document has to be looked at.
-    pub fn document_due(&self, look: Duration) -> Duration {
+    /// Returns the time until this entry has to read the document itself.
+    pub fn document_due(&self, interval: Duration) -> Duration {
         let now = self.now();
         let inner = self.inner.borrow();
-        inner.document_freshness.due(now, look, inner.rank(now))
+        inner.document_freshness.due(now, interval, inner.rank(now))
     }
 
-    /// Takes in what the store tells of the document.
+    /// Applies the document and the rollout orders that were read from the store.
     pub fn apply_stored_document(&self, written: Written, cursor: Cursor) {
         let now = self.now();
         let mut inner = self.inner.borrow_mut();
@@ -169,7 +172,7 @@
         }
     }
 
-    /// Returns up to which change the registrations are known; `None` before they were read.
+    /// Returns the cursor up to which the registrations are known; `None` before the first read.
     pub fn registrations_cursor(&self) -> Option<Cursor> {
         let inner = self.inner.borrow();
         inner
@@ -178,18 +181,18 @@
             .map(|_| inner.registrations_freshness.cursor())
     }
 
-    /// Returns how long until the registrations have to be looked at.
-    pub fn registrations_due(&self, look: Duration) -> Duration {
+    /// Returns the time until this entry has to read the registrations itself.
+    pub fn registrations_due(&self, interval: Duration) -> Duration {
         let now = self.now();
         let inner = self.inner.borrow();
-        inner.registrations_freshness.due(now, look, inner.rank(now))
+        inner.registrations_freshness.due(now, interval, inner.rank(now))
     }
 
-    /// Takes in what the store tells of the registrations.
+    /// Applies registrations that were read from the store.
     pub fn apply_stored_registrations(&self, event: Event, cursor: Cursor) {
         let now = self.now();
         let mut inner = self.inner.borrow_mut();
-        // Another entry may have told of newer changes while this answer was on its way.
+        // Another entry may have sent newer changes while this answer was in flight.
         let is_older = cursor < inner.registrations_freshness.cursor();
         if is_older && matches!(event, Event::Listed(_)) {
             return;
@@ -198,7 +201,7 @@
         inner.apply_endpoints(now, &self.shared, event, "store");
     }
 
-    /// Counts and logs what stands among the registrations and cannot be read.
+    /// Counts and logs registrations that cannot be decoded.
     pub fn report_unreadable(&self, changes: &[Change]) {
         for change in changes {
             let Change::Unreadable { id, cause } = change else {
@@ -212,17 +215,17 @@
         }
     }
 
-    /// Takes in that the store did not tell of the registrations.
+    /// Records that the registrations could not be read from the store.
     pub fn registrations_unavailable(&self) {
         let now = self.now();
         let mut inner = self.inner.borrow_mut();
-        // Only while the store is away does what is missing there prove nothing.
+        // Missing registrations are inconclusive only if the store itself is unavailable.
         if inner.members.misses_store(now, inner::STATE_TTL) {
             inner.apply_endpoints(now, &self.shared, Event::StoreFailed, "store");
         }
     }
 
-    /// Takes in that an endpoint ended while it had a request.
+    /// Records that an endpoint died while it was running a request.
     pub fn endpoint_died(&self, endpoint: u64, fingerprint: Fingerprint) {
         let now = self.now();
         let mut inner = self.inner.borrow_mut();
@@ -240,18 +243,18 @@
         inner.publish(&self.shared);
     }
 
-    /// Notes that the list names another entry.
+    /// Adds an entry that the list of entries contains.
     pub fn add_listed(&self, listed: &Listed) {
         let now = self.now();
         self.inner.borrow_mut().members.listed(now, listed);
     }
 
-    /// Notes that the list of entries was read, with the organisations that they wrote to be busy; `None` where this entry
-    /// joins others that serve already.
+    /// Records that the list of entries was read. `busy` contains the organisations that the entries stored as busy; it is
+    /// `None` if this entry joins others that already serve.
     ///
-    /// Failure: entries join one after the other, and each starts with a part of every organisation's burst, which the ones
-    /// before hold too. Symptom: with sixteen that join, an organisation has its burst more than twice. Only an entry that is
-    /// back, or the first one, gets a part at once; one that joins gets what the others leave.
+    /// An entry that joins gets only the part of a burst that the others release. If each new entry started with a part that
+    /// the existing ones still hold, an organisation would have more than twice its burst after sixteen entries joined. Only
+    /// an entry that restarts, or the first one, gets a part at once.
     pub fn entry_list_read(&self, busy: Option<Vec<name::Organisation>>) {
         let mut inner = self.inner.borrow_mut();
         let is_first = !inner.entries_listed;
@@ -267,13 +270,13 @@
         }
     }
 
-    /// Returns the organisations that asked for much of their limits lately.
+    /// Returns the organisations whose recent demand was a large part of their limits.
     pub fn busy_organisations(&self) -> Vec<name::Organisation> {
         let now = self.now();
         self.inner.borrow().busy_organisations(now)
     }
 
-    /// Returns whom to ask now.
+    /// Returns the entries to exchange states with now, and their addresses.
     pub fn due_peers(&self, limit: usize) -> Vec<(name::Entry, SocketAddr)> {
         let now = self.now();
         let mut inner = self.inner.borrow_mut();
@@ -282,17 +285,17 @@
         inner.members.due(now, limit, holder.as_ref())
     }
 
-    /// Returns the part of a core that this entry may use, in thousandths.
+    /// Returns the share of a CPU core that this entry may use, in thousandths.
     pub fn core_share(&self) -> u16 {
         inner::core_share(&self.shared)
     }
 
-    /// Returns who decides for the zone.
+    /// Returns the keeper and the deputy of the zone.
     pub fn keeping(&self) -> Keeping {
         self.inner.borrow().keeping
     }
 
-    /// Returns how many entries are known, this one included.
+    /// Returns the number of known entries, including this one.
     pub fn entry_count(&self) -> usize {
         self.inner.borrow().members.count()
     }
@@ -302,25 +305,25 @@
         self.inner.borrow().members.count() == 1
     }
 
-    /// Notes that another entry did not answer, and whether it was silent rather than refused.
+    /// Records that another entry did not answer; `is_silent` tells a timeout from a refused connection.
     pub fn peer_failed(&self, entry: &name::Entry, is_silent: bool) {
         let now = self.now();
         self.inner.borrow_mut().members.failed(now, entry, is_silent);
     }
 
-    /// Returns whether another entry is told in brief.
+    /// Returns whether another entry receives the brief form of this entry's state.
     pub fn is_brief(&self, entry: &name::Entry) -> bool {
         let now = self.now();
         self.inner.borrow().members.is_brief(now, entry)
     }
 
-    /// Returns what this entry says of itself.
+    /// Returns the state that this entry sends to others.
     pub fn state(&self) -> State {
         let now = self.now();
         self.inner.borrow().state(now, &self.shared)
     }
 
-    /// Takes in what another entry says of itself, and returns what it is told.
+    /// Applies the state of another entry, and returns the reply to it.
     pub fn handle_state(&self, state: State) -> Reply {
         let now = self.now();
         let reply = self.inner.borrow_mut().handle_state(now, &self.shared, state);
@@ -328,52 +331,52 @@
         reply
     }
 
-    /// Takes in another entry's answer.
+    /// Applies another entry's reply.
     pub fn handle_reply(&self, reply: Reply) {
         let now = self.now();
         self.inner.borrow_mut().handle_reply(now, &self.shared, reply);
         self.notify_newer_document();
     }
 
-    /// Works out shares and figures anew; called several times a second.
+    /// Recomputes limit shares, in-flight counts and metrics; called several times a second.
     pub fn tick(&self) {
         let now = self.now();
         self.inner.borrow_mut().tick(now, &self.shared);
     }
 
-    /// Notes whether this entry holds the duties, and what it tells of their lease.
-    pub fn set_duties(&self, held: bool, word: Option<Word>) {
+    /// Records whether this entry holds the duties, and the notice about their lease that it sends to others.
+    pub fn set_duties(&self, held: bool, notice: Option<Word>) {
         let mut inner = self.inner.borrow_mut();
         inner.holds_duties = held;
-        inner.lease_notice = word;
+        inner.lease_notice = notice;
         self.shared.metrics.holder.set(i64::from(held));
     }
 
-    /// Returns what another entry said of the duties' lease since the last call, as of now.
+    /// Takes the newest notice about the duties' lease that arrived since the last call, adjusted to the current time.
     pub fn take_lease_notice(&self) -> Option<Word> {
         let now = self.now();
-        let (word, at) = self.inner.borrow_mut().peer_lease_notice.take()?;
-        Some(word.after(now.since(at)))
+        let (notice, received) = self.inner.borrow_mut().peer_lease_notice.take()?;
+        Some(notice.after(now.since(received)))
     }
 
-    /// Returns whether another entry said lately that the store answers it.
+    /// Returns whether another entry recently reported that it reaches the store.
     pub fn others_reach_store(&self) -> bool {
         let now = self.now();
         self.inner.borrow().others_reach_store(now)
     }
 
-    /// Returns whether another entry said lately that it holds the duties.
+    /// Returns whether another entry recently reported that it holds the duties.
     pub fn is_held_elsewhere(&self) -> bool {
         let now = self.now();
         self.inner.borrow().is_held_elsewhere(now)
     }
 
-    /// Returns whether so many entries take part that news of all of them take seconds.
+    /// Returns whether the fleet is so large that updates from all entries take seconds to arrive.
     pub fn is_large(&self) -> bool {
         self.inner.borrow().members.is_large()
     }
 
-    /// Returns the requests of a window, over all entries.
+    /// Returns the requests of all entries in a window, by organisation.
     pub fn usage(&self, window: u64) -> BTreeMap<name::Organisation, u64> {
         let inner = self.inner.borrow();
         let mut sum = self.shared.tally.windows().remove(&window).unwrap_or_default();
@@ -384,17 +387,17 @@
         sum
     }
 
-    /// Returns the prompt tokens a second that callers of a service ask all entries to have read.
+    /// Returns the prompt tokens per second that callers of a service request from all entries.
     pub fn prompt_demand(&self, service: &name::Service) -> f64 {
         let now = self.now();
         self.inner.borrow().prompt_demand(now, service)
     }
 
-    /// Returns the endpoints that take work.
+    /// Returns the endpoints that accept requests.
     pub fn endpoints(&self) -> Vec<Arc<Endpoint>> {
         let inner = self.inner.borrow();
-        let taking = inner.directory.endpoints().filter(|endpoint| !endpoint.is_leaving());
-        taking.cloned().collect()
+        let available = inner.directory.endpoints().filter(|endpoint| !endpoint.is_leaving());
+        available.cloned().collect()
     }
 
     fn now(&self) -> Instant {
--- a/bergamotshift-forward/src/control/organisation.rs
+++ b/bergamotshift-forward/src/control/organisation.rs
@@ -1,4 +1,4 @@
-//! An organisation's limit at this entry: its share, or its zone's, and who keeps the zone.
+//! Computes each organisation's limit at this entry, from the entry's share or that of its zone.
 
 use core::time::Duration;
 use std::sync::Arc;
@@ -21,45 +21,49 @@
 use crate::observe::Topic;
 use crate::view::Shared;
 
-/// The part of the units beyond a limit that entries deal out; the rest covers requests that overdraw their share.
+/// Fraction of the allowed excess over a limit that is distributed to entries; the rest covers requests that overdraw their
+/// share.
 const SLACK_FRACTION: f64 = 0.4;
 
-/// How many times the burst all entries together may deal out while an organisation is far below its limit.
+/// Multiple of the burst that all entries together may distribute while an organisation is far below its limit.
 ///
-/// Failure: a few large requests come to one entry, whose share of the burst is small. Symptom: they are refused though
-/// the organisation uses half of its limit (one to two in a hundred requests on calm days). What is taken beyond the
-/// share stays owed when demand rises, so it is paid back at the rate before more is let in, and a window holds no more
-/// than the limit's slack allows.
+/// Without it, a few large requests that arrive at one entry exceed its small share of the burst and are refused, although
+/// the organisation uses half of its limit (1 to 2 % of requests under low load). Units taken beyond the share remain owed
+/// when demand rises: they are repaid at the rate before more requests are admitted, so a window stays within the limit's
+/// slack.
 const CALM_BURSTS: f64 = 1.5;
 
-/// How long an organisation counts as busy: a window over which limits are judged, and the time between two writes of an
-/// entry's row.
+/// Time for which an organisation counts as busy. It covers the window over which limits are judged and the interval between
+/// two writes of an entry's row.
 const BUSY_DURATION: Duration = Duration::from_secs(13);
 
-/// What a process that starts and keeps its zone takes to be used up, in bursts. Only as many requests as there are zones
-/// overdraw, and a process that was killed is back after a second, so that half a burst more in one window stays within
-/// the tenth by which a limit may be exceeded.
+/// Part of the burst that a keeper which starts counts as already used. Only one request per zone can overdraw, and a killed
+/// process is back after a second, so another half burst in one window stays within the 10 % by which a limit may be
+/// exceeded.
 const KEEPER_USED_BURSTS: f64 = 0.5;
 
+/// Limit state of one organisation.
 #[derive(Debug, Default)]
 pub(super) struct Organisation {
+    /// Account for requests at this entry.
     pub(super) account: Arc<Account>,
-    /// What this entry grants to all of its zone, when it keeps that.
+    /// Account from which this entry grants units to its whole zone as the keeper.
     pub(super) zone_account: Arc<Account>,
-    /// This entry's share in a small fleet.
+    /// Share of this entry in a small fleet.
     pub(super) share: Share<name::Entry>,
-    /// The zone's share in a large one.
+    /// Share of the zone in a large fleet.
     pub(super) zone_share: Share<name::Zone>,
+    /// Demand of callers at this entry.
     pub(super) demand: Demand,
-    /// When it last asked for more than what is calm, as far as this entry knows.
+    /// Time at which its known demand was last above the low-demand threshold.
     pub(super) last_busy: Option<Instant>,
-    /// This entry's part of the limit.
+    /// Part of the limit that this entry may use.
     part: Option<Part>,
 }
 
 impl Organisation {
-    /// Works out this entry's part of the limit among `members` entries; `slack` are units that all together may let in
-    /// beyond its burst.
+    /// Updates this entry's part of the limit among `members` entries; `slack` is the number of units that all entries
+    /// together may admit beyond the burst.
     fn update_part(&mut self, now: Instant, limit: Option<Limit>, slack: f64, members: usize) {
         let timing = Timing::default();
         let fraction = self.share.next(now, &timing, self.demand, members);
@@ -73,14 +77,14 @@
         self.account.set(now, self.part);
     }
 
-    /// Takes in that all entries knew the organisation to be far below its limit before this process started.
+    /// Credits part of the burst because the organisation was far below its limit before this process started.
     fn relieve_calm(&self, now: Instant) {
         if let Some(part) = self.part {
             self.account.relieve(now, part, USED_CALM);
         }
     }
 
-    /// Works out the part of the limit that this entry grants as the keeper of its zone, or as its deputy, among `zones`.
+    /// Updates the part of the limit that this entry grants as the keeper of its zone or as its deputy, among `zones` zones.
     fn update_zone_part(&mut self, now: Instant, limit: Option<Limit>, slack: f64, zones: usize, keeping: Keeping) {
         let timing = Timing::default();
         let is_keeper = keeping.keeper == Keeper::Own;
@@ -94,17 +98,17 @@
         };
         let part = limit.map(|limit| {
             let calm = is_keeper && self.zone_share.is_calm(now, &timing, self.demand, zones, limit.rate);
-            let whole = Part {
+            let zone_total = Part {
                 used: KEEPER_USED_BURSTS,
                 ..total(limit, slack)
             };
-            whole.times(fraction, fraction.max(min_burst_fraction(calm, zones)))
+            zone_total.times(fraction, fraction.max(min_burst_fraction(calm, zones)))
         });
         self.zone_account.set(now, part);
     }
 }
 
-/// Returns a whole limit, with what may be let in beyond it.
+/// Returns the part that covers a whole limit, including the allowed excess.
 fn total(limit: Limit, slack: f64) -> Part {
     Part {
         rate: limit.rate,
@@ -114,7 +118,7 @@
     }
 }
 
-/// Returns the part of a burst that each of `members` may use at the least.
+/// Returns the minimum fraction of a burst that each of `members` may use.
 fn min_burst_fraction(is_calm: bool, members: usize) -> f64 {
     if is_calm {
         (CALM_BURSTS / members as f64).min(1.0)
@@ -124,7 +128,7 @@
 }
 
 impl Inner {
-    /// Returns the organisations that asked for much of their limits lately.
+    /// Returns the organisations whose recent demand was a large part of their limits.
     pub(super) fn busy_organisations(&self, now: Instant) -> Vec<name::Organisation> {
         let is_busy =
             |organisation: &&Organisation| organisation.last_busy.is_some_and(|at| now.since(at) < BUSY_DURATION);
@@ -135,12 +139,11 @@
         busy.map(|(name, _)| name.clone()).collect()
     }
 
-    /// Takes in which organisations asked for much of their limits, as the entries wrote before this process started.
+    /// Applies the organisations that entries stored as busy before this process started.
     ///
-    /// Failure: all entries are killed, and each that starts again takes every organisation's burst to be used up. Symptom:
-    /// for a second after the end of an outage half of all callers are refused, though they ask for half of their limits.
-    /// What the entries wrote down some seconds before says who may have been at its limit; the others get a part of their
-    /// bursts at once.
+    /// A process that starts counts every organisation's burst as used up. After an outage of all entries that would refuse
+    /// half of all callers for a second, although they ask for half of their limits. The rows written some seconds before
+    /// tell which organisations may have been at their limits; the others get part of their bursts at once.
     pub(super) fn restore_limits(&mut self, now: Instant, shared: &Shared) {
         let Some(busy) = self.busy_before_start.take_if(|_| self.document.version > 0) else {
             return;
@@ -157,7 +160,7 @@
         }
     }
 
-    /// Works out who keeps the zone.
+    /// Updates the keeper and the deputy of the zone.
     pub(super) fn update_keeping(&mut self, now: Instant, shared: &Shared) {
         if shared.is_stopping() {
             self.members.stop();
@@ -173,12 +176,12 @@
         let is_keeper = keeping.keeper == Keeper::Own;
         shared.metrics.keeper.set(i64::from(is_keeper));
         self.keeping = keeping;
-        // The accounts come first: whoever is asked from now on grants from them.
+        // The accounts are updated before the view is published, as grants are taken from them from then on.
         self.update_parts(now, shared);
         self.publish(shared);
     }
 
-    /// Works out this entry's part of each limit.
+    /// Updates this entry's part of each limit.
     pub(super) fn update_parts(&mut self, now: Instant, shared: &Shared) {
         let known = self.members.count();
         let members = if self.entries_listed {
--- a/bergamotshift-forward/src/control/publish.rs
+++ b/bergamotshift-forward/src/control/publish.rs
@@ -1,4 +1,4 @@
-//! Makes the picture that requests are served from.
+//! Builds and publishes the view that requests are served from.
 
 use core::sync::atomic::AtomicU64;
 use std::collections::HashMap;
@@ -20,6 +20,7 @@
 use crate::view::View;
 
 impl Organisation {
+    /// Returns the accounts that requests are charged to.
     fn accounts(&self) -> Accounts {
         Accounts {
             own: Arc::clone(&self.account),
@@ -29,7 +30,7 @@
 }
 
 impl Inner {
-    /// Publishes what requests are served from next.
+    /// Builds a view from the current state and publishes it.
     pub(super) fn publish(&mut self, shared: &Shared) {
         let mut endpoints: HashMap<name::Service, Vec<Arc<Endpoint>>> = HashMap::new();
         for endpoint in self.directory.endpoints() {
@@ -55,7 +56,7 @@
                     prompt_demand: Demand::default(),
                     typical_prompt: Arc::default(),
                 });
-            let picture = Service {
+            let snapshot = Service {
                 canary: None,
                 endpoints: endpoints.remove(&service.name).unwrap_or_default().into(),
                 engine: service.engine,
@@ -64,7 +65,7 @@
                 typical_prompt: Arc::clone(&state.typical_prompt),
             };
             let canary = self.canary(now, &service.name);
-            services.insert(service.name.clone(), Service { canary, ..picture });
+            services.insert(service.name.clone(), Service { canary, ..snapshot });
         }
         let memories = document.services.iter().filter_map(|service| service.engine);
         if let Some(memory) = memories.map(|engine| engine.memory).min() {
--- a/bergamotshift-forward/src/control/rollouts.rs
+++ b/bergamotshift-forward/src/control/rollouts.rs
@@ -1,4 +1,4 @@
-//! Which versions of a service take work, and what other entries tell of that.
+//! Determines which versions of a service receive requests, and exchanges rollout state with other entries.
 
 use core::sync::atomic::Ordering::Relaxed;
 use core::time::Duration;
@@ -19,40 +19,40 @@
 use crate::view::Canary;
 use crate::view::Shared;
 
-/// Stands for the share of a version whose order has ended.
+/// Marks the share of a version whose order has ended; larger than any real share.
 const ENDED: u16 = WHOLE + 1;
 
-/// What the holder of the duties needs to direct an order.
+/// State of a rollout order that the holder of the duties needs to direct it.
 #[derive(Clone, Debug)]
 pub struct Rollout {
-    /// The order.
+    /// Order of the operators.
     pub order: Order,
-    /// What was last directed.
+    /// Last directive.
     pub directive: Option<Directive>,
-    /// What its director sees.
+    /// Input of the director.
     pub observation: Sight,
 }
 
 impl Control {
-    /// Returns whether an endpoint is of a version that serves everybody.
+    /// Returns whether an endpoint runs a version that receives all requests.
     pub fn is_stable(&self, registration: &Registration) -> bool {
         self.inner.borrow().admission_of(registration) == Admission::Stable
     }
 
-    /// Returns how many endpoints of a service, leaving ones included, the platform started in each zone for a version that
-    /// does not serve everybody.
+    /// Returns the number of a service's endpoints in each zone, including leaving ones, whose version does not receive all
+    /// requests.
     pub fn unstable_endpoints(&self, service: &name::Service) -> BTreeMap<name::Zone, u32> {
         let inner = self.inner.borrow();
         let mut zones = BTreeMap::new();
-        let all = inner.directory.endpoints();
-        let own = all.filter(|endpoint| endpoint.registration.service == *service);
+        let endpoints = inner.directory.endpoints();
+        let own = endpoints.filter(|endpoint| endpoint.registration.service == *service);
         for endpoint in own.filter(|endpoint| inner.admission(endpoint) != Admission::Stable) {
             *zones.entry(endpoint.registration.zone.clone()).or_default() += 1;
         }
         zones
     }
 
-    /// Returns the orders that stand and are not ended.
+    /// Returns the orders that are neither completed nor rolled back.
     pub fn rollouts(&self) -> Vec<Rollout> {
         let now = self.now();
         let inner = self.inner.borrow();
@@ -61,7 +61,7 @@
             .collect()
     }
 
-    /// Puts in force, and tells all entries, what is to happen to a service's requests.
+    /// Puts a directive for a service's requests in force; other entries receive it with the next exchange.
     pub fn apply_directive(&self, service: &name::Service, directive: Directive) {
         let now = self.now();
         let mut inner = self.inner.borrow_mut();
@@ -73,17 +73,18 @@
 }
 
 impl Inner {
-    /// Returns what an endpoint may get.
+    /// Returns which requests an endpoint may receive.
     pub(super) fn admission(&self, endpoint: &Endpoint) -> Admission {
         self.admission_of(&endpoint.registration)
     }
 
+    /// Returns which requests an endpoint with this registration may receive.
     fn admission_of(&self, registration: &Registration) -> Admission {
         let standing = self.standings.get(&registration.service);
         standing.map_or(Admission::Stable, |standing| standing.admission(&registration.version))
     }
 
-    /// Takes in the orders that the operators wrote, with what they were told of each.
+    /// Applies the operators' orders from the store, with the last state that was written for each.
     pub(super) fn apply_stored_rollouts(&mut self, now: Instant, shared: &Shared, written: Vec<(Order, State)>) {
         for (order, state) in written {
             let directive = state.is_final().then_some(Directive {
@@ -97,20 +98,21 @@
         }
     }
 
-    /// Takes in what another entry tells of orders.
+    /// Applies another entry's orders, directives and evidence.
     pub(super) fn apply_peer_rollouts(&mut self, now: Instant, shared: &Shared, state: &peers::State) {
-        for told in &state.rollouts {
-            let age = Duration::from_millis(told.age_ms.into());
-            let order = told.order.clone();
-            self.apply_rollout(now, shared, order, age, told.directive, state.entry.as_str());
+        for rollout in &state.rollouts {
+            let age = Duration::from_millis(rollout.age_ms.into());
+            let order = rollout.order.clone();
+            self.apply_rollout(now, shared, order, age, rollout.directive, state.entry.as_str());
         }
         let key = (state.entry.clone(), state.life);
-        // Whoever takes the duties over next hears the whole sums anew.
+        // Only the holder of the duties needs the evidence. Entries send their full sums, so a successor misses nothing.
         if self.holds_duties && !state.evidence.is_empty() {
             self.peer_evidence.insert(key, state.evidence.clone());
         }
     }
 
+    /// Applies an order that was given `age` ago and its directive, and logs what changed.
     fn apply_rollout(
         &mut self,
         now: Instant,
@@ -144,23 +146,23 @@
         }
     }
 
-    /// Returns what this entry tells others of the orders.
+    /// Returns the orders and directives that this entry sends to others.
     pub(super) fn announced_rollouts(&self, now: Instant) -> Vec<peers::Rollout> {
-        let told = self.standings.values().filter_map(|standing| {
+        let rollouts = self.standings.values().filter_map(|standing| {
             Some(peers::Rollout {
                 order: standing.last_order()?.clone(),
                 age_ms: u32::try_from(standing.age(now).as_millis()).unwrap_or(u32::MAX),
                 directive: standing.directive().copied(),
             })
         });
-        told.collect()
+        rollouts.collect()
     }
 
-    /// Publishes a picture if a new version's share or standing changed, and counts the answers of open orders alone.
+    /// Publishes a view if the share or the state of a new version changed, and restricts evidence to open orders.
     pub(super) fn apply_shares(&mut self, now: Instant, shared: &Shared) {
         self.track_open_orders(shared);
         let share_of = |standing: &Standing| match standing.directive() {
-            // What a version may get changes with the end of an order, also where the share stays the same.
+            // The end of an order changes the admission of its version even if the share stays the same.
             Some(directive) if directive.phase.is_final() => ENDED,
             _ => standing.share(now),
         };
@@ -178,7 +180,7 @@
         self.publish(shared);
     }
 
-    /// Has the answers of the services with an open order counted, and forgets those of others.
+    /// Collects evidence for services with an open order only, and drops the evidence of all others.
     fn track_open_orders(&mut self, shared: &Shared) {
         let open = self.standings.iter().filter(|(_, standing)| standing.is_open());
         let orders: BTreeMap<_, _> = open
@@ -190,28 +192,28 @@
         }
     }
 
-    /// Returns a service's new version as requests see it, while an order stands.
+    /// Returns a service's new version while its order is open.
     pub(super) fn canary(&self, now: Instant, service: &name::Service) -> Option<Canary> {
         let standing = self.standings.get(service).filter(|standing| standing.is_open())?;
         let order = standing.last_order()?.number;
         let share = standing.share(now);
         let phase = standing.directive().map(|directive| directive.phase);
         let (stable, canary) = self.endpoints_by_version(service);
-        let most = match phase {
+        let limit = match phase {
             Some(Phase::Canary) => canary_count(stable.len(), share),
             Some(Phase::Stress) => 1,
             _ => canary.len(),
         };
-        let usual = &self.services.get(service)?.typical_prompt;
+        let typical = &self.services.get(service)?.typical_prompt;
         Some(Canary {
             order,
-            endpoints: spread_over_zones(canary, order, most).into(),
+            endpoints: spread_over_zones(canary, order, limit).into(),
             share,
-            max_prompt_tokens: (phase == Some(Phase::Stress)).then(|| usual.load(Relaxed)),
+            max_prompt_tokens: (phase == Some(Phase::Stress)).then(|| typical.load(Relaxed)),
         })
     }
 
-    /// Returns the endpoints that take work, of the version in force and of the new one.
+    /// Returns the endpoints that accept requests: those of the stable version, and those of the new one.
     fn endpoints_by_version(&self, service: &name::Service) -> (Vec<&Arc<Endpoint>>, Vec<&Arc<Endpoint>>) {
         let of = |admission: Admission| {
             let own = self.directory.endpoints().filter(|endpoint| {
@@ -224,13 +226,14 @@
         (of(Admission::Stable), of(Admission::Canary))
     }
 
+    /// Returns the state of a service's order, with the evidence of all entries summed up.
     fn rollout(&self, now: Instant, shared: &Shared, service: &name::Service, standing: &Standing) -> Option<Rollout> {
         let order = standing.last_order()?.clone();
         let mut evidence = Evidence::new(order.number);
         let own = shared.rollout_evidence.evidence();
         let all = self.peer_evidence.values().flatten().chain(&own);
-        for (_, seen) in all.filter(|(of, _)| of == service) {
-            evidence.add(seen);
+        for (_, part) in all.filter(|(name, _)| name == service) {
+            evidence.add(part);
         }
         let (stable, canary) = self.endpoints_by_version(service);
         let slots = canary.iter().map(|endpoint| endpoint.registration.slots);
@@ -249,15 +252,16 @@
     }
 }
 
-/// Returns how many endpoints of the new version take a share of the requests, so that each is loaded as one of those in
-/// force is.
+/// Returns the number of endpoints of the new version that receive its share of the requests, so that each has the load of a
+/// stable endpoint.
 fn canary_count(stable: usize, share: u16) -> usize {
-    let alike = stable as f64 * f64::from(share) / f64::from(WHOLE);
-    (alike as usize).max(1)
+    let count = stable as f64 * f64::from(share) / f64::from(WHOLE);
+    (count as usize).max(1)
 }
 
-/// Returns so many endpoints, on which all entries agree: spread over the zones, by hash.
-fn spread_over_zones(endpoints: Vec<&Arc<Endpoint>>, order: u64, most: usize) -> Vec<Arc<Endpoint>> {
+/// Returns at most `limit` endpoints, spread evenly over the zones. The order depends on hashes only, so all entries select
+/// the same endpoints.
+fn spread_over_zones(endpoints: Vec<&Arc<Endpoint>>, order: u64, limit: usize) -> Vec<Arc<Endpoint>> {
     let mut zones: BTreeMap<&name::Zone, Vec<(u64, &Arc<Endpoint>)>> = BTreeMap::new();
     for endpoint in endpoints {
         let key = xxh3_64_with_seed(&endpoint.hash.to_le_bytes(), order);
@@ -274,7 +278,7 @@
         );
     }
     ranked.sort_by_key(|(place, key, _)| (*place, *key));
-    ranked.truncate(most);
+    ranked.truncate(limit);
     ranked
         .into_iter()
         .map(|(_, _, endpoint)| Arc::clone(endpoint))
--- a/bergamotshift-forward/src/control/talk.rs
+++ b/bergamotshift-forward/src/control/talk.rs
@@ -1,4 +1,4 @@
-//! What this entry tells the others, and what it takes from them.
+//! Exchanges state with other entries: builds this entry's state and applies the states received.
 
 use core::time::Duration;
 
@@ -20,7 +20,7 @@
 use crate::peers::Use;
 use crate::view::Shared;
 
-/// Returns how fresh something is known, in the form in which it is told.
+/// Converts a freshness to the form in which it is sent to other entries.
 pub(super) fn known(freshness: &Freshness, now: Instant) -> Option<Known> {
     freshness.age(now).map(|age| Known {
         cursor: freshness.cursor().0,
@@ -28,7 +28,7 @@
     })
 }
 
-/// Takes in how fresh another entry knows something that it has in the same state.
+/// Updates a freshness from another entry that has the same data.
 pub(super) fn confirm(freshness: &mut Freshness, now: Instant, known: Option<Known>) {
     if let Some(Known { cursor, age_ms }) = known {
         freshness.confirm(now, Cursor(cursor), Duration::from_millis(age_ms.into()));
@@ -36,23 +36,24 @@
 }
 
 impl Inner {
+    /// Returns the state that this entry sends to others.
     pub(super) fn state(&self, now: Instant, shared: &Shared) -> State {
         let is_large = self.members.is_large();
-        let keeps = self.keeping.keeper == Keeper::Own;
+        let is_keeper = self.keeping.keeper == Keeper::Own;
         // In a large fleet only the keepers' shares are in use.
-        let sharing = self.organisations.iter().filter(|_| keeps || !is_large);
-        let uses = sharing.map(|(name, organisation)| Use {
+        let shared_limits = self.organisations.iter().filter(|_| is_keeper || !is_large);
+        let uses = shared_limits.map(|(name, organisation)| Use {
             organisation: name.clone(),
             demand: organisation.demand.get(),
-            share: if keeps {
+            share: if is_keeper {
                 organisation.zone_share.told()
             } else {
                 organisation.share.told()
             },
         });
-        let flown = self.directory.endpoints().map(|endpoint| endpoint.in_flight(keeps));
+        let in_flight = self.directory.endpoints().map(|endpoint| endpoint.in_flight(is_keeper));
         let (zones, members) = self.members.names(now);
-        let reading = self
+        let prompt_demand = self
             .services
             .iter()
             .map(|(name, service)| (name.clone(), service.prompt_demand.get()));
@@ -62,7 +63,7 @@
             address: shared.settings.listen.peers,
             zone: shared.settings.zone.clone(),
             core_share: core_share(shared),
-            stage: match keeps {
+            stage: match is_keeper {
                 _ if shared.is_stopping() => Stage::Stops,
                 true => Stage::Keeps,
                 false => Stage::Serves,
@@ -77,13 +78,13 @@
             document: self.document.version,
             document_known: known(&self.document_freshness, now),
             endpoints: self.directory.digest(),
-            // Failure: this entry keeps endpoints whose registrations are missing, since the store was away for it, and
-            // another one takes them over as the newest state. Symptom: endpoints that left get work for good. What is
-            // not settled is not told as knowledge.
+            // An unsettled directory is not sent as current. While the store was unreachable this entry is_keeper endpoints
+            // whose registrations are missing; another entry that adopted them as the newest state would send requests to
+            // removed endpoints permanently.
             endpoints_known: known(&self.registrations_freshness, now).filter(|_| self.directory.is_settled()),
             uses: uses.collect(),
-            flown: flown.filter(|flown| flown.running > 0).collect(),
-            reading: reading.filter(|(_, rate)| *rate > 0.0).collect(),
+            flown: in_flight.filter(|load| load.running > 0).collect(),
+            reading: prompt_demand.filter(|(_, rate)| *rate > 0.0).collect(),
             readings: shared.recall().told(now),
             windows: shared.tally.windows(),
             suspicions: self.quarantine.suspicions(now),
@@ -95,7 +96,8 @@
         }
     }
 
-    /// Takes in what another entry says of itself, and returns what it is told: also what it has in an older state.
+    /// Applies the state of another entry and returns the reply, which includes the registrations if the other entry's are
+    /// older.
     pub(super) fn handle_state(&mut self, now: Instant, shared: &Shared, state: State) -> Reply {
         let theirs = (state.endpoints, state.endpoints_known);
         let is_brief = state.is_brief();
@@ -111,7 +113,7 @@
         }
     }
 
-    /// Takes in another entry's answer.
+    /// Applies another entry's reply, and its registrations if they are newer than this entry's.
     pub(super) fn handle_reply(&mut self, now: Instant, shared: &Shared, reply: Reply) {
         let Reply { state, endpoints } = reply;
         let from = state.entry.clone();
@@ -126,9 +128,9 @@
         self.apply_state(now, shared, state);
     }
 
-    /// Takes in which shares of limits another entry, or another zone, uses.
+    /// Applies the demand and the limit shares of another entry or another zone.
     fn apply_peer_uses(&mut self, now: Instant, shared: &Shared, state: &State) {
-        let keeps = self.keeping.keeper == Keeper::Own;
+        let is_keeper = self.keeping.keeper == Keeper::Own;
         let is_near = state.zone == shared.settings.zone;
         for used in &state.uses {
             let Some(organisation) = self.organisations.get_mut(&used.organisation) else {
@@ -137,45 +139,46 @@
             match (state.stage == Stage::Keeps, is_near) {
                 (false, _) => organisation.share.heard(now, &state.entry, used.demand, used.share),
                 (true, false) => organisation.zone_share.heard(now, &state.zone, used.demand, used.share),
-                // A keeper is told nothing by one before it that does not know yet.
-                (true, true) if keeps => {}
+                // A keeper ignores its predecessor, which does not know yet that it was replaced.
+                (true, true) if is_keeper => {}
                 (true, true) => organisation.zone_share.adopt(used.share),
             }
         }
     }
 
+    /// Applies the state of another entry.
     fn apply_state(&mut self, now: Instant, shared: &Shared, state: State) {
         if state.entry == shared.settings.name {
             return;
         }
         self.members.told(now, &state.zones, &state.members);
         self.apply_peer_uses(now, shared, &state);
-        let before = self.peer_lease_notice.map(|(word, _)| word);
-        if let Some(word) = state
+        let before = self.peer_lease_notice.map(|(notice, _)| notice);
+        if let Some(notice) = state
             .lease
-            .filter(|word| before.is_none_or(|before| word.replaces(before)))
+            .filter(|notice| before.is_none_or(|before| notice.replaces(before)))
         {
-            self.peer_lease_notice = Some((word, now));
+            self.peer_lease_notice = Some((notice, now));
         }
         let was_holder = self
             .duty_holder
             .as_ref()
             .is_some_and(|holder| holder.entry == state.entry);
-        let said = if state.holds || was_holder {
+        let reported = if state.holds || was_holder {
             Some(DutyHolder {
                 entry: state.entry.clone(),
                 at: now,
                 holds: state.holds,
             })
         } else {
-            let told = state.holder.clone();
-            told.map(|(entry, age)| DutyHolder {
+            let relayed = state.holder.clone();
+            relayed.map(|(entry, age)| DutyHolder {
                 entry,
                 at: now - Duration::from_millis(age.into()),
                 holds: true,
             })
         };
-        if let Some(holder) = said.filter(|holder| holder.entry != shared.settings.name)
+        if let Some(holder) = reported.filter(|holder| holder.entry != shared.settings.name)
             && self.duty_holder.as_ref().is_none_or(|before| before.at < holder.at)
         {
             self.duty_holder = Some(holder);
@@ -183,7 +186,7 @@
         self.apply_peer_rates(now, shared, &state);
         self.apply_peer_rollouts(now, shared, &state);
         self.record_peer_document(now, shared, &state);
-        // Who has the same, and knows it to be newer, makes this entry's knowledge as fresh as its own.
+        // If the other entry has the same data and confirmed it more recently, its confirmation applies here too.
         if state.document == self.document.version {
             confirm(&mut self.document_freshness, now, state.document_known);
         }
--- a/bergamotshift-forward/src/control/zone.rs
+++ b/bergamotshift-forward/src/control/zone.rs
@@ -1,4 +1,4 @@
-//! What is known of the zones: the work under way at their endpoints, and whether they are heard.
+//! Tracks zones: the requests in flight at their endpoints, and whether the zones can be reached.
 
 use core::sync::atomic::Ordering;
 use core::time::Duration;
@@ -14,12 +14,12 @@
 use crate::peers::Stage;
 use crate::view::Shared;
 
-/// How long the keepers of zones hear nothing of a zone until its endpoints are left for last; they ask one another every
-/// quarter of a second.
+/// Time without updates from a zone after which its endpoints are used only as a last resort. Keepers of zones exchange
+/// states every quarter of a second.
 const ZONE_SILENCE_TIMEOUT: Duration = Duration::from_millis(900);
 
 impl Inner {
-    /// Works out whether this entry is cut off from endpoints that its callers need.
+    /// Updates whether this entry is cut off from endpoints that its callers need.
     pub(super) fn update_stranded(&self, now: Instant, shared: &Shared) {
         let zone = &shared.settings.zone;
         let lacks = |service: &name::Service| {
@@ -37,21 +37,21 @@
         }
     }
 
-    /// Sums up what the other entries have under way at each endpoint.
+    /// Sums up the requests that other entries have in flight at each endpoint.
     ///
-    /// The keepers of the other zones tell that of their whole zones. The entries of the own zone tell their own; what
-    /// they tell this one as the keeper is newer, and counted apart.
+    /// Keepers of other zones report for their whole zones, and entries of this zone report their own requests. Reports that
+    /// this entry receives as the keeper are newer and counted separately, in the ledger.
     pub(super) fn update_in_flight(&self, now: Instant, shared: &Shared) {
         let is_large = self.members.is_large();
         let ledger = shared.ledger();
         let mut sums: HashMap<u64, (u32, u64)> = HashMap::new();
         for (entry, state) in self.members.heard(now, STATE_TTL) {
             let is_near = state.zone == shared.settings.zone;
-            let counts = !is_large || (state.stage == Stage::Keeps) != is_near && !ledger.contains(entry);
-            for flown in state.flown.iter().filter(|_| counts) {
-                let sum = sums.entry(flown.endpoint).or_default();
-                sum.0 += flown.running;
-                sum.1 += flown.unread;
+            let is_counted = !is_large || (state.stage == Stage::Keeps) != is_near && !ledger.contains(entry);
+            for load in state.flown.iter().filter(|_| is_counted) {
+                let sum = sums.entry(load.endpoint).or_default();
+                sum.0 += load.running;
+                sum.1 += load.unread;
             }
         }
         let silent = self.silent_zones(now, shared);
@@ -63,11 +63,12 @@
         }
     }
 
-    /// Returns the zones of which nothing was heard just now, as the keeper of a zone sees it.
+    /// Returns the zones without recent updates, if this entry is the keeper of its zone; otherwise none.
     ///
-    /// Failure: a zone is cut off without a reset, and requests go on to its endpoints over connections that stand. Symptom:
-    /// streams hang until their callers leave. The keepers hear one another four times a second, so a zone whose keeper was
-    /// not heard in three rounds may be cut off; its endpoints are left for last until it is heard again.
+    /// A network partition may not reset connections, so requests to the other zone would continue over established
+    /// connections and streams would hang until their callers leave. Keepers exchange states four times a second. A zone
+    /// whose keeper was not heard for three rounds may be cut off, so its endpoints are used only as a last resort until an
+    /// update arrives.
     fn silent_zones(&self, now: Instant, shared: &Shared) -> BTreeSet<name::Zone> {
         if self.keeping.keeper != Keeper::Own {
             return BTreeSet::new();
