--- a/bergamotshift-forward/src/control/behind.rs
+++ b/bergamotshift-forward/src/control/behind.rs
@@ -10,14 +10,14 @@
 use super::Control;
 use super::inner::Inner;
 use super::talk::confirm;
-use super::talk::known;
+use super::talk::freshness;
 use crate::document::Mismatch;
 use crate::observe::Topic;
 use crate::peers::Holder;
 use crate::peers::Offer;
 use crate::peers::Source;
 use crate::peers::State;
-use crate::peers::update::Arrival;
+use crate::peers::update::Download;
 use crate::view::Shared;
 
 /// Time after which an entry that lacks the newest document reports itself as not ready, so that its callers go to other
@@ -30,7 +30,7 @@
     pub fn document_source(&self) -> Source {
         let now = self.now();
         let inner = self.inner.borrow();
-        inner.members.source(now, inner.document.version)
+        inner.members.document_source(now, inner.document.version)
     }
 
     /// Returns for how long this entry has known that another entry has a newer document; `None` if none has.
@@ -56,7 +56,10 @@
     /// Excludes an entry that did not provide its document from further fetches for `delay`.
     pub fn defer_holder(&self, holder: &Holder, delay: Duration) {
         let now = self.now();
-        self.inner.borrow_mut().members.spare(now, &holder.entry, delay);
+        self.inner
+            .borrow_mut()
+            .members
+            .defer_download(now, &holder.entry, delay);
     }
 
     /// Returns the update for another entry that has `version` of the document.
@@ -76,7 +79,7 @@
             return Offer::Nothing;
         };
         Offer::Update {
-            known: known(&inner.document_freshness, now),
+            freshness: freshness(&inner.document_checkpoint, now),
             encoded,
             permit,
         }
@@ -87,7 +90,7 @@
     /// # Errors
     ///
     /// Returns [`Mismatch`] if the update does not start from the version in force.
-    pub fn apply_update(&self, holder: &Holder, arrival: Arrival, took: Duration) -> Result<(), Mismatch> {
+    pub fn apply_update(&self, holder: &Holder, arrival: Download, took: Duration) -> Result<(), Mismatch> {
         let now = self.now();
         let mut inner = self.inner.borrow_mut();
         let (document, steps) = arrival.update.apply(&inner.document)?;
@@ -101,7 +104,7 @@
         if inner.document.version == version {
             // Without the sender's freshness, this entry would query the store at once for changes since its own last
             // read, and the store would return the whole document again.
-            confirm(&mut inner.document_freshness, now - took, arrival.known);
+            confirm(&mut inner.document_checkpoint, now - took, arrival.freshness);
         }
         Ok(())
     }
@@ -119,7 +122,7 @@
             shared.metrics.behind.set(1);
             info!(shared.log.always(), "document behind"; "version" => self.document.version,
                 "newest" => state.document, "entry" => state.entry.as_str(),
-                "known_age_ms" => state.document_known.map(|known| known.age_ms));
+                "known_age_ms" => state.document_freshness.map(|known| known.age_ms));
         }
     }
 
--- a/bergamotshift-forward/src/control/copies.rs
+++ b/bergamotshift-forward/src/control/copies.rs
@@ -33,7 +33,7 @@
         // All differences together must be smaller than the document; older ones are useless.
         let mut total = 0;
         let useful = self.steps.iter().rev().take(MAX_STEPS).take_while(|step| {
-            total += step.written();
+            total += step.changed_routes();
             total < document.routes.len().max(1)
         });
         let surplus = self.steps.len() - useful.count();
--- a/bergamotshift-forward/src/control/inner.rs
+++ b/bergamotshift-forward/src/control/inner.rs
@@ -15,7 +15,7 @@
 use bergamotshift_limit::retry;
 use bergamotshift_limit::retry::Budget;
 use bergamotshift_rollout::Evidence;
-use bergamotshift_rollout::Standing;
+use bergamotshift_rollout::Tracker;
 use rand::Rng;
 use slog::info;
 
@@ -27,10 +27,10 @@
 use crate::endpoint::Directory;
 use crate::endpoint::Endpoint;
 use crate::endpoint::Event;
-use crate::follow::Freshness;
+use crate::follow::Checkpoint;
 use crate::limits::Demand;
-use crate::limits::Keeping;
-use crate::limits::Timing;
+use crate::limits::Keepers;
+use crate::limits::SharePolicy;
 use crate::limits::granter;
 use crate::observe::Topic;
 use crate::peers::Members;
@@ -83,7 +83,7 @@
     /// Document in force.
     pub(super) document: Arc<Document>,
     /// Freshness of the document.
-    pub(super) document_freshness: Freshness,
+    pub(super) document_checkpoint: Checkpoint,
     /// Time since which another entry is known to have a newer document; `None` if none has.
     pub(super) behind_since: Option<Instant>,
     /// Document updates for other entries.
@@ -91,7 +91,7 @@
     /// Known endpoints.
     pub(super) directory: Directory,
     /// Freshness of the registrations.
-    pub(super) registrations_freshness: Freshness,
+    pub(super) registrations_checkpoint: Checkpoint,
     /// Limits and demand by organisation.
     pub(super) organisations: BTreeMap<name::Organisation, Organisation>,
     /// State by service.
@@ -103,7 +103,7 @@
     /// Usage counted by each process of each other entry.
     pub(super) peer_usage: BTreeMap<(name::Entry, u64), Windows>,
     /// Rollout state that determines which versions of each service may receive requests.
-    pub(super) standings: BTreeMap<name::Service, Standing>,
+    pub(super) trackers: BTreeMap<name::Service, Tracker>,
     /// Share of requests for each service's new version in the last view, in thousandths.
     pub(super) shares: BTreeMap<name::Service, u16>,
     /// Evidence on old and new versions collected by each process of each other entry.
@@ -125,7 +125,7 @@
     /// Random identifier of this process.
     pub(super) life: u64,
     /// Keeper and deputy of the zone.
-    pub(super) keeping: Keeping,
+    pub(super) keepers: Keepers,
     /// Entries that grant requests to endpoints with an announced rate.
     pub(super) granters: Arc<[granter::Candidate]>,
     /// Time of the last tick.
@@ -140,20 +140,20 @@
             shared.settings.zone.clone(),
             core_share(shared),
         );
-        members.start(now);
+        members.set_started(now);
         Self {
             document: Arc::default(),
-            document_freshness: Freshness::default(),
+            document_checkpoint: Checkpoint::default(),
             behind_since: None,
             updates: UpdateCache::default(),
             directory: Directory::default(),
-            registrations_freshness: Freshness::default(),
+            registrations_checkpoint: Checkpoint::default(),
             organisations: BTreeMap::new(),
             services: BTreeMap::new(),
             members,
             quarantine: Quarantine::new(quarantine::Settings::default()),
             peer_usage: BTreeMap::new(),
-            standings: BTreeMap::new(),
+            trackers: BTreeMap::new(),
             shares: BTreeMap::new(),
             peer_evidence: BTreeMap::new(),
             holds_duties: false,
@@ -164,7 +164,7 @@
             busy_before_start: None,
             failed_calls: BTreeSet::new(),
             life: random::generator().next_u64(),
-            keeping: Keeping::default(),
+            keepers: Keepers::default(),
             granters: Arc::default(),
             last_tick: now,
         }
@@ -207,7 +207,7 @@
         // progress.
         self.behind_since = self.behind_since.map(|_since| now);
         self.update_lag(now, shared);
-        self.update_parts(now, shared);
+        self.update_quotas(now, shared);
         self.restore_limits(now, shared);
         self.publish(shared);
     }
@@ -223,7 +223,7 @@
         let after = self.directory.endpoints().count();
         if let Some((logger, left_out)) = shared.log.room(now, Topic::Belief) {
             info!(logger, "endpoints changed"; "before" => before, "after" => after, "from" => from,
-                "cursor" => self.registrations_freshness.cursor().0, "left_out" => left_out);
+                "cursor" => self.registrations_checkpoint.cursor().0, "left_out" => left_out);
         }
         self.publish(shared);
     }
@@ -231,13 +231,13 @@
     /// Handles endpoints that stopped accepting requests.
     fn handle_leaving(&mut self, now: Instant, shared: &Shared, leaving: &[Arc<Endpoint>], from: &str) {
         for endpoint in leaving {
-            self.quarantine.announce(now, victim(endpoint));
+            self.quarantine.announce(now, instance(endpoint));
             if let Some((logger, left_out)) = shared.log.room(now, Topic::Belief) {
                 info!(logger, "endpoint leaves"; "endpoint" => endpoint.registration.id.as_str(),
                     "service" => endpoint.registration.service.as_str(),
                     "zone" => endpoint.registration.zone.as_str(), "from" => from,
                     "leaves_in_ms" => endpoint.registration.leaves_in.map(|left| left.as_millis() as u64),
-                    "cursor" => self.registrations_freshness.cursor().0, "left_out" => left_out);
+                    "cursor" => self.registrations_checkpoint.cursor().0, "left_out" => left_out);
             }
         }
         if !leaving.is_empty() {
@@ -249,11 +249,11 @@
     pub(super) fn tick(&mut self, now: Instant, shared: &Shared) {
         let span = now.since(self.last_tick);
         self.last_tick = now;
-        let timing = Timing::default();
+        let policy = SharePolicy::default();
         for organisation in self.organisations.values_mut() {
             organisation.demand.note(
-                timing.memory,
-                organisation.account.take_asked() + organisation.zone_account.take_asked(),
+                policy.averaging_window,
+                organisation.account.take_requested() + organisation.zone_account.take_requested(),
                 span,
             );
         }
@@ -261,7 +261,7 @@
         // than the platform allows when endpoints fail, and overload the remaining endpoints.
         let slack = retry_slack(shared, self.members.count());
         for service in self.services.values_mut() {
-            service.budget.bound(slack);
+            service.budget.set_burst(slack);
             service
                 .prompt_demand
                 .note(PROMPT_DEMAND_WINDOW, service.requested_tokens.swap(0, Relaxed), span);
@@ -276,15 +276,15 @@
         }
         if !self.directory.is_settled() {
             // A recent read by another entry also proves which registrations are missing, even if nothing changed.
-            let age = self.registrations_freshness.age(now).unwrap_or(STATE_TTL);
+            let age = self.registrations_checkpoint.age(now).unwrap_or(STATE_TTL);
             let leaving = self.directory.settle(now, now - age);
             self.handle_leaving(now, shared, &leaving, "time");
         }
-        self.update_keeping(now, shared);
+        self.update_keepers(now, shared);
         self.update_granters(now, shared);
         self.update_stranded(now, shared);
         self.update_lag(now, shared);
-        self.update_parts(now, shared);
+        self.update_quotas(now, shared);
         self.apply_shares(now, shared);
         shared.ledger().expire(now);
         self.update_in_flight(now, shared);
@@ -296,7 +296,7 @@
         shared
             .metrics
             .peers
-            .set(self.members.heard(now, STATE_TTL).count() as i64);
+            .set(self.members.recent_states(now, STATE_TTL).count() as i64);
         self.quarantine.expire(now);
     }
 
@@ -308,14 +308,16 @@
             .map_or(0.0, |state| state.prompt_demand.get());
         // In a large fleet each entry is heard from only every other second. With the short TTL of small fleets, a quarter of
         // the demand would be left out.
-        let others = self.members.heard(now, self.state_ttl());
-        let demands = others.flat_map(|(_, state)| state.reading.iter().filter(|(name, _)| name == service));
+        let others = self.members.recent_states(now, self.state_ttl());
+        let demands = others.flat_map(|(_, state)| state.prompt_rates.iter().filter(|(name, _)| name == service));
         own + demands.map(|(_, rate)| rate).sum::<f64>()
     }
 
     /// Returns whether another entry recently reported that it reaches the store.
     pub(super) fn others_reach_store(&self, now: Instant) -> bool {
-        self.members.heard(now, STATE_TTL).any(|(_, state)| state.reaches_store)
+        self.members
+            .recent_states(now, STATE_TTL)
+            .any(|(_, state)| state.reaches_store)
     }
 
     /// Returns whether another entry is known to hold the duties; in a large fleet, from reports that other entries relay.
@@ -360,7 +362,7 @@
 }
 
 /// Returns the quarantine's key for an endpoint.
-pub(super) fn victim(endpoint: &Endpoint) -> quarantine::Victim {
+pub(super) fn instance(endpoint: &Endpoint) -> quarantine::Instance {
     let vm = name::Vm::new(&endpoint.registration.id);
-    quarantine::Victim::new(vm, Incarnation::new(endpoint.registration.born))
+    quarantine::Instance::new(vm, Incarnation::new(endpoint.registration.born))
 }
--- a/bergamotshift-forward/src/control/mod.rs
+++ b/bergamotshift-forward/src/control/mod.rs
@@ -27,21 +27,21 @@
 use tokio::sync::oneshot;
 
 use self::inner::Inner;
-use self::inner::victim;
+use self::inner::instance;
 pub use self::rollouts::Rollout;
 use crate::document::Document;
 use crate::endpoint::Change;
 use crate::endpoint::Endpoint;
 use crate::endpoint::Event;
-use crate::limits::Keeping;
+use crate::limits::Keepers;
 use crate::observe::Topic;
 use crate::outside::Cursor;
-use crate::outside::Written;
-use crate::peers::Listed;
+use crate::outside::Instructions;
+use crate::peers::Contact;
 use crate::peers::Offer;
 use crate::peers::Reply;
 use crate::peers::State;
-use crate::peers::update::UPLOADS;
+use crate::peers::update::MAX_UPLOADS;
 use crate::view::Shared;
 
 /// A query from another entry, with the channel for its answer.
@@ -89,7 +89,7 @@
             queries,
             inbox: Rc::new(RefCell::new(Some(inbox))),
             newer_document: Rc::default(),
-            uploads: Arc::new(Semaphore::new(UPLOADS)),
+            uploads: Arc::new(Semaphore::new(MAX_UPLOADS)),
         }
     }
 
@@ -142,25 +142,25 @@
     pub fn document_cursor(&self) -> Option<Cursor> {
         let inner = self.inner.borrow();
         inner
-            .document_freshness
+            .document_checkpoint
             .age(self.now())
-            .map(|_| inner.document_freshness.cursor())
+            .map(|_| inner.document_checkpoint.cursor())
     }
 
     /// Returns the time until this entry has to read the document itself.
     pub fn document_due(&self, interval: Duration) -> Duration {
         let now = self.now();
         let inner = self.inner.borrow();
-        inner.document_freshness.due(now, interval, inner.rank(now))
+        inner.document_checkpoint.due(now, interval, inner.rank(now))
     }
 
     /// Applies the document and the rollout orders that were read from the store.
-    pub fn apply_stored_document(&self, written: Written, cursor: Cursor) {
+    pub fn apply_stored_document(&self, written: Instructions, cursor: Cursor) {
         let now = self.now();
         let mut inner = self.inner.borrow_mut();
-        inner.document_freshness.confirm(now, cursor, Duration::ZERO);
+        inner.document_checkpoint.confirm(now, cursor, Duration::ZERO);
         inner.apply_stored_rollouts(now, &self.shared, written.rollouts);
-        for (service, cause) in &written.unread {
+        for (service, cause) in &written.unreadable {
             self.shared.metrics.unread.inc();
             if let Some((logger, left_out)) = self.shared.log.room(now, Topic::Belief) {
                 info!(logger, "rollout not read"; "service" => service.as_str(), "cause" => %cause,
@@ -176,16 +176,16 @@
     pub fn registrations_cursor(&self) -> Option<Cursor> {
         let inner = self.inner.borrow();
         inner
-            .registrations_freshness
+            .registrations_checkpoint
             .age(self.now())
-            .map(|_| inner.registrations_freshness.cursor())
+            .map(|_| inner.registrations_checkpoint.cursor())
     }
 
     /// Returns the time until this entry has to read the registrations itself.
     pub fn registrations_due(&self, interval: Duration) -> Duration {
         let now = self.now();
         let inner = self.inner.borrow();
-        inner.registrations_freshness.due(now, interval, inner.rank(now))
+        inner.registrations_checkpoint.due(now, interval, inner.rank(now))
     }
 
     /// Applies registrations that were read from the store.
@@ -193,11 +193,11 @@
         let now = self.now();
         let mut inner = self.inner.borrow_mut();
         // Another entry may have sent newer changes while this answer was in flight.
-        let is_older = cursor < inner.registrations_freshness.cursor();
+        let is_older = cursor < inner.registrations_checkpoint.cursor();
         if is_older && matches!(event, Event::Listed(_)) {
             return;
         }
-        inner.registrations_freshness.confirm(now, cursor, Duration::ZERO);
+        inner.registrations_checkpoint.confirm(now, cursor, Duration::ZERO);
         inner.apply_endpoints(now, &self.shared, event, "store");
     }
 
@@ -220,7 +220,7 @@
         let now = self.now();
         let mut inner = self.inner.borrow_mut();
         // Missing registrations are inconclusive only if the store itself is unavailable.
-        if inner.members.misses_store(now, inner::STATE_TTL) {
+        if inner.members.suspects_store_outage(now, inner::STATE_TTL) {
             inner.apply_endpoints(now, &self.shared, Event::StoreFailed, "store");
         }
     }
@@ -229,24 +229,24 @@
     pub fn endpoint_died(&self, endpoint: u64, fingerprint: Fingerprint) {
         let now = self.now();
         let mut inner = self.inner.borrow_mut();
-        let Some(victim) = inner.directory.by_hash(endpoint).map(|endpoint| victim(endpoint)) else {
+        let Some(instance) = inner.directory.by_hash(endpoint).map(|endpoint| instance(endpoint)) else {
             return;
         };
-        info!(self.shared.log.always(), "endpoint ended with a request"; "endpoint" => victim.vm.as_str(),
+        info!(self.shared.log.always(), "endpoint ended with a request"; "endpoint" => instance.vm.as_str(),
             "fingerprint" => format!("{:032x}", fingerprint.get()));
         let death = quarantine::Death {
-            victim,
+            instance,
             announced: false,
             running: vec![fingerprint],
         };
-        inner.quarantine.died(now, death);
+        inner.quarantine.record_death(now, death);
         inner.publish(&self.shared);
     }
 
     /// Adds an entry that the list of entries contains.
-    pub fn add_listed(&self, listed: &Listed) {
+    pub fn add_listed(&self, listed: &Contact) {
         let now = self.now();
-        self.inner.borrow_mut().members.listed(now, listed);
+        self.inner.borrow_mut().members.add_contact(now, listed);
     }
 
     /// Records that the list of entries was read. `busy` contains the organisations that the entries stored as busy; it is
@@ -281,7 +281,9 @@
         let now = self.now();
         let mut inner = self.inner.borrow_mut();
         let holder = inner.duty_holder.as_ref().map(|holder| holder.entry.clone());
-        inner.members.hurry(self.shared.rollout_evidence.take_urgent());
+        inner
+            .members
+            .set_urgent(self.shared.rollout_evidence.take_canary_failed());
         inner.members.due(now, limit, holder.as_ref())
     }
 
@@ -291,8 +293,8 @@
     }
 
     /// Returns the keeper and the deputy of the zone.
-    pub fn keeping(&self) -> Keeping {
-        self.inner.borrow().keeping
+    pub fn keeping(&self) -> Keepers {
+        self.inner.borrow().keepers
     }
 
     /// Returns the number of known entries, including this one.
@@ -308,7 +310,7 @@
     /// Records that another entry did not answer; `is_silent` tells a timeout from a refused connection.
     pub fn peer_failed(&self, entry: &name::Entry, is_silent: bool) {
         let now = self.now();
-        self.inner.borrow_mut().members.failed(now, entry, is_silent);
+        self.inner.borrow_mut().members.record_failure(now, entry, is_silent);
     }
 
     /// Returns whether another entry receives the brief form of this entry's state.
--- a/bergamotshift-forward/src/control/organisation.rs
+++ b/bergamotshift-forward/src/control/organisation.rs
@@ -11,12 +11,12 @@
 use crate::document::Limit;
 use crate::limits::Account;
 use crate::limits::Demand;
+use crate::limits::INITIAL_DEBT_CALM;
 use crate::limits::Keeper;
-use crate::limits::Keeping;
-use crate::limits::Part;
+use crate::limits::Keepers;
+use crate::limits::Quota;
 use crate::limits::Share;
-use crate::limits::Timing;
-use crate::limits::USED_CALM;
+use crate::limits::SharePolicy;
 use crate::limits::keeper;
 use crate::observe::Topic;
 use crate::view::Shared;
@@ -40,7 +40,7 @@
 /// Part of the burst that a keeper which starts counts as already used. Only one request per zone can overdraw, and a killed
 /// process is back after a second, so another half burst in one window stays within the 10 % by which a limit may be
 /// exceeded.
-const KEEPER_USED_BURSTS: f64 = 0.5;
+const KEEPER_INITIAL_DEBT: f64 = 0.5;
 
 /// Limit state of one organisation.
 #[derive(Debug, Default)]
@@ -58,63 +58,63 @@
     /// Time at which its known demand was last above the low-demand threshold.
     pub(super) last_busy: Option<Instant>,
     /// Part of the limit that this entry may use.
-    part: Option<Part>,
+    quota: Option<Quota>,
 }
 
 impl Organisation {
     /// Updates this entry's part of the limit among `members` entries; `slack` is the number of units that all entries
     /// together may admit beyond the burst.
-    fn update_part(&mut self, now: Instant, limit: Option<Limit>, slack: f64, members: usize) {
-        let timing = Timing::default();
-        let fraction = self.share.next(now, &timing, self.demand, members);
-        self.part = limit.map(|limit| {
-            if self.share.asked(now, &timing, self.demand) >= limit.rate * timing.calm {
+    fn update_quota(&mut self, now: Instant, limit: Option<Limit>, slack: f64, members: usize) {
+        let policy = SharePolicy::default();
+        let fraction = self.share.update(now, &policy, self.demand, members);
+        self.quota = limit.map(|limit| {
+            if self.share.total_demand(now, &policy, self.demand) >= limit.rate * policy.calm_fraction {
                 self.last_busy = Some(now);
             }
-            let calm = self.share.is_calm(now, &timing, self.demand, members, limit.rate);
-            total(limit, slack).times(fraction, fraction.max(min_burst_fraction(calm, members)))
+            let calm = self.share.is_calm(now, &policy, self.demand, members, limit.rate);
+            total(limit, slack).scaled(fraction, fraction.max(min_burst_fraction(calm, members)))
         });
-        self.account.set(now, self.part);
+        self.account.set(now, self.quota);
     }
 
     /// Credits part of the burst because the organisation was far below its limit before this process started.
-    fn relieve_calm(&self, now: Instant) {
-        if let Some(part) = self.part {
-            self.account.relieve(now, part, USED_CALM);
+    fn cap_calm_debt(&self, now: Instant) {
+        if let Some(quota) = self.quota {
+            self.account.cap_debt(now, quota, INITIAL_DEBT_CALM);
         }
     }
 
     /// Updates the part of the limit that this entry grants as the keeper of its zone or as its deputy, among `zones` zones.
-    fn update_zone_part(&mut self, now: Instant, limit: Option<Limit>, slack: f64, zones: usize, keeping: Keeping) {
-        let timing = Timing::default();
-        let is_keeper = keeping.keeper == Keeper::Own;
-        if !is_keeper && !keeping.is_deputy {
+    fn update_zone_quota(&mut self, now: Instant, limit: Option<Limit>, slack: f64, zones: usize, keepers: Keepers) {
+        let policy = SharePolicy::default();
+        let is_keeper = keepers.keeper == Keeper::Own;
+        if !is_keeper && !keepers.is_deputy {
             return;
         }
         let fraction = if is_keeper {
-            self.zone_share.next(now, &timing, self.demand, zones)
+            self.zone_share.update(now, &policy, self.demand, zones)
         } else {
-            self.zone_share.standby(zones) * keeper::DEPUTY
+            self.zone_share.current_or_initial(zones) * keeper::DEPUTY_SHARE
         };
-        let part = limit.map(|limit| {
-            let calm = is_keeper && self.zone_share.is_calm(now, &timing, self.demand, zones, limit.rate);
-            let zone_total = Part {
-                used: KEEPER_USED_BURSTS,
+        let quota = limit.map(|limit| {
+            let calm = is_keeper && self.zone_share.is_calm(now, &policy, self.demand, zones, limit.rate);
+            let zone_total = Quota {
+                initial_debt: KEEPER_INITIAL_DEBT,
                 ..total(limit, slack)
             };
-            zone_total.times(fraction, fraction.max(min_burst_fraction(calm, zones)))
+            zone_total.scaled(fraction, fraction.max(min_burst_fraction(calm, zones)))
         });
-        self.zone_account.set(now, part);
+        self.zone_account.set(now, quota);
     }
 }
 
 /// Returns the part that covers a whole limit, including the allowed excess.
-fn total(limit: Limit, slack: f64) -> Part {
-    Part {
+fn total(limit: Limit, slack: f64) -> Quota {
+    Quota {
         rate: limit.rate,
         burst: limit.burst + slack,
-        base: limit.burst + slack,
-        ..Part::default()
+        share_burst: limit.burst + slack,
+        ..Quota::default()
     }
 }
 
@@ -155,34 +155,34 @@
             if busy.contains(&declared.name) {
                 organisation.last_busy = Some(now);
             } else {
-                organisation.relieve_calm(now);
+                organisation.cap_calm_debt(now);
             }
         }
     }
 
     /// Updates the keeper and the deputy of the zone.
-    pub(super) fn update_keeping(&mut self, now: Instant, shared: &Shared) {
+    pub(super) fn update_keepers(&mut self, now: Instant, shared: &Shared) {
         if shared.is_stopping() {
-            self.members.stop();
+            self.members.set_stopping();
         }
-        let keeping = self.members.keeping(now);
-        if keeping == self.keeping {
+        let keepers = self.members.keeping(now);
+        if keepers == self.keepers {
             return;
         }
         if let Some((logger, left_out)) = shared.log.room(now, Topic::Belief) {
-            info!(logger, "zone kept"; "keeper" => ?keeping.keeper, "deputy" => ?keeping.deputy,
-                "is_deputy" => keeping.is_deputy, "members" => self.members.count(), "left_out" => left_out);
+            info!(logger, "zone kept"; "keeper" => ?keepers.keeper, "deputy" => ?keepers.deputy,
+                "is_deputy" => keepers.is_deputy, "members" => self.members.count(), "left_out" => left_out);
         }
-        let is_keeper = keeping.keeper == Keeper::Own;
+        let is_keeper = keepers.keeper == Keeper::Own;
         shared.metrics.keeper.set(i64::from(is_keeper));
-        self.keeping = keeping;
+        self.keepers = keepers;
         // The accounts are updated before the view is published, as grants are taken from them from then on.
-        self.update_parts(now, shared);
+        self.update_quotas(now, shared);
         self.publish(shared);
     }
 
     /// Updates this entry's part of each limit.
-    pub(super) fn update_parts(&mut self, now: Instant, shared: &Shared) {
+    pub(super) fn update_quotas(&mut self, now: Instant, shared: &Shared) {
         let known = self.members.count();
         let members = if self.entries_listed {
             known
@@ -197,9 +197,9 @@
             let organisation = self.organisations.entry(declared.name.clone()).or_default();
             let limit = declared.limit.filter(|limit| limit.rate > 0.0);
             if is_large {
-                organisation.update_zone_part(now, limit, slack, zones, self.keeping);
+                organisation.update_zone_quota(now, limit, slack, zones, self.keepers);
             } else {
-                organisation.update_part(now, limit, slack, members);
+                organisation.update_quota(now, limit, slack, members);
             }
         }
     }
--- a/bergamotshift-forward/src/control/publish.rs
+++ b/bergamotshift-forward/src/control/publish.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 
 use bergamotshift_core::prelude::*;
-use bergamotshift_rollout::standing::Admission;
+use bergamotshift_rollout::tracker::Admission;
 
 use super::inner::Inner;
 use super::inner::ServiceState;
@@ -69,7 +69,7 @@
         }
         let memories = document.services.iter().filter_map(|service| service.engine);
         if let Some(memory) = memories.map(|engine| engine.memory).min() {
-            shared.recall().bound(memory);
+            shared.recall().set_memory(memory);
         }
         let accounts = self.organisations.iter();
         let view = View {
@@ -78,7 +78,7 @@
             by_hash,
             accounts: accounts.map(|(name, one)| (name.clone(), one.accounts())).collect(),
             suspects: self.quarantine.table(),
-            keeping: self.keeping,
+            keeping: self.keepers,
             granters: Arc::clone(&self.granters),
             knows_endpoints: self.directory.endpoints().next().is_some(),
             knows_entries: self.entries_listed,
--- a/bergamotshift-forward/src/control/rates.rs
+++ b/bergamotshift-forward/src/control/rates.rs
@@ -19,7 +19,7 @@
     /// Returns the rates that endpoints announced in answers to this entry.
     pub(super) fn announced_rates(&self, now: Instant) -> Vec<Rate> {
         let rate = |endpoint: &Arc<Endpoint>| {
-            let announced = endpoint.signals.throttle.first_hand()?;
+            let announced = endpoint.signals.throttle.direct_limit()?;
             let is_current = announced.rate.is_some() || now.since(announced.at) < WITHDRAWAL_ANNOUNCEMENT;
             is_current.then(|| Rate::new(endpoint, announced, now))
         };
@@ -32,7 +32,12 @@
             let Some(endpoint) = self.directory.by_hash(rate.endpoint) else {
                 continue;
             };
-            shared.apply_rate(now, endpoint, rate.word(now), Origin::Entry(state.entry.as_str()));
+            shared.apply_rate(
+                now,
+                endpoint,
+                rate.received_at(now),
+                Origin::Entry(state.entry.as_str()),
+            );
         }
     }
 
--- a/bergamotshift-forward/src/control/rollouts.rs
+++ b/bergamotshift-forward/src/control/rollouts.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 
 use bergamotshift_core::prelude::*;
-use bergamotshift_rollout::directive::WHOLE;
+use bergamotshift_rollout::directive::FULL_SHARE;
 use bergamotshift_rollout::prelude::*;
 use slog::info;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
@@ -20,7 +20,7 @@
 use crate::view::Shared;
 
 /// Marks the share of a version whose order has ended; larger than any real share.
-const ENDED: u16 = WHOLE + 1;
+const ENDED: u16 = FULL_SHARE + 1;
 
 /// State of a rollout order that the holder of the duties needs to direct it.
 #[derive(Clone, Debug)]
@@ -30,7 +30,7 @@
     /// Last directive.
     pub directive: Option<Directive>,
     /// Input of the director.
-    pub observation: Sight,
+    pub observation: Observation,
 }
 
 impl Control {
@@ -56,8 +56,8 @@
     pub fn rollouts(&self) -> Vec<Rollout> {
         let now = self.now();
         let inner = self.inner.borrow();
-        let open = inner.standings.iter().filter(|(_, standing)| standing.is_open());
-        open.filter_map(|(service, standing)| inner.rollout(now, &self.shared, service, standing))
+        let open = inner.trackers.iter().filter(|(_, tracker)| tracker.is_open());
+        open.filter_map(|(service, tracker)| inner.rollout(now, &self.shared, service, tracker))
             .collect()
     }
 
@@ -65,8 +65,8 @@
     pub fn apply_directive(&self, service: &name::Service, directive: Directive) {
         let now = self.now();
         let mut inner = self.inner.borrow_mut();
-        let standing = inner.standings.get_mut(service);
-        if standing.is_some_and(|standing| standing.direct(now, directive)) {
+        let tracker = inner.trackers.get_mut(service);
+        if tracker.is_some_and(|tracker| tracker.apply_directive(now, directive)) {
             inner.apply_shares(now, &self.shared);
         }
     }
@@ -80,8 +80,8 @@
 
     /// Returns which requests an endpoint with this registration may receive.
     fn admission_of(&self, registration: &Registration) -> Admission {
-        let standing = self.standings.get(&registration.service);
-        standing.map_or(Admission::Stable, |standing| standing.admission(&registration.version))
+        let tracker = self.trackers.get(&registration.service);
+        tracker.map_or(Admission::Stable, |tracker| tracker.admission(&registration.version))
     }
 
     /// Applies the operators' orders from the store, with the last state that was written for each.
@@ -105,7 +105,7 @@
             let order = rollout.order.clone();
             self.apply_rollout(now, shared, order, age, rollout.directive, state.entry.as_str());
         }
-        let key = (state.entry.clone(), state.life);
+        let key = (state.entry.clone(), state.incarnation);
         // Only the holder of the duties needs the evidence. Entries send their full sums, so a successor misses nothing.
         if self.holds_duties && !state.evidence.is_empty() {
             self.peer_evidence.insert(key, state.evidence.clone());
@@ -123,17 +123,17 @@
         from: &str,
     ) {
         let service = order.service.clone();
-        let standing = self.standings.entry(service.clone());
-        let standing = standing.or_insert_with(|| Standing::new(&shared.settings.rollout));
+        let tracker = self.trackers.entry(service.clone());
+        let tracker = tracker.or_insert_with(|| Tracker::new(&shared.settings.rollout));
         let (to, number) = (order.to.clone(), order.number);
-        let before = standing.directive().map(|directive| directive.phase);
-        let is_ordered = standing.order(now, order, age);
-        let is_directed = directive.is_some_and(|directive| standing.direct(now, directive));
+        let before = tracker.directive().map(|directive| directive.phase);
+        let is_ordered = tracker.apply_order(now, order, age);
+        let is_directed = directive.is_some_and(|directive| tracker.apply_directive(now, directive));
         if is_ordered {
             info!(shared.log.always(), "rollout ordered"; "service" => service.as_str(), "to" => to.as_str(),
                 "order" => number, "age_ms" => age.as_millis() as u64, "from" => from);
         }
-        let phase = standing.directive().map(|directive| directive.phase);
+        let phase = tracker.directive().map(|directive| directive.phase);
         if phase != before {
             info!(shared.log.always(), "rollout phase"; "service" => service.as_str(), "to" => to.as_str(),
                 "order" => number, "before" => ?before, "phase" => ?phase, "from" => from);
@@ -148,11 +148,11 @@
 
     /// Returns the orders and directives that this entry sends to others.
     pub(super) fn announced_rollouts(&self, now: Instant) -> Vec<peers::Rollout> {
-        let rollouts = self.standings.values().filter_map(|standing| {
+        let rollouts = self.trackers.values().filter_map(|tracker| {
             Some(peers::Rollout {
-                order: standing.last_order()?.clone(),
-                age_ms: u32::try_from(standing.age(now).as_millis()).unwrap_or(u32::MAX),
-                directive: standing.directive().copied(),
+                order: tracker.last_order()?.clone(),
+                age_ms: u32::try_from(tracker.age(now).as_millis()).unwrap_or(u32::MAX),
+                directive: tracker.directive().copied(),
             })
         });
         rollouts.collect()
@@ -161,14 +161,14 @@
     /// Publishes a view if the share or the state of a new version changed, and restricts evidence to open orders.
     pub(super) fn apply_shares(&mut self, now: Instant, shared: &Shared) {
         self.track_open_orders(shared);
-        let share_of = |standing: &Standing| match standing.directive() {
+        let share_of = |tracker: &Tracker| match tracker.directive() {
             // The end of an order changes the admission of its version even if the share stays the same.
             Some(directive) if directive.phase.is_final() => ENDED,
-            _ => standing.share(now),
+            _ => tracker.share(now),
         };
-        let known = self.standings.iter();
+        let known = self.trackers.iter();
         let newest: BTreeMap<_, _> = known
-            .map(|(service, standing)| (service.clone(), share_of(standing)))
+            .map(|(service, tracker)| (service.clone(), share_of(tracker)))
             .collect();
         if newest == self.shares {
             return;
@@ -182,11 +182,11 @@
 
     /// Collects evidence for services with an open order only, and drops the evidence of all others.
     fn track_open_orders(&mut self, shared: &Shared) {
-        let open = self.standings.iter().filter(|(_, standing)| standing.is_open());
+        let open = self.trackers.iter().filter(|(_, tracker)| tracker.is_open());
         let orders: BTreeMap<_, _> = open
-            .filter_map(|(service, standing)| Some((service.clone(), standing.last_order()?.number)))
+            .filter_map(|(service, tracker)| Some((service.clone(), tracker.last_order()?.number)))
             .collect();
-        shared.rollout_evidence.open(&orders);
+        shared.rollout_evidence.set_orders(&orders);
         if orders.is_empty() {
             self.peer_evidence.clear();
         }
@@ -194,10 +194,10 @@
 
     /// Returns a service's new version while its order is open.
     pub(super) fn canary(&self, now: Instant, service: &name::Service) -> Option<Canary> {
-        let standing = self.standings.get(service).filter(|standing| standing.is_open())?;
-        let order = standing.last_order()?.number;
-        let share = standing.share(now);
-        let phase = standing.directive().map(|directive| directive.phase);
+        let tracker = self.trackers.get(service).filter(|tracker| tracker.is_open())?;
+        let order = tracker.last_order()?.number;
+        let share = tracker.share(now);
+        let phase = tracker.directive().map(|directive| directive.phase);
         let (stable, canary) = self.endpoints_by_version(service);
         let limit = match phase {
             Some(Phase::Canary) => canary_count(stable.len(), share),
@@ -227,8 +227,8 @@
     }
 
     /// Returns the state of a service's order, with the evidence of all entries summed up.
-    fn rollout(&self, now: Instant, shared: &Shared, service: &name::Service, standing: &Standing) -> Option<Rollout> {
-        let order = standing.last_order()?.clone();
+    fn rollout(&self, now: Instant, shared: &Shared, service: &name::Service, tracker: &Tracker) -> Option<Rollout> {
+        let order = tracker.last_order()?.clone();
         let mut evidence = Evidence::new(order.number);
         let own = shared.rollout_evidence.evidence();
         let all = self.peer_evidence.values().flatten().chain(&own);
@@ -238,13 +238,13 @@
         let (stable, canary) = self.endpoints_by_version(service);
         let slots = canary.iter().map(|endpoint| endpoint.registration.slots);
         Some(Rollout {
-            directive: standing.directive().copied(),
-            observation: Sight {
-                age: standing.age(now),
+            directive: tracker.directive().copied(),
+            observation: Observation {
+                age: tracker.age(now),
                 evidence,
-                busy: stable.iter().map(|endpoint| endpoint.running()).sum(),
-                stable: stable.len(),
-                canary: canary.len(),
+                stable_in_flight: stable.iter().map(|endpoint| endpoint.running()).sum(),
+                stable_endpoints: stable.len(),
+                canary_endpoints: canary.len(),
                 slots: slots.max().unwrap_or(1),
             },
             order,
@@ -255,7 +255,7 @@
 /// Returns the number of endpoints of the new version that receive its share of the requests, so that each has the load of a
 /// stable endpoint.
 fn canary_count(stable: usize, share: u16) -> usize {
-    let count = stable as f64 * f64::from(share) / f64::from(WHOLE);
+    let count = stable as f64 * f64::from(share) / f64::from(FULL_SHARE);
     (count as usize).max(1)
 }
 
--- a/bergamotshift-forward/src/control/talk.rs
+++ b/bergamotshift-forward/src/control/talk.rs
@@ -9,29 +9,29 @@
 use super::inner::Inner;
 use super::inner::core_share;
 use crate::endpoint::Event;
-use crate::follow::Freshness;
+use crate::follow::Checkpoint;
 use crate::limits::Keeper;
 use crate::observe::Topic;
 use crate::outside::Cursor;
-use crate::peers::Known;
+use crate::peers::Freshness;
+use crate::peers::LimitUsage;
 use crate::peers::Reply;
 use crate::peers::Stage;
 use crate::peers::State;
-use crate::peers::Use;
 use crate::view::Shared;
 
-/// Converts a freshness to the form in which it is sent to other entries.
-pub(super) fn known(freshness: &Freshness, now: Instant) -> Option<Known> {
-    freshness.age(now).map(|age| Known {
-        cursor: freshness.cursor().0,
+/// Converts a checkpoint to the form in which it is sent to other entries.
+pub(super) fn freshness(checkpoint: &Checkpoint, now: Instant) -> Option<Freshness> {
+    checkpoint.age(now).map(|age| Freshness {
+        cursor: checkpoint.cursor().0,
         age_ms: u32::try_from(age.as_millis()).unwrap_or(u32::MAX),
     })
 }
 
-/// Updates a freshness from another entry that has the same data.
-pub(super) fn confirm(freshness: &mut Freshness, now: Instant, known: Option<Known>) {
-    if let Some(Known { cursor, age_ms }) = known {
-        freshness.confirm(now, Cursor(cursor), Duration::from_millis(age_ms.into()));
+/// Updates a checkpoint from another entry that has the same data.
+pub(super) fn confirm(checkpoint: &mut Checkpoint, now: Instant, freshness: Option<Freshness>) {
+    if let Some(Freshness { cursor, age_ms }) = freshness {
+        checkpoint.confirm(now, Cursor(cursor), Duration::from_millis(age_ms.into()));
     }
 }
 
@@ -39,27 +39,27 @@
     /// Returns the state that this entry sends to others.
     pub(super) fn state(&self, now: Instant, shared: &Shared) -> State {
         let is_large = self.members.is_large();
-        let is_keeper = self.keeping.keeper == Keeper::Own;
+        let is_keeper = self.keepers.keeper == Keeper::Own;
         // In a large fleet only the keepers' shares are in use.
         let shared_limits = self.organisations.iter().filter(|_| is_keeper || !is_large);
-        let uses = shared_limits.map(|(name, organisation)| Use {
+        let uses = shared_limits.map(|(name, organisation)| LimitUsage {
             organisation: name.clone(),
             demand: organisation.demand.get(),
             share: if is_keeper {
-                organisation.zone_share.told()
+                organisation.zone_share.announced()
             } else {
-                organisation.share.told()
+                organisation.share.announced()
             },
         });
         let in_flight = self.directory.endpoints().map(|endpoint| endpoint.in_flight(is_keeper));
-        let (zones, members) = self.members.names(now);
+        let (zones, members) = self.members.member_list(now);
         let prompt_demand = self
             .services
             .iter()
             .map(|(name, service)| (name.clone(), service.prompt_demand.get()));
         State {
             entry: shared.settings.name.clone(),
-            life: self.life,
+            incarnation: self.life,
             address: shared.settings.listen.peers,
             zone: shared.settings.zone.clone(),
             core_share: core_share(shared),
@@ -68,7 +68,7 @@
                 true => Stage::Keeps,
                 false => Stage::Serves,
             },
-            holds: self.holds_duties,
+            holds_duties: self.holds_duties,
             lease: self.lease_notice,
             holder: self.duty_holder.as_ref().filter(|holder| holder.holds).map(|holder| {
                 let age = now.since(holder.at).as_millis();
@@ -76,16 +76,16 @@
             }),
             reaches_store: self.failed_calls.is_empty(),
             document: self.document.version,
-            document_known: known(&self.document_freshness, now),
+            document_freshness: freshness(&self.document_checkpoint, now),
             endpoints: self.directory.digest(),
             // An unsettled directory is not sent as current. While the store was unreachable this entry is_keeper endpoints
             // whose registrations are missing; another entry that adopted them as the newest state would send requests to
             // removed endpoints permanently.
-            endpoints_known: known(&self.registrations_freshness, now).filter(|_| self.directory.is_settled()),
-            uses: uses.collect(),
-            flown: in_flight.filter(|load| load.running > 0).collect(),
-            reading: prompt_demand.filter(|(_, rate)| *rate > 0.0).collect(),
-            readings: shared.recall().told(now),
+            endpoints_freshness: freshness(&self.registrations_checkpoint, now).filter(|_| self.directory.is_settled()),
+            limit_usage: uses.collect(),
+            in_flight: in_flight.filter(|load| load.running > 0).collect(),
+            prompt_rates: prompt_demand.filter(|(_, rate)| *rate > 0.0).collect(),
+            cached_parts: shared.recall().announced(now),
             windows: shared.tally.windows(),
             suspicions: self.quarantine.suspicions(now),
             rates: self.announced_rates(now),
@@ -99,11 +99,11 @@
     /// Applies the state of another entry and returns the reply, which includes the registrations if the other entry's are
     /// older.
     pub(super) fn handle_state(&mut self, now: Instant, shared: &Shared, state: State) -> Reply {
-        let theirs = (state.endpoints, state.endpoints_known);
+        let theirs = (state.endpoints, state.endpoints_freshness);
         let is_brief = state.is_brief();
         self.apply_state(now, shared, state);
         let cursor = theirs.1.map_or(0, |known| known.cursor);
-        let fresher = self.registrations_freshness.cursor().0 > cursor
+        let fresher = self.registrations_checkpoint.cursor().0 > cursor
             && self.directory.is_settled()
             && self.directory.digest() != theirs.0;
         let own = self.state(now, shared);
@@ -119,10 +119,10 @@
         let from = state.entry.clone();
         if let Some(endpoints) = endpoints
             && state
-                .endpoints_known
-                .is_some_and(|known| known.cursor > self.registrations_freshness.cursor().0)
+                .endpoints_freshness
+                .is_some_and(|known| known.cursor > self.registrations_checkpoint.cursor().0)
         {
-            confirm(&mut self.registrations_freshness, now, state.endpoints_known);
+            confirm(&mut self.registrations_checkpoint, now, state.endpoints_freshness);
             self.apply_endpoints(now, shared, Event::Relayed(endpoints), from.as_str());
         }
         self.apply_state(now, shared, state);
@@ -130,15 +130,19 @@
 
     /// Applies the demand and the limit shares of another entry or another zone.
     fn apply_peer_uses(&mut self, now: Instant, shared: &Shared, state: &State) {
-        let is_keeper = self.keeping.keeper == Keeper::Own;
+        let is_keeper = self.keepers.keeper == Keeper::Own;
         let is_near = state.zone == shared.settings.zone;
-        for used in &state.uses {
+        for used in &state.limit_usage {
             let Some(organisation) = self.organisations.get_mut(&used.organisation) else {
                 continue;
             };
             match (state.stage == Stage::Keeps, is_near) {
-                (false, _) => organisation.share.heard(now, &state.entry, used.demand, used.share),
-                (true, false) => organisation.zone_share.heard(now, &state.zone, used.demand, used.share),
+                (false, _) => organisation
+                    .share
+                    .record_peer(now, &state.entry, used.demand, used.share),
+                (true, false) => organisation
+                    .zone_share
+                    .record_peer(now, &state.zone, used.demand, used.share),
                 // A keeper ignores its predecessor, which does not know yet that it was replaced.
                 (true, true) if is_keeper => {}
                 (true, true) => organisation.zone_share.adopt(used.share),
@@ -151,7 +155,7 @@
         if state.entry == shared.settings.name {
             return;
         }
-        self.members.told(now, &state.zones, &state.members);
+        self.members.merge_members(now, &state.zones, &state.members);
         self.apply_peer_uses(now, shared, &state);
         let before = self.peer_lease_notice.map(|(notice, _)| notice);
         if let Some(notice) = state
@@ -164,11 +168,11 @@
             .duty_holder
             .as_ref()
             .is_some_and(|holder| holder.entry == state.entry);
-        let reported = if state.holds || was_holder {
+        let reported = if state.holds_duties || was_holder {
             Some(DutyHolder {
                 entry: state.entry.clone(),
                 at: now,
-                holds: state.holds,
+                holds: state.holds_duties,
             })
         } else {
             let relayed = state.holder.clone();
@@ -188,26 +192,29 @@
         self.record_peer_document(now, shared, &state);
         // If the other entry has the same data and confirmed it more recently, its confirmation applies here too.
         if state.document == self.document.version {
-            confirm(&mut self.document_freshness, now, state.document_known);
+            confirm(&mut self.document_checkpoint, now, state.document_freshness);
         }
         if state.endpoints == self.directory.digest() {
-            confirm(&mut self.registrations_freshness, now, state.endpoints_known);
+            confirm(&mut self.registrations_checkpoint, now, state.endpoints_freshness);
         }
         if !state.suspicions.is_empty() {
             self.quarantine.merge(now, &state.suspicions);
             self.publish(shared);
         }
         let mut recall = shared.recall();
-        for reading in &state.readings {
-            recall.hear(now, *reading);
+        for reading in &state.cached_parts {
+            recall.record(now, *reading);
         }
         drop(recall);
-        let counted = self.peer_usage.entry((state.entry.clone(), state.life)).or_default();
+        let counted = self
+            .peer_usage
+            .entry((state.entry.clone(), state.incarnation))
+            .or_default();
         for (window, counts) in &state.windows {
             counted.insert(*window, counts.clone());
         }
         let entry = state.entry.clone();
-        if self.members.heard_of(now, state)
+        if self.members.record_state(now, state)
             && let Some((logger, left_out)) = shared.log.room(now, Topic::Belief)
         {
             info!(logger, "entry heard"; "entry" => entry.as_str(), "members" => self.members.count(),
--- a/bergamotshift-forward/src/control/zone.rs
+++ b/bergamotshift-forward/src/control/zone.rs
@@ -45,10 +45,10 @@
         let is_large = self.members.is_large();
         let ledger = shared.ledger();
         let mut sums: HashMap<u64, (u32, u64)> = HashMap::new();
-        for (entry, state) in self.members.heard(now, STATE_TTL) {
+        for (entry, state) in self.members.recent_states(now, STATE_TTL) {
             let is_near = state.zone == shared.settings.zone;
             let is_counted = !is_large || (state.stage == Stage::Keeps) != is_near && !ledger.contains(entry);
-            for load in state.flown.iter().filter(|_| is_counted) {
+            for load in state.in_flight.iter().filter(|_| is_counted) {
                 let sum = sums.entry(load.endpoint).or_default();
                 sum.0 += load.running;
                 sum.1 += load.unread;
@@ -70,12 +70,12 @@
     /// whose keeper was not heard for three rounds may be cut off, so its endpoints are used only as a last resort until an
     /// update arrives.
     fn silent_zones(&self, now: Instant, shared: &Shared) -> BTreeSet<name::Zone> {
-        if self.keeping.keeper != Keeper::Own {
+        if self.keepers.keeper != Keeper::Own {
             return BTreeSet::new();
         }
         let heard: BTreeSet<&name::Zone> = self
             .members
-            .heard(now, ZONE_SILENCE_TIMEOUT)
+            .recent_states(now, ZONE_SILENCE_TIMEOUT)
             .map(|(_, state)| &state.zone)
             .collect();
         let zones = self.members.zones().into_iter();
--- a/bergamotshift-forward/src/endpoint/mod.rs
+++ b/bergamotshift-forward/src/endpoint/mod.rs
@@ -25,8 +25,8 @@
 pub use self::health::Health;
 pub use self::ledger::Ledger;
 pub use self::signals::Signals;
-use crate::peers::Flown;
-use crate::rollouts::Witness;
+use crate::peers::InFlight;
+use crate::rollouts::Observer;
 
 /// What an endpoint says of itself where all endpoints register.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -144,7 +144,7 @@
     pub fn closed_until(&self, now: Instant) -> Option<Instant> {
         self.signals
             .paused_until(now)
-            .max(self.signals.throttle.closed_until(now))
+            .max(self.signals.throttle.paused_until(now))
     }
 
     /// Marks it as leaving by what is registered, and returns whether that is news.
@@ -165,10 +165,10 @@
     }
 
     /// Returns what this entry has under way there, with what it placed for its zone if that is to count.
-    pub fn in_flight(&self, with_placed: bool) -> Flown {
+    pub fn in_flight(&self, with_placed: bool) -> InFlight {
         let counted = [Some(&self.own), Some(&self.placed).filter(|_| with_placed)];
         let flights = counted.into_iter().flatten();
-        flights.fold(Flown::at(self.hash), |flown, flight| Flown {
+        flights.fold(InFlight::none(self.hash), |flown, flight| InFlight {
             running: flown.running + flight.running.load(Relaxed),
             unread: flown.unread + flight.unread.load(Relaxed),
             ..flown
@@ -182,7 +182,7 @@
     endpoint: Arc<Endpoint>,
     unread: u64,
     /// Sees what comes of the request while two versions are compared.
-    witness: Option<Witness>,
+    witness: Option<Observer>,
 }
 
 impl RequestGuard {
@@ -199,7 +199,7 @@
 
     /// Has a witness see what comes of the request.
     #[must_use]
-    pub fn with_witness(mut self, witness: Option<Witness>) -> Self {
+    pub fn with_witness(mut self, witness: Option<Observer>) -> Self {
         self.witness = witness;
         self
     }
--- a/bergamotshift-forward/src/follow/document.rs
+++ b/bergamotshift-forward/src/follow/document.rs
@@ -149,14 +149,14 @@
         }
         let after = control.document_cursor();
         let result = match after {
-            Some(after) if !self.needs_full_read => self.operators.changed(after, watch_timeout(rank)).await,
-            _ => self.operators.written().await.map_err(Gap::Failed),
+            Some(after) if !self.needs_full_read => self.operators.wait_for_change(after, watch_timeout(rank)).await,
+            _ => self.operators.read().await.map_err(Gap::Failed),
         };
         self.needs_full_read = result.is_err();
         control.record_call("document", result.as_ref().err().and_then(failure));
         match result {
             Ok((written, next)) => control.apply_stored_document(written, next),
-            Err(Gap::Forgotten) => {}
+            Err(Gap::Truncated) => {}
             Err(Gap::Failed(_)) => return scale_pause(RETRY_DELAY, control.entry_count()),
         }
         Duration::ZERO
@@ -196,7 +196,7 @@
 /// Returns the error of a call that failed; a gap in the history is an answer.
 pub(super) fn failure(gap: &Gap) -> Option<&bergamotshift_platform::Error> {
     match gap {
-        Gap::Forgotten => None,
+        Gap::Truncated => None,
         Gap::Failed(error) => Some(error),
     }
 }
--- a/bergamotshift-forward/src/follow/members.rs
+++ b/bergamotshift-forward/src/follow/members.rs
@@ -18,7 +18,7 @@
 
 use super::knowledge::scale_pause;
 use crate::control::Control;
-use crate::peers::Listed;
+use crate::peers::Contact;
 
 /// The partition of the list.
 const PARTITION: &str = "entry";
@@ -87,7 +87,7 @@
     let settings = &control.shared().settings;
     let row = Row {
         address: settings.listen.peers,
-        at: control.shared().tally.today().as_secs(),
+        at: control.shared().tally.unix_time().as_secs(),
         zone: settings.zone.clone(),
         core_share: control.core_share(),
         every: scale_pause(WRITE_INTERVAL, control.entry_count()).as_secs(),
@@ -109,7 +109,7 @@
 }
 
 async fn read(control: &Control, table: &Rc<dyn Table>) -> bool {
-    let today = control.shared().tally.today();
+    let today = control.shared().tally.unix_time();
     let mut after: Option<SmolStr> = None;
     let mut busy = Vec::new();
     let (mut others, mut is_back) = (0, false);
@@ -128,7 +128,7 @@
                     let is_own = *name == control.shared().settings.name.as_str();
                     is_back |= is_own;
                     others += usize::from(!is_own);
-                    control.add_listed(&Listed {
+                    control.add_listed(&Contact {
                         entry: name::Entry::new(name),
                         address: row.address,
                         zone: row.zone,
--- a/bergamotshift-forward/src/peers/keep.rs
+++ b/bergamotshift-forward/src/peers/keep.rs
@@ -5,12 +5,12 @@
 use ntex::http::Response;
 use ntex::http::StatusCode;
 
-use super::message::Flown;
+use super::message::InFlight;
 use super::permit::Permits;
 use super::question::question;
 use crate::choice;
 use crate::choice::Choice;
-use crate::dialect::Ask;
+use crate::dialect::Metadata;
 use crate::dialect::Size;
 use crate::limits::Keeper;
 use crate::limits::Refused;
@@ -35,7 +35,7 @@
 ///
 /// An entry that takes itself neither for the keeper nor for the deputy decides nothing: the one that asks hears other
 /// entries than this one, and two keepers would give out the zone's share twice.
-pub async fn keep(permits: &Permits, mut request: Request) -> Response {
+pub async fn answer_keep(permits: &Permits, mut request: Request) -> Response {
     let shared = permits.shared();
     let question = match question::<Question>(&mut request, LARGEST).await {
         Ok(question) => question,
@@ -47,7 +47,7 @@
         return Response::new(StatusCode::CONFLICT);
     }
     let now = shared.clock.now();
-    told(shared, &view, now, &question.entry, &question.flown);
+    told(shared, &view, now, &question.entry, &question.in_flight);
     let answer = decide(permits, &view, &question).await;
     if let Some(placed) = answer.placement {
         let mut ledger = shared.ledger();
@@ -83,7 +83,7 @@
 }
 
 /// Takes in what an entry of the zone has under way.
-fn told(shared: &Shared, view: &View, now: Instant, entry: &name::Entry, flown: &[Flown]) {
+fn told(shared: &Shared, view: &View, now: Instant, entry: &name::Entry, flown: &[InFlight]) {
     let mut ledger = shared.ledger();
     let changed = ledger.update(now, entry, flown);
     for endpoint in changed.into_iter().filter_map(|hash| view.endpoint(hash)) {
@@ -100,7 +100,7 @@
     let Some(accounts) = view.accounts.get(&units.organisation) else {
         return Ok(());
     };
-    accounts.zone.take_over(now, units.before);
+    accounts.zone.charge(now, units.unreported);
     accounts.zone.take(now, units.count)
 }
 
@@ -110,12 +110,14 @@
     for _ in 0..PLACES {
         let choice = choose(permits.shared(), view, generation)?;
         let is_limited = choice.endpoint.signals.throttle.rate().is_some();
-        if is_limited && !permits.ask(&choice.endpoint, "").await {
+        if is_limited && !permits.acquire(&choice.endpoint, "").await {
             continue;
         }
         let shared = permits.shared();
         let endpoint = choice.endpoint.hash;
-        shared.recall().note(shared.clock.now(), endpoint, &generation.parts);
+        shared
+            .recall()
+            .record_choice(shared.clock.now(), endpoint, &generation.parts);
         return Some(Placement {
             endpoint,
             unread: choice.unread,
@@ -129,24 +131,24 @@
 
 fn choose(shared: &Shared, view: &View, generation: &Generation) -> Option<Choice> {
     let service = view.services.get(&generation.service)?;
-    let ask = Ask {
+    let ask = Metadata {
         size: Some(Size {
             prompt: generation.prompt,
             output: 0,
         }),
         parts: generation.parts.clone(),
-        ..Ask::default()
+        ..Metadata::default()
     };
     let request = choice::Request {
         ask: &ask,
         engine: service.engine,
-        own: &shared.settings.zone,
-        zone: None,
+        own_zone: &shared.settings.zone,
+        preferred_zone: None,
         tried: &generation.avoided,
-        sources: &[],
+        cache_sources: &[],
     };
     let canary = service.canary_for(generation.is_canary);
     let recall = shared.recall();
     let weights = choice::Settings::default();
-    choice::among(&weights, shared.clock.now(), service, canary, &request, &recall)
+    choice::choose_with_canary(&weights, shared.clock.now(), service, canary, &request, &recall)
 }
--- a/bergamotshift-forward/src/serve/charge.rs
+++ b/bergamotshift-forward/src/serve/charge.rs
@@ -8,7 +8,7 @@
 use super::job::Charge;
 use super::refusal::Reason;
 use super::refusal::Refusal;
-use crate::dialect::Ask;
+use crate::dialect::Metadata;
 use crate::dialect::Size;
 use crate::document::Organisation;
 use crate::endpoint::Endpoint;
@@ -37,7 +37,7 @@
         view: &View,
         organisation: Option<&Organisation>,
         service: &name::Service,
-        ask: &Ask,
+        ask: &Metadata,
         is_canary: bool,
         now: Instant,
     ) -> Result<Admission, Refusal> {
@@ -47,9 +47,9 @@
             let units = Units {
                 organisation: organisation.name.clone(),
                 count,
-                before: match view.keeping.keeper {
+                unreported: match view.keeping.keeper {
                     Keeper::Nobody => 0,
-                    Keeper::Own | Keeper::Other(_) | Keeper::Unknown => accounts.own.hand_over(now),
+                    Keeper::Own | Keeper::Other(_) | Keeper::Unknown => accounts.own.take_unreported(now),
                 },
             };
             Some((accounts, units))
--- a/bergamotshift-forward/src/serve/choose.rs
+++ b/bergamotshift-forward/src/serve/choose.rs
@@ -87,7 +87,7 @@
                 },
             };
             let Candidate { choice, is_granted } = candidate;
-            if is_granted || self.permits.ask(&choice.endpoint, &job.ask.id).await {
+            if is_granted || self.permits.acquire(&choice.endpoint, &job.ask.id).await {
                 if history.tried.is_empty() {
                     service.requested_tokens.fetch_add(choice.unread, Relaxed);
                 }
@@ -149,10 +149,10 @@
         let request = choice::Request {
             ask: &job.ask,
             engine: service.engine,
-            own: &self.shared.settings.zone,
-            zone: None,
+            own_zone: &self.shared.settings.zone,
+            preferred_zone: None,
             tried: avoided,
-            sources: &[],
+            cache_sources: &[],
         };
         if self.shared.is_stranded() {
             let choice = self.choose_here(now, service, &request, history)?;
@@ -166,7 +166,7 @@
         let canary = service.canary_for(job.is_canary && history.tried.is_empty());
         let candidate = placed.or_else(|| {
             let recall = self.shared.recall();
-            let choice = choice::among(&self.weights, now, service, canary, &request, &recall)?;
+            let choice = choice::choose_with_canary(&self.weights, now, service, canary, &request, &recall)?;
             Some(Candidate {
                 choice,
                 is_granted: false,
--- a/bergamotshift-forward/src/serve/hear.rs
+++ b/bergamotshift-forward/src/serve/hear.rs
@@ -1,7 +1,7 @@
 //! Takes in what an endpoint's answer says of the endpoint.
 
 use bergamotshift_core::prelude::*;
-use bergamotshift_limit::throttle::Word;
+use bergamotshift_limit::throttle::RateLimit;
 use ntex::http::StatusCode;
 use slog::info;
 
@@ -23,16 +23,16 @@
         let notice = Notice::read(&self.shared.dialect, answer.status, &answer.headers);
         let now = self.shared.clock.now();
         let is_own = self.shared.dialect.is_sealed(&answer.headers);
-        let lifted = is_own.then(|| Word::lifted(sent));
-        if let Some(word) = notice.rate.map(|rate| Word::named(rate, now)).or(lifted) {
+        let lifted = is_own.then(|| RateLimit::lifted(sent));
+        if let Some(word) = notice.rate.map(|rate| RateLimit::named(rate, now)).or(lifted) {
             let source = Origin::Answer(&job.ask.id);
             self.shared.apply_rate(now, &choice.endpoint, word, source);
         }
-        let is_news = notice.leaves && choice.endpoint.signals.mark_leaving();
-        if let Some(pause) = notice.pause {
+        let is_news = notice.is_leaving && choice.endpoint.signals.mark_leaving();
+        if let Some(pause) = notice.retry_after {
             choice.endpoint.signals.pause_until(now + pause);
         }
-        if is_news || notice.pause.is_some() {
+        if is_news || notice.retry_after.is_some() {
             self.log_notice(now, job, choice, answer.status, notice);
         }
         notice
@@ -42,9 +42,9 @@
         let endpoint = &choice.endpoint;
         if let Some((logger, left_out)) = self.shared.log.room(now, Topic::Belief) {
             info!(logger, "endpoint wants no more"; "endpoint" => endpoint.registration.id.as_str(),
-                "request" => job.ask.id.as_str(), "status" => status.as_u16(), "leaves" => notice.leaves,
+                "request" => job.ask.id.as_str(), "status" => status.as_u16(), "leaves" => notice.is_leaving,
                 "leaves_registered" => endpoint.is_withdrawn(),
-                "pause_ms" => notice.pause.map(|pause| pause.as_millis() as u64), "left_out" => left_out);
+                "pause_ms" => notice.retry_after.map(|pause| pause.as_millis() as u64), "left_out" => left_out);
         }
     }
 }
--- a/bergamotshift-forward/src/view/mod.rs
+++ b/bergamotshift-forward/src/view/mod.rs
@@ -16,26 +16,26 @@
 use bergamotshift_core::prelude::*;
 use bergamotshift_limit::quarantine;
 use bergamotshift_limit::retry::Budget;
-use bergamotshift_rollout::directive::WHOLE;
+use bergamotshift_rollout::directive::FULL_SHARE;
 use tokio::sync::Notify;
 use tokio::sync::mpsc::UnboundedSender;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 pub use self::rates::Origin;
-use crate::choice::Recall;
+use crate::choice::CacheIndex;
 use crate::dialect::Dialect;
 use crate::document::Engine;
 use crate::duty::Tally;
 use crate::endpoint::Endpoint;
 use crate::endpoint::Ledger;
 use crate::limits::Account;
-use crate::limits::Keeping;
+use crate::limits::Keepers;
 use crate::limits::granter;
 use crate::observe::Clock;
 use crate::observe::Log;
 use crate::observe::Metrics;
 use crate::peers::Note;
-use crate::rollouts::Book;
+use crate::rollouts::Collector;
 use crate::routes::Table;
 use crate::settings::Settings;
 
@@ -97,7 +97,7 @@
 impl Canary {
     /// Returns whether a request belongs to its share, whose prompt has so many tokens.
     pub fn accepts(&self, id: &str, prompt: Option<u32>) -> bool {
-        let place = xxh3_64_with_seed(id.as_bytes(), self.order) % u64::from(WHOLE);
+        let place = xxh3_64_with_seed(id.as_bytes(), self.order) % u64::from(FULL_SHARE);
         let is_small = self
             .max_prompt_tokens
             .is_none_or(|largest| u64::from(prompt.unwrap_or(0)) <= largest);
@@ -106,7 +106,7 @@
 
     /// Returns whether all requests are to go to it.
     pub const fn is_whole(&self) -> bool {
-        self.share >= WHOLE
+        self.share >= FULL_SHARE
     }
 }
 
@@ -133,7 +133,7 @@
     /// Requests that are suspected of ending endpoints.
     pub suspects: quarantine::Table,
     /// Who decides for the zone.
-    pub keeping: Keeping,
+    pub keeping: Keepers,
     /// The entries that grant requests to endpoints which name a rate.
     pub granters: Arc<[granter::Candidate]>,
     /// Whether endpoints have been read at least once.
@@ -187,11 +187,11 @@
     /// Requests by organisation and window.
     pub tally: Tally,
     /// Which endpoints read which parts of prompts. Worker threads and the control thread hold it for microseconds.
-    pub recall: Mutex<Recall>,
+    pub recall: Mutex<CacheIndex>,
     /// What the entries of the zone told this one as their keeper. Threads hold it for microseconds.
     pub ledger: Mutex<Ledger>,
     /// What this entry saw of the answers of two versions.
-    pub rollout_evidence: Arc<Book>,
+    pub rollout_evidence: Arc<Collector>,
     /// Wakes whoever tells the keeper that work under way began or ended.
     pub in_flight_changed: Notify,
     /// What requests tell the control thread.
@@ -214,7 +214,7 @@
 
 impl Shared {
     /// Lends the memory of which endpoints read which parts.
-    pub fn recall(&self) -> MutexGuard<'_, Recall> {
+    pub fn recall(&self) -> MutexGuard<'_, CacheIndex> {
         self.recall.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
--- a/bergamotshift-forward/src/view/rates.rs
+++ b/bergamotshift-forward/src/view/rates.rs
@@ -1,7 +1,7 @@
 //! Takes in the rates that endpoints name for themselves.
 
 use bergamotshift_core::prelude::*;
-use bergamotshift_limit::throttle::Word;
+use bergamotshift_limit::throttle::RateLimit;
 use slog::info;
 
 use super::Shared;
@@ -19,10 +19,10 @@
 
 impl Shared {
     /// Takes in a word of an endpoint's rate, and logs it when it is news.
-    pub fn apply_rate(&self, now: Instant, endpoint: &Endpoint, word: Word, source: Origin<'_>) {
+    pub fn apply_rate(&self, now: Instant, endpoint: &Endpoint, word: RateLimit, source: Origin<'_>) {
         let before = endpoint.signals.throttle.rate();
         let is_first_hand = matches!(source, Origin::Answer(_));
-        if !endpoint.signals.throttle.hear(word, is_first_hand) {
+        if !endpoint.signals.throttle.update(word, is_first_hand) {
             return;
         }
         let (request, entry) = match source {
