--- a/bergamotshift-forward/src/control/behind.rs
+++ b/bergamotshift-forward/src/control/behind.rs
@@ -20,9 +20,9 @@
 use crate::peers::update::Download;
 use crate::view::Shared;
 
-/// Time after which an entry that lacks the newest document reports itself as not ready, so that its callers go to other
-/// entries. A copy takes a quarter of a second over the slowest links, and operators expect a change to be in force
-/// within two seconds.
+/// Time after which an entry that lacks the newest document reports itself as not ready, so that its callers go to
+/// other entries. A copy takes a quarter of a second over the slowest links, and operators expect a change to be in
+/// force within two seconds.
 const MAX_DOCUMENT_LAG: Duration = Duration::from_secs(2);
 
 impl Control {
--- a/bergamotshift-forward/src/control/inner.rs
+++ b/bergamotshift-forward/src/control/inner.rs
@@ -37,11 +37,12 @@
 use crate::random;
 use crate::view::Shared;
 
-/// Time for which an entry's state counts as current in a large fleet, where updates arrive through other entries and take
-/// some seconds.
+/// Time for which an entry's state counts as current in a large fleet, where updates arrive through other entries and
+/// take some seconds.
 const LARGE_FLEET_STATE_TTL: Duration = Duration::from_secs(5);
 
-/// Time over which the demand for prompt tokens is averaged. It is short because new endpoints take seconds to boot.
+/// Time over which the rate of uncached prompt tokens is averaged. It is short because new endpoints take seconds to
+/// boot.
 const PROMPT_DEMAND_WINDOW: Duration = Duration::from_secs(3);
 
 /// Time for which the state of another entry counts as current; older in-flight figures are out of date.
@@ -58,9 +59,9 @@
 pub(super) struct ServiceState {
     /// Limit on retries.
     pub(super) budget: Arc<Budget>,
-    /// Prompt tokens that callers requested since the last tick.
+    /// Uncached prompt tokens of new requests since the last tick, without retries.
     pub(super) requested_tokens: Arc<AtomicU64>,
-    /// Prompt tokens that callers request per second, averaged.
+    /// Average of those tokens per second.
     pub(super) prompt_demand: Demand,
     /// Moving average of prompt sizes, in tokens.
     pub(super) typical_prompt: Arc<AtomicU64>,
@@ -180,7 +181,8 @@
         }
     }
 
-    /// Puts a document in force if it is newer than the current one. `steps` are the differences that led to it, if known.
+    /// Puts a document in force if it is newer than the current one. `steps` are the differences that led to it, if
+    /// known.
     pub(super) fn apply_document(
         &mut self,
         now: Instant,
@@ -203,8 +205,8 @@
         shared
             .newest_document
             .fetch_max(self.document.version, Ordering::AcqRel);
-        // Versions that follow each other quickly are fetched one by one; the lag restarts with each, since the entry makes
-        // progress.
+        // Versions that follow each other quickly are fetched one by one; the lag restarts with each, since the entry
+        // makes progress.
         self.behind_since = self.behind_since.map(|_since| now);
         self.update_lag(now, shared);
         self.update_quotas(now, shared);
@@ -257,8 +259,8 @@
                 span,
             );
         }
-        // The retry budget of each entry shrinks as the fleet grows. Otherwise dozens of entries together would retry more
-        // than the platform allows when endpoints fail, and overload the remaining endpoints.
+        // The retry budget of each entry shrinks as the fleet grows. Otherwise dozens of entries together would retry
+        // more than the platform allows when endpoints fail, and overload the remaining endpoints.
         let slack = retry_slack(shared, self.members.count());
         for service in self.services.values_mut() {
             service.budget.set_burst(slack);
@@ -300,14 +302,14 @@
         self.quarantine.expire(now);
     }
 
-    /// Returns the prompt tokens per second that callers of a service request from all entries.
+    /// Returns the uncached prompt tokens per second in a service's requests to all entries.
     pub(super) fn prompt_demand(&self, now: Instant, service: &name::Service) -> f64 {
         let own = self
             .services
             .get(service)
             .map_or(0.0, |state| state.prompt_demand.get());
-        // In a large fleet each entry is heard from only every other second. With the short TTL of small fleets, a quarter of
-        // the demand would be left out.
+        // In a large fleet each entry is heard from only every other second. With the short TTL of small fleets, a
+        // quarter of the demand would be left out.
         let others = self.members.recent_states(now, self.state_ttl());
         let demands = others.flat_map(|(_, state)| state.prompt_rates.iter().filter(|(name, _)| name == service));
         own + demands.map(|(_, rate)| rate).sum::<f64>()
@@ -320,8 +322,8 @@
             .any(|(_, state)| state.reaches_store)
     }
 
-    /// Returns whether another entry is known to hold the duties; in a large fleet, from reports that other entries relay.
-    /// The lease prevents two holders, so this only bounds how late a successor begins to watch it.
+    /// Returns whether another entry is known to hold the duties; in a large fleet, from reports that other entries
+    /// relay. The lease prevents two holders, so this only bounds how late a successor begins to watch it.
     pub(super) fn is_held_elsewhere(&self, now: Instant) -> bool {
         self.duty_holder
             .as_ref()
@@ -350,8 +352,8 @@
     })
 }
 
-/// Returns one entry's even share of the retries that all entries may make beyond the ratio. A small site uses the share for
-/// [`ASSUMED_ENTRIES`], so that the share does not change with every entry that joins or leaves.
+/// Returns one entry's even share of the retries that all entries may make beyond the ratio. A small site uses the
+/// share for [`ASSUMED_ENTRIES`], so that the share does not change with every entry that joins or leaves.
 fn retry_slack(shared: &Shared, entries: usize) -> u32 {
     (shared.settings.retry.slack / entries.max(ASSUMED_ENTRIES) as f64).max(1.0) as u32
 }
--- a/bergamotshift-forward/src/control/mod.rs
+++ b/bergamotshift-forward/src/control/mod.rs
@@ -108,8 +108,8 @@
         self.inbox.borrow_mut().take()
     }
 
-    /// Returns the number of recently heard entries that precede this one. The entry with rank 0 performs tasks that are
-    /// needed only once in the fleet.
+    /// Returns the number of recently heard entries that precede this one. The entry with rank 0 performs tasks that
+    /// are needed only once in the fleet.
     pub fn rank(&self) -> usize {
         let now = self.now();
         self.inner.borrow().rank(now)
@@ -249,12 +249,12 @@
         self.inner.borrow_mut().members.add_contact(now, listed);
     }
 
-    /// Records that the list of entries was read. `busy` contains the organisations that the entries stored as busy; it is
-    /// `None` if this entry joins others that already serve.
+    /// Records that the list of entries was read. `busy` contains the organisations that the entries stored as busy; it
+    /// is `None` if this entry joins others that already serve.
     ///
-    /// An entry that joins gets only the part of a burst that the others release. If each new entry started with a part that
-    /// the existing ones still hold, an organisation would have more than twice its burst after sixteen entries joined. Only
-    /// an entry that restarts, or the first one, gets a part at once.
+    /// An entry that joins gets only the part of a burst that the others release. If each new entry started with a part
+    /// that the existing ones still hold, an organisation would have more than twice its burst after sixteen entries
+    /// joined. Only an entry that restarts, or the first one, gets a part at once.
     pub fn entry_list_read(&self, busy: Option<Vec<name::Organisation>>) {
         let mut inner = self.inner.borrow_mut();
         let is_first = !inner.entries_listed;
@@ -389,7 +389,7 @@
         sum
     }
 
-    /// Returns the prompt tokens per second that callers of a service request from all entries.
+    /// Returns the uncached prompt tokens per second in a service's requests to all entries.
     pub fn prompt_demand(&self, service: &name::Service) -> f64 {
         let now = self.now();
         self.inner.borrow().prompt_demand(now, service)
--- a/bergamotshift-forward/src/control/organisation.rs
+++ b/bergamotshift-forward/src/control/organisation.rs
@@ -21,25 +21,25 @@
 use crate::observe::Topic;
 use crate::view::Shared;
 
-/// Fraction of the allowed excess over a limit that is distributed to entries; the rest covers requests that overdraw their
-/// share.
+/// Fraction of the allowed excess over a limit that is distributed to entries; the rest covers requests that overdraw
+/// their share.
 const SLACK_FRACTION: f64 = 0.4;
 
 /// Multiple of the burst that all entries together may distribute while an organisation is far below its limit.
 ///
-/// Without it, a few large requests that arrive at one entry exceed its small share of the burst and are refused, although
-/// the organisation uses half of its limit (1 to 2 % of requests under low load). Units taken beyond the share remain owed
-/// when demand rises: they are repaid at the rate before more requests are admitted, so a window stays within the limit's
-/// slack.
+/// Without it, a few large requests that arrive at one entry exceed its small share of the burst and are refused,
+/// although the organisation uses half of its limit (1 to 2 % of requests under low load). Units taken beyond the share
+/// remain owed when demand rises: they are repaid at the rate before more requests are admitted, so a window stays
+/// within the limit's slack.
 const CALM_BURSTS: f64 = 1.5;
 
-/// Time for which an organisation counts as busy. It covers the window over which limits are judged and the interval between
-/// two writes of an entry's row.
+/// Time for which an organisation counts as busy. It covers the window over which limits are judged and the interval
+/// between two writes of an entry's row.
 const BUSY_DURATION: Duration = Duration::from_secs(13);
 
-/// Part of the burst that a keeper which starts counts as already used. Only one request per zone can overdraw, and a killed
-/// process is back after a second, so another half burst in one window stays within the 10 % by which a limit may be
-/// exceeded.
+/// Part of the burst that a keeper which starts counts as already used. Only one request per zone can overdraw, and a
+/// killed process is back after a second, so another half burst in one window stays within the 10 % by which a limit
+/// may be exceeded.
 const KEEPER_INITIAL_DEBT: f64 = 0.5;
 
 /// Limit state of one organisation.
@@ -84,7 +84,8 @@
         }
     }
 
-    /// Updates the part of the limit that this entry grants as the keeper of its zone or as its deputy, among `zones` zones.
+    /// Updates the part of the limit that this entry grants as the keeper of its zone or as its deputy, among `zones`
+    /// zones.
     fn update_zone_quota(&mut self, now: Instant, limit: Option<Limit>, slack: f64, zones: usize, keepers: Keepers) {
         let policy = SharePolicy::default();
         let is_keeper = keepers.keeper == Keeper::Own;
@@ -141,9 +142,10 @@
 
     /// Applies the organisations that entries stored as busy before this process started.
     ///
-    /// A process that starts counts every organisation's burst as used up. After an outage of all entries that would refuse
-    /// half of all callers for a second, although they ask for half of their limits. The rows written some seconds before
-    /// tell which organisations may have been at their limits; the others get part of their bursts at once.
+    /// A process that starts counts every organisation's burst as used up. After an outage of all entries that would
+    /// refuse half of all callers for a second, although they ask for half of their limits. The rows written some
+    /// seconds before tell which organisations may have been at their limits; the others get part of their bursts at
+    /// once.
     pub(super) fn restore_limits(&mut self, now: Instant, shared: &Shared) {
         let Some(busy) = self.busy_before_start.take_if(|_| self.document.version > 0) else {
             return;
--- a/bergamotshift-forward/src/control/publish.rs
+++ b/bergamotshift-forward/src/control/publish.rs
@@ -83,9 +83,9 @@
             knows_endpoints: self.directory.endpoints().next().is_some(),
             knows_entries: self.entries_listed,
         };
-        let is_known = view.is_known();
+        let can_serve = view.can_serve();
         shared.view.store(Arc::new(view));
-        if is_known {
+        if can_serve {
             shared.view_ready.notify_waiters();
         }
     }
--- a/bergamotshift-forward/src/control/rollouts.rs
+++ b/bergamotshift-forward/src/control/rollouts.rs
@@ -39,8 +39,8 @@
         self.inner.borrow().admission_of(registration) == Admission::Stable
     }
 
-    /// Returns the number of a service's endpoints in each zone, including leaving ones, whose version does not receive all
-    /// requests.
+    /// Returns the number of a service's endpoints in each zone, including leaving ones, whose version does not receive
+    /// all requests.
     pub fn unstable_endpoints(&self, service: &name::Service) -> BTreeMap<name::Zone, u32> {
         let inner = self.inner.borrow();
         let mut zones = BTreeMap::new();
@@ -106,7 +106,8 @@
             self.apply_rollout(now, shared, order, age, rollout.directive, state.entry.as_str());
         }
         let key = (state.entry.clone(), state.incarnation);
-        // Only the holder of the duties needs the evidence. Entries send their full sums, so a successor misses nothing.
+        // Only the holder of the duties needs the evidence. Entries send their full sums, so a successor misses
+        // nothing.
         if self.holds_duties && !state.evidence.is_empty() {
             self.peer_evidence.insert(key, state.evidence.clone());
         }
@@ -252,15 +253,15 @@
     }
 }
 
-/// Returns the number of endpoints of the new version that receive its share of the requests, so that each has the load of a
-/// stable endpoint.
+/// Returns the number of endpoints of the new version that receive its share of the requests, so that each has the load
+/// of a stable endpoint.
 fn canary_count(stable: usize, share: u16) -> usize {
     let count = stable as f64 * f64::from(share) / f64::from(FULL_SHARE);
     (count as usize).max(1)
 }
 
-/// Returns at most `limit` endpoints, spread evenly over the zones. The order depends on hashes only, so all entries select
-/// the same endpoints.
+/// Returns at most `limit` endpoints, spread evenly over the zones. The order depends on hashes only, so all entries
+/// select the same endpoints.
 fn spread_over_zones(endpoints: Vec<&Arc<Endpoint>>, order: u64, limit: usize) -> Vec<Arc<Endpoint>> {
     let mut zones: BTreeMap<&name::Zone, Vec<(u64, &Arc<Endpoint>)>> = BTreeMap::new();
     for endpoint in endpoints {
--- a/bergamotshift-forward/src/control/talk.rs
+++ b/bergamotshift-forward/src/control/talk.rs
@@ -78,9 +78,9 @@
             document: self.document.version,
             document_freshness: freshness(&self.document_checkpoint, now),
             endpoints: self.directory.digest(),
-            // An unsettled directory is not sent as current. While the store was unreachable this entry is_keeper endpoints
-            // whose registrations are missing; another entry that adopted them as the newest state would send requests to
-            // removed endpoints permanently.
+            // An unsettled directory is not sent as current. While the store was unreachable this entry is_keeper
+            // endpoints whose registrations are missing; another entry that adopted them as the newest state would send
+            // requests to removed endpoints permanently.
             endpoints_freshness: freshness(&self.registrations_checkpoint, now).filter(|_| self.directory.is_settled()),
             limit_usage: uses.collect(),
             in_flight: in_flight.filter(|load| load.running > 0).collect(),
@@ -96,8 +96,8 @@
         }
     }
 
-    /// Applies the state of another entry and returns the reply, which includes the registrations if the other entry's are
-    /// older.
+    /// Applies the state of another entry and returns the reply, which includes the registrations if the other entry's
+    /// are older.
     pub(super) fn handle_state(&mut self, now: Instant, shared: &Shared, state: State) -> Reply {
         let theirs = (state.endpoints, state.endpoints_freshness);
         let is_brief = state.is_brief();
--- a/bergamotshift-forward/src/control/zone.rs
+++ b/bergamotshift-forward/src/control/zone.rs
@@ -39,8 +39,8 @@
 
     /// Sums up the requests that other entries have in flight at each endpoint.
     ///
-    /// Keepers of other zones report for their whole zones, and entries of this zone report their own requests. Reports that
-    /// this entry receives as the keeper are newer and counted separately, in the ledger.
+    /// Keepers of other zones report for their whole zones, and entries of this zone report their own requests. Reports
+    /// that this entry receives as the keeper are newer and counted separately, in the ledger.
     pub(super) fn update_in_flight(&self, now: Instant, shared: &Shared) {
         let is_large = self.members.is_large();
         let ledger = shared.ledger();
@@ -66,9 +66,9 @@
     /// Returns the zones without recent updates, if this entry is the keeper of its zone; otherwise none.
     ///
     /// A network partition may not reset connections, so requests to the other zone would continue over established
-    /// connections and streams would hang until their callers leave. Keepers exchange states four times a second. A zone
-    /// whose keeper was not heard for three rounds may be cut off, so its endpoints are used only as a last resort until an
-    /// update arrives.
+    /// connections and streams would hang until their callers leave. Keepers exchange states four times a second. A
+    /// zone whose keeper was not heard for three rounds may be cut off, so its endpoints are used only as a last resort
+    /// until an update arrives.
     fn silent_zones(&self, now: Instant, shared: &Shared) -> BTreeSet<name::Zone> {
         if self.keepers.keeper != Keeper::Own {
             return BTreeSet::new();
--- a/bergamotshift-forward/src/view/mod.rs
+++ b/bergamotshift-forward/src/view/mod.rs
@@ -1,4 +1,4 @@
-//! The immutable picture that requests are served from, and what outlives each picture.
+//! The immutable view that requests are served from, and the state shared by all threads that outlives each view.
 
 mod rates;
 
@@ -39,118 +39,120 @@
 use crate::routes::Table;
 use crate::settings::Settings;
 
-/// What a service looks like to a request.
+/// A service as seen by requests.
 #[derive(Clone, Debug)]
 pub struct Service {
-    /// Its endpoints of the versions that serve everybody, leaving ones included.
+    /// Endpoints of the versions that receive all requests, including leaving ones.
     pub endpoints: Arc<[Arc<Endpoint>]>,
-    /// The new version that is tried; `None` when no order stands.
+    /// New version that is being rolled out; `None` if no order is open.
     pub canary: Option<Canary>,
-    /// What its model engines are like; `None` for a plain service.
+    /// Properties of its model engines; `None` for a plain service.
     pub engine: Option<Engine>,
-    /// Bounds repeated sends; outlives pictures.
+    /// Retry budget; outlives views.
     pub budget: Arc<Budget>,
-    /// Prompt tokens that callers asked to have read; outlives pictures.
+    /// Uncached prompt tokens of new requests since the last tick, without retries; outlives views.
     pub requested_tokens: Arc<AtomicU64>,
-    /// Tokens of a usual prompt; outlives pictures.
+    /// Moving average of prompt sizes, in tokens; outlives views.
     pub typical_prompt: Arc<AtomicU64>,
 }
 
 impl Service {
-    /// Returns the endpoints of all versions that take requests, leaving ones included.
+    /// Returns the endpoints of all versions that receive requests, including leaving ones.
     pub fn all_endpoints(&self) -> impl Iterator<Item = &Arc<Endpoint>> {
         let canary = self.canary.iter().flat_map(|canary| canary.endpoints.iter());
         self.endpoints.iter().chain(canary)
     }
 
-    /// Returns the new version that a request goes to, if it belongs to its share or all requests go there.
+    /// Returns the new version if a request goes to it: because the request belongs to the canary's share, or because
+    /// the canary receives all requests.
     pub fn canary_for(&self, is_canary: bool) -> Option<&Canary> {
-        self.canary.as_ref().filter(|canary| is_canary || canary.is_whole())
+        self.canary.as_ref().filter(|canary| is_canary || canary.takes_all())
     }
 
-    /// Notes the size of a prompt.
+    /// Updates the moving average of prompt sizes.
     pub fn record_prompt(&self, tokens: u32) {
-        /// The part of the way to the newest size that the usual one goes.
-        const PART: i64 = 16;
+        /// Inverse weight of a new size in the moving average.
+        const WEIGHT_DIVISOR: i64 = 16;
         let tokens = i64::from(tokens);
-        let turn = |usual: u64| {
-            let usual = usual as i64;
-            (usual + (tokens - usual) / PART) as u64
+        let average = |typical: u64| {
+            let typical = typical as i64;
+            (typical + (tokens - typical) / WEIGHT_DIVISOR) as u64
         };
-        self.typical_prompt.update(Ordering::Relaxed, Ordering::Relaxed, turn);
+        self.typical_prompt
+            .update(Ordering::Relaxed, Ordering::Relaxed, average);
     }
 }
 
-/// A new version of a service while it is tried.
+/// A new version of a service during its rollout.
 #[derive(Clone, Debug)]
 pub struct Canary {
-    /// The number of the order.
+    /// Number of the rollout order.
     pub order: u64,
-    /// The endpoints that take its share of the requests.
+    /// Endpoints that receive its share of the requests.
     pub endpoints: Arc<[Arc<Endpoint>]>,
-    /// That share, in thousandths.
+    /// Share of the requests, in thousandths.
     pub share: u16,
-    /// Tokens of the largest prompt that it takes; `None` for all.
+    /// Maximum prompt size that it accepts, in tokens; `None` for no limit.
     pub max_prompt_tokens: Option<u64>,
 }
 
 impl Canary {
-    /// Returns whether a request belongs to its share, whose prompt has so many tokens.
+    /// Returns whether a request with a prompt of `prompt` tokens belongs to the canary's share.
     pub fn accepts(&self, id: &str, prompt: Option<u32>) -> bool {
-        let place = xxh3_64_with_seed(id.as_bytes(), self.order) % u64::from(FULL_SHARE);
+        let position = xxh3_64_with_seed(id.as_bytes(), self.order) % u64::from(FULL_SHARE);
         let is_small = self
             .max_prompt_tokens
             .is_none_or(|largest| u64::from(prompt.unwrap_or(0)) <= largest);
-        !self.endpoints.is_empty() && is_small && place < u64::from(self.share)
+        !self.endpoints.is_empty() && is_small && position < u64::from(self.share)
     }
 
-    /// Returns whether all requests are to go to it.
-    pub const fn is_whole(&self) -> bool {
+    /// Returns whether all requests go to it.
+    pub const fn takes_all(&self) -> bool {
         self.share >= FULL_SHARE
     }
 }
 
-/// What a request asks about its organisation's limit.
+/// Accounts that a request of an organisation is charged to.
 #[derive(Clone, Debug)]
 pub struct Accounts {
-    /// This entry's share.
+    /// Account of this entry's share of the limit.
     pub own: Arc<Account>,
-    /// What this entry grants to its zone, when it keeps that.
+    /// Account from which this entry grants units to its zone as the keeper.
     pub zone: Arc<Account>,
 }
 
-/// The immutable picture that requests are served from.
+/// Immutable snapshot of routes, endpoints and limits that requests are served from.
 #[derive(Debug, Default)]
 pub struct View {
-    /// The routes and keys; `None` until a document is known.
+    /// Routes and keys; `None` until a document is known.
     pub table: Option<Table>,
-    /// The services.
+    /// Services by name.
     pub services: HashMap<name::Service, Service>,
-    /// The endpoints of all services, by the hash of their identifiers.
+    /// Endpoints of all services, by [`Endpoint::hash`].
     pub by_hash: HashMap<u64, Arc<Endpoint>>,
-    /// The organisations' accounts.
+    /// Accounts by organisation.
     pub accounts: HashMap<name::Organisation, Accounts>,
-    /// Requests that are suspected of ending endpoints.
+    /// Requests suspected of crashing endpoints.
     pub suspects: quarantine::Table,
-    /// Who decides for the zone.
+    /// Keeper and deputy of the zone.
     pub keeping: Keepers,
-    /// The entries that grant requests to endpoints which name a rate.
+    /// Entries that grant requests to endpoints with an announced rate.
     pub granters: Arc<[granter::Candidate]>,
-    /// Whether endpoints have been read at least once.
+    /// Whether any endpoint is known.
     pub knows_endpoints: bool,
-    /// Whether the list of entries has been read, or what it tells was heard.
+    /// Whether the list of entries has been read.
     pub knows_entries: bool,
 }
 
 impl View {
-    /// Returns whether requests can be served from it.
-    pub const fn is_known(&self) -> bool {
+    /// Returns whether requests can be served from this view.
+    pub const fn can_serve(&self) -> bool {
         self.table.is_some() && self.knows_endpoints
     }
 
-    /// Returns whether requests can be judged by it: also what they count against limits is known.
+    /// Returns whether this view also contains what is needed to check limits.
     pub const fn is_complete(&self) -> bool {
-        self.is_known() && self.knows_entries
+        self.can_serve() && self.knows_entries
     }
 
     /// Returns whether a service's endpoints are model engines.
@@ -159,84 +161,85 @@
         service.is_some_and(|service| service.engine.is_some())
     }
 
-    /// Finds an endpoint by the hash of its identifier.
+    /// Returns an endpoint by [`Endpoint::hash`].
     pub fn endpoint(&self, hash: u64) -> Option<&Arc<Endpoint>> {
         self.by_hash.get(&hash)
     }
 }
 
-/// What all threads of one entry share.
+/// State shared by all threads of one entry.
 #[derive(Debug)]
 pub struct Shared {
-    /// What the entry was told.
+    /// Settings of the entry.
     pub settings: Settings,
-    /// How callers and endpoints name things.
+    /// Names of headers and fields that callers and endpoints use.
     pub dialect: Dialect,
-    /// The current picture.
+    /// Current view.
     pub view: ArcSwap<View>,
-    /// Wakes whoever waits for the first picture that requests can be served from.
+    /// Wakes tasks that wait for a view that requests can be served from.
     pub view_ready: Notify,
-    /// When the process started.
+    /// Start time of the process.
     pub started: Instant,
-    /// The clock.
+    /// Clock of the entry.
     pub clock: Clock,
-    /// The log.
+    /// Log of the entry.
     pub log: Log,
-    /// The metrics.
+    /// Metrics of the entry.
     pub metrics: Metrics,
-    /// Requests by organisation and window.
+    /// Number of requests by organisation and window.
     pub tally: Tally,
-    /// Which endpoints read which parts of prompts. Worker threads and the control thread hold it for microseconds.
+    /// Parts of prompts that endpoints have cached. Worker threads and the control thread hold the lock for
+    /// microseconds.
     pub recall: Mutex<CacheIndex>,
-    /// What the entries of the zone told this one as their keeper. Threads hold it for microseconds.
+    /// In-flight reports that the entries of the zone sent to this one as their keeper. Threads hold the lock for
+    /// microseconds.
     pub ledger: Mutex<Ledger>,
-    /// What this entry saw of the answers of two versions.
+    /// Evidence from the answers of two versions during a rollout.
     pub rollout_evidence: Arc<Collector>,
-    /// Wakes whoever tells the keeper that work under way began or ended.
+    /// Wakes the task that reports changes of in-flight requests to the keeper.
     pub in_flight_changed: Notify,
-    /// What requests tell the control thread.
+    /// Channel for notes from requests to the control thread.
     pub notes: UnboundedSender<Note>,
-    /// Whether the entry is about to end.
+    /// Whether the entry is stopping.
     pub stopping: AtomicBool,
-    /// Wakes whoever has something to do once the entry is about to end.
+    /// Wakes tasks that act when the entry begins to stop.
     pub stop: Notify,
-    /// Whether requests are refused because the entry ends before they could.
+    /// Whether new requests are refused because the entry would stop before they complete.
     pub closed: AtomicBool,
     /// Whether the entry is cut off from endpoints that its callers need.
     pub stranded: AtomicBool,
-    /// The newest version of the document that any entry is known to have.
+    /// Newest version of the document that any entry is known to have.
     pub newest_document: AtomicU64,
-    /// Whether this entry has lacked that for too long.
+    /// Whether this entry has lacked that version for too long.
     pub late: AtomicBool,
-    /// Requests under way.
+    /// Number of requests in flight.
     pub active: AtomicUsize,
 }
 
 impl Shared {
-    /// Lends the memory of which endpoints read which parts.
+    /// Locks the index of cached prompt parts.
     pub fn recall(&self) -> MutexGuard<'_, CacheIndex> {
         self.recall.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Lends what the entries of the zone told this one.
+    /// Locks the in-flight reports of the zone's entries.
     pub fn ledger(&self) -> MutexGuard<'_, Ledger> {
         self.ledger.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Returns whether the balancer may send callers.
+    /// Returns whether the load balancer may send callers to this entry.
     ///
-    /// Failure: a zone is cut off from the others, and its entries have no endpoint of some service there. Symptom: their
-    /// callers wait for connections to other zones and are refused. Entries that say they are not ready send their callers
-    /// to other zones, where they are served.
+    /// An entry is not ready while its zone is cut off and lacks endpoints of some service. Its callers would wait for
+    /// connections to other zones and be refused; entries in other zones can serve them.
     ///
-    /// Failure: an entry cannot get the newest document, though others have it. Symptom: its callers are handled by what the
-    /// operators have changed long ago. It sends them to those others; where most are late, the balancer uses all.
+    /// An entry is also not ready while it cannot get the newest document although others have it, since it would
+    /// handle callers by outdated configuration. If most entries are late, the load balancer uses all of them.
     pub fn is_ready(&self) -> bool {
         let view = self.view.load();
-        view.is_known() && !self.is_stopping() && !self.is_stranded() && !self.is_late()
+        view.can_serve() && !self.is_stopping() && !self.is_stranded() && !self.is_late()
     }
 
-    /// Returns whether another entry has a newer document than a picture.
+    /// Returns whether another entry has a newer document than `view`.
     pub fn is_behind(&self, view: &View) -> bool {
         let version = view.table.as_ref().map_or(0, |table| table.document().version);
         version < self.newest_document.load(Ordering::Acquire)
@@ -252,12 +255,12 @@
         self.stranded.load(Ordering::Acquire)
     }
 
-    /// Returns whether requests are refused because the entry ends before they could.
+    /// Returns whether new requests are refused because the entry would stop before they complete.
     pub fn is_closed(&self) -> bool {
         self.closed.load(Ordering::Acquire)
     }
 
-    /// Returns whether the entry is about to end.
+    /// Returns whether the entry is stopping.
     pub fn is_stopping(&self) -> bool {
         self.stopping.load(Ordering::Acquire)
     }
--- a/bergamotshift-forward/src/view/rates.rs
+++ b/bergamotshift-forward/src/view/rates.rs
@@ -1,4 +1,4 @@
-//! Takes in the rates that endpoints name for themselves.
+//! Applies the rates that endpoints announce for themselves.
 
 use bergamotshift_core::prelude::*;
 use bergamotshift_limit::throttle::RateLimit;
@@ -8,30 +8,30 @@
 use crate::endpoint::Endpoint;
 use crate::observe::Topic;
 
-/// Whose word it is.
+/// Origin of an announced rate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Origin<'a> {
-    /// The endpoint's own, in the answer to this request.
+    /// An answer of the endpoint itself to the request with this identifier.
     Answer(&'a str),
-    /// That of another entry, by its name or address.
+    /// Another entry, by its name or address.
     Entry(&'a str),
 }
 
 impl Shared {
-    /// Takes in a word of an endpoint's rate, and logs it when it is news.
-    pub fn apply_rate(&self, now: Instant, endpoint: &Endpoint, word: RateLimit, source: Origin<'_>) {
+    /// Applies a rate that an endpoint announced, and logs it if it changes the rate.
+    pub fn apply_rate(&self, now: Instant, endpoint: &Endpoint, limit: RateLimit, origin: Origin<'_>) {
         let before = endpoint.signals.throttle.rate();
-        let is_first_hand = matches!(source, Origin::Answer(_));
-        if !endpoint.signals.throttle.update(word, is_first_hand) {
+        let is_direct = matches!(origin, Origin::Answer(_));
+        if !endpoint.signals.throttle.update(limit, is_direct) {
             return;
         }
-        let (request, entry) = match source {
+        let (request, entry) = match origin {
             Origin::Answer(request) => (Some(request), None),
             Origin::Entry(entry) => (None, Some(entry)),
         };
         if let Some((logger, left_out)) = self.log.room(now, Topic::Belief) {
             info!(logger, "endpoint names its rate"; "endpoint" => endpoint.registration.id.as_str(),
-                "rate" => word.rate, "before" => before, "age_ms" => now.since(word.at).as_millis() as u64,
+                "rate" => limit.rate, "before" => before, "age_ms" => now.since(limit.at).as_millis() as u64,
                 "request" => request, "from" => entry.unwrap_or("answer"), "left_out" => left_out);
         }
     }
--- a/bergamotshift-forward/tests/kernel/view.rs
+++ b/bergamotshift-forward/tests/kernel/view.rs
@@ -1,4 +1,4 @@
-//! What requests are served from while an entry starts.
+//! Tests of the view during the start of an entry.
 
 use std::sync::Arc;
 
@@ -6,16 +6,17 @@
 use bergamotshift_forward::routes::Table;
 use bergamotshift_forward::view::View;
 
-/// Guards against callers who are refused for a limit that nobody is near, since they are judged before the entry has read who
-/// was. The pattern: all entries lose power, and their callers are back as soon as the document is.
+/// Guards against requests that are refused although no limit is reached, because they are checked before the entry has
+/// read the list of entries. This happens after all entries lose power: callers return as soon as the document is
+/// known.
 #[test]
-fn a_request_is_judged_once_the_list_of_entries_is_read_too() {
+fn a_view_is_complete_once_the_list_of_entries_is_read() {
     let mut view = View {
         table: Some(Table::new(Arc::new(Document::default()))),
         knows_endpoints: true,
         ..View::default()
     };
-    assert!(view.is_known(), "callers may come");
+    assert!(view.can_serve(), "callers may come");
     assert!(!view.is_complete());
     view.knows_entries = true;
     assert!(view.is_complete());
