--- a/bergamotshift-forward/src/endpoint/directory.rs
+++ b/bergamotshift-forward/src/endpoint/directory.rs
@@ -1,4 +1,6 @@
-//! Which endpoints there are: folds what the store says into marks that are never taken back.
+//! Maintains the known endpoints from registration events.
+//!
+//! An endpoint whose registration announced that it is leaving never returns to service.
 
 use core::cmp::Ordering;
 use core::time::Duration;
@@ -12,64 +14,65 @@
 use super::Endpoint;
 use super::Registration;
 
-/// How long after the store is back a registration that lapsed meanwhile may still be renewed; the platform promises
-/// about two seconds.
+/// Time after the last failed call of the store during which lapsed registrations may still be renewed; the platform
+/// guarantees about two seconds.
 const RENEWAL_GRACE: Duration = Duration::from_millis(2_300);
 
-/// How long a leaving endpoint is remembered after its registration went: its last requests end within this time, and
-/// no old listing can bring it back.
+/// Time for which an endpoint is kept after its registration was removed. Its last requests end within this time, and
+/// no outdated list can bring it back.
 const REMOVED_RETENTION: Duration = Duration::from_mins(1);
 
 /// One change of a registration.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// It was written.
+    /// A registration was written.
     Written(Registration),
-    /// It was taken away.
+    /// The registration with this identifier was removed.
     Removed(SmolStr),
-    /// What stands there is no registration; somebody else wrote it, and it names no endpoint.
+    /// The stored value is no valid registration, for instance because a third party overwrote it.
     Unreadable {
-        /// The identifier under which it stands.
+        /// Identifier of the registration.
         id: SmolStr,
-        /// Why it cannot be read.
+        /// Reason why it cannot be read.
         cause: bergamotshift_platform::Error,
     },
 }
 
-/// Something that the store, or the lack of it, tells.
+/// Event that updates the directory.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// All registrations as of one moment.
+    /// All registrations as of one point in time, read from the store.
     Listed(Vec<Registration>),
-    /// What changed since the last event.
+    /// Changes since the last event.
     Changed(Vec<Change>),
-    /// All registrations that another entry knows from a newer moment.
+    /// All registrations known to another entry as of a newer point in time.
     Relayed(Vec<Registration>),
     /// A call of the store failed.
     StoreFailed,
 }
 
+/// Endpoint with the state of its registration.
 #[derive(Clone, Debug)]
 struct Record {
     endpoint: Arc<Endpoint>,
-    /// Since when its registration is missing without proof that it left.
+    /// Time since which its registration is missing without proof that it was removed.
     lapsed_since: Option<Instant>,
-    /// Since when it is gone.
+    /// Time since which it is known to be removed.
     gone_since: Option<Instant>,
-    /// Whether it said itself that it leaves; no later word takes that back.
+    /// Whether its registration announced that it is leaving; later registrations do not revoke this.
     announced_leaving: bool,
 }
 
-/// Folds events into the endpoints that may get work.
+/// Set of known endpoints, updated by events.
 #[derive(Debug, Default)]
 pub struct Directory {
     records: BTreeMap<SmolStr, Record>,
-    /// When a call of the store last failed.
+    /// Time of the last failed call of the store.
     store_failed_at: Option<Instant>,
 }
 
 impl Directory {
-    /// Takes an event in and returns the endpoints that stopped taking work by it.
+    /// Applies an event, and returns the endpoints that it removed from service.
     pub fn apply(&mut self, now: Instant, event: Event) -> Vec<Arc<Endpoint>> {
         let mut leaving = Vec::new();
         match event {
@@ -102,63 +105,64 @@
         leaving
     }
 
-    /// Returns the endpoints that are not gone.
+    /// Returns the endpoints that are not removed.
     pub fn endpoints(&self) -> impl Iterator<Item = &Arc<Endpoint>> {
         let present = self.records.values().filter(|record| record.gone_since.is_none());
         present.map(|record| &record.endpoint)
     }
 
-    /// Returns the registrations of all endpoints that are not gone, for an entry that cannot read them itself.
+    /// Returns the registrations of all endpoints that are not removed, for entries whose registrations are older.
     pub fn registrations(&self) -> Vec<Registration> {
-        let told = |endpoint: &Arc<Endpoint>| Registration {
+        let registration = |endpoint: &Arc<Endpoint>| Registration {
             leaving: endpoint.is_withdrawn(),
             ..endpoint.registration.clone()
         };
-        self.endpoints().map(told).collect()
+        self.endpoints().map(registration).collect()
     }
 
-    /// Returns whether every missing registration is proof by now; until then nothing that is known here may count as
-    /// newer than what others know.
+    /// Returns whether no registration has lapsed without proof of removal. Until then this directory must not count as
+    /// newer than that of other entries.
     pub fn is_settled(&self) -> bool {
         self.records.values().all(|record| record.lapsed_since.is_none())
     }
 
-    /// Returns a digest of the endpoints that are registered and of those among them that leave.
+    /// Returns a digest of the registered endpoints, including which of them are leaving.
     ///
-    /// What this entry alone knows, from answers, does not count: others would look as if they knew something else.
+    /// Signals from answers are excluded: only this entry received them, so its digest would differ from those of
+    /// others.
     ///
-    /// What lapsed does not count: another entry that knows it to be gone has the same, and this one learns from that how
-    /// fresh its own knowledge is.
+    /// Lapsed registrations are excluded too: an entry that knows them to be removed then has the same digest, and
+    /// confirms how fresh this directory is.
     pub fn digest(&self) -> u64 {
         let registered = self
             .records
             .values()
             .filter(|record| record.gone_since.is_none() && record.lapsed_since.is_none());
-        let marks = registered
+        let hashes = registered
             .map(|record| &record.endpoint)
             .map(|endpoint| endpoint.hash.rotate_left(u32::from(endpoint.is_withdrawn())));
-        marks.fold(0, u64::wrapping_add)
+        hashes.fold(0, u64::wrapping_add)
     }
 
-    /// Finds an endpoint by the hash of its identifier.
+    /// Returns an endpoint by [`Endpoint::hash`].
     pub fn by_hash(&self, hash: u64) -> Option<&Arc<Endpoint>> {
         self.endpoints().find(|endpoint| endpoint.hash == hash)
     }
 
-    /// A registration was written.
+    /// Inserts or updates an endpoint from its registration.
     ///
-    /// Failure: an endpoint crashes and starts again under its identifier. Symptom: it is taken to hold the cached parts,
-    /// the work and the marks of the incarnation before, whose late words hide it. An incarnation that started later takes
-    /// the place of the one before; a word of an earlier one says nothing any more.
+    /// An endpoint that crashes and restarts keeps its identifier but not its cache, requests or state, so a later
+    /// incarnation replaces the earlier one. Delayed registrations of an earlier incarnation are ignored; otherwise
+    /// they would hide the new one.
     fn upsert(&mut self, registration: Registration, leaving: &mut Vec<Arc<Endpoint>>) {
-        let leaves = registration.leaving;
-        let before = self.records.get(&registration.id);
-        match before.map(|record| record.endpoint.registration.born.cmp(&registration.born)) {
+        let is_leaving = registration.leaving;
+        let previous = self.records.get(&registration.id);
+        match previous.map(|record| record.endpoint.registration.born.cmp(&registration.born)) {
             Some(Ordering::Greater) => return,
             Some(Ordering::Less) => {
-                let ended = self.records.remove(&registration.id);
+                let replaced = self.records.remove(&registration.id);
                 leaving.extend(
-                    ended
+                    replaced
                         .map(|record| record.endpoint)
                         .filter(|endpoint| endpoint.mark_leaving()),
                 );
@@ -169,31 +173,34 @@
             endpoint: Arc::new(Endpoint::new(registration.clone())),
             lapsed_since: None,
             gone_since: None,
-            announced_leaving: leaves,
+            announced_leaving: is_leaving,
         });
         record.lapsed_since = None;
-        record.announced_leaving |= leaves;
+        record.announced_leaving |= is_leaving;
         if record.announced_leaving {
             if record.endpoint.mark_leaving() {
                 leaving.push(Arc::clone(&record.endpoint));
             }
         } else if record.gone_since.take().is_some() {
-            // It was only missing, because it or the store was cut off.
+            // The registration was only missing because the endpoint or the store was cut off.
             record.endpoint = Arc::new(record.endpoint.reregistered(registration));
         }
     }
 
-    /// A registration is missing.
+    /// Handles a missing registration.
     ///
-    /// Failure: the store was away, and registrations lapsed because nobody could renew them. Symptom: every endpoint
-    /// looks gone at once and all callers are refused. Right after such a time a missing registration proves nothing
-    /// until the endpoints had time to renew it; that is enough, since the platform promises when it is proof again.
+    /// Registrations lapse while the store is unavailable, because endpoints cannot renew them. If that counted as
+    /// removal, all endpoints would disappear at once and all callers would be refused. After a failed call of the
+    /// store, a missing registration therefore proves nothing until [`RENEWAL_GRACE`] is over; the platform guarantees
+    /// renewal within that time.
     fn remove(&mut self, now: Instant, id: &SmolStr, leaving: &mut Vec<Arc<Endpoint>>) {
-        let unsure = self.store_failed_at.is_some_and(|lost| now.since(lost) < RENEWAL_GRACE);
+        let is_inconclusive = self
+            .store_failed_at
+            .is_some_and(|failed| now.since(failed) < RENEWAL_GRACE);
         let Some(record) = self.records.get_mut(id).filter(|record| record.gone_since.is_none()) else {
             return;
         };
-        if unsure && !record.announced_leaving {
+        if is_inconclusive && !record.announced_leaving {
             record.lapsed_since.get_or_insert(now);
             return;
         }
@@ -203,15 +210,15 @@
         }
     }
 
-    /// Settles what lapsed by what is known as of a moment, forgets what is long gone, and returns the endpoints that
-    /// stopped taking work.
+    /// Removes lapsed endpoints if the registrations known as of `as_of` prove that they are gone, drops endpoints that
+    /// were removed long ago, and returns the endpoints that stopped accepting requests.
     pub fn settle(&mut self, now: Instant, as_of: Instant) -> Vec<Arc<Endpoint>> {
         let mut leaving = Vec::new();
-        let calm = self
+        let is_conclusive = self
             .store_failed_at
-            .is_none_or(|lost| as_of.since(lost) >= RENEWAL_GRACE);
+            .is_none_or(|failed| as_of.since(failed) >= RENEWAL_GRACE);
         for record in self.records.values_mut() {
-            if calm && record.lapsed_since.take().is_some() {
+            if is_conclusive && record.lapsed_since.take().is_some() {
                 record.gone_since = Some(now);
                 if record.endpoint.mark_leaving() {
                     leaving.push(Arc::clone(&record.endpoint));
--- a/bergamotshift-forward/src/endpoint/health.rs
+++ b/bergamotshift-forward/src/endpoint/health.rs
@@ -1,4 +1,4 @@
-//! How an endpoint fared lately: whether it can be reached, and how often it fails.
+//! Health of an endpoint: whether it can be reached, and how often it fails.
 
 use core::sync::atomic::AtomicU32;
 use core::sync::atomic::Ordering::Relaxed;
@@ -7,35 +7,35 @@
 use bergamotshift_core::clock::Expiry;
 use bergamotshift_core::prelude::*;
 
-/// The first pause after an endpoint could not be reached; a crashed one is back after some seconds.
+/// Backoff after the first failure to reach an endpoint. A crashed endpoint is back after some seconds.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(250);
 
-/// The longest pause, so that an endpoint that is back serves again soon after.
+/// Maximum backoff, short enough that a restarted endpoint serves again soon.
 const MAX_BACKOFF: Duration = Duration::from_secs(2);
 
-/// The share of failures that counts as all, in thousandths.
+/// Failure rate of 100 %, in thousandths.
 const FULL_RATE: u32 = 1_000;
 
-/// A failure moves the share of failures this part of the way up: four in a row make it two thirds.
+/// Inverse weight of a failure in the moving average: four failures in a row raise the rate to two thirds.
 const RISE_DIVISOR: u32 = 4;
 
-/// A success moves it this part of the way down, slower than failures raise it: an endpoint that fails two in five
-/// must not look sound after each good answer.
+/// Inverse weight of a success in the moving average. A success weighs less than a failure, so that an endpoint that
+/// fails two of five requests does not look healthy after each success.
 const FALL_DIVISOR: u32 = 12;
 
-/// Tells how an endpoint fared lately; all methods are lock-free.
+/// Recent health of an endpoint; all methods are lock-free.
 #[derive(Debug, Default)]
 pub struct Health {
-    /// Its share of failures lately, in thousandths.
+    /// Moving average of the failure rate, in thousandths.
     failure_rate: AtomicU32,
-    /// Failures to reach it in a row.
+    /// Number of consecutive failures to reach it.
     consecutive_unreachable: AtomicU32,
-    /// Until when it is passed over.
+    /// Time until which it receives no requests.
     paused_until: Expiry,
 }
 
 impl Health {
-    /// Notes an answer that an endpoint in order gives.
+    /// Records a successful answer, and ends a backoff.
     pub fn record_success(&self) {
         self.consecutive_unreachable.store(0, Relaxed);
         self.paused_until.set(Instant::ZERO);
@@ -43,26 +43,26 @@
             .update(Relaxed, Relaxed, |rate| rate - rate.div_ceil(FALL_DIVISOR));
     }
 
-    /// Notes a failure of a request that the endpoint had.
+    /// Records a failed request.
     pub fn record_failure(&self) {
         self.failure_rate
             .update(Relaxed, Relaxed, |rate| rate + (FULL_RATE - rate) / RISE_DIVISOR);
     }
 
-    /// Notes that the endpoint could not be reached, or went silent.
+    /// Records that the endpoint could not be reached or stopped responding, and starts an exponential backoff.
     pub fn record_unreachable(&self, now: Instant) {
         self.record_failure();
         let before = self.consecutive_unreachable.fetch_add(1, Relaxed).min(8);
-        let pause = INITIAL_BACKOFF.saturating_mul(1 << before).min(MAX_BACKOFF);
-        self.paused_until.set(now + pause);
+        let backoff = INITIAL_BACKOFF.saturating_mul(1 << before).min(MAX_BACKOFF);
+        self.paused_until.set(now + backoff);
     }
 
-    /// Returns whether the endpoint is passed over for now.
+    /// Returns whether the endpoint is in backoff.
     pub fn is_paused(&self, now: Instant) -> bool {
         self.paused_until.after(now).is_some()
     }
 
-    /// Returns its share of failures lately, between 0 and 1.
+    /// Returns the recent failure rate, between 0 and 1.
     pub fn failure_rate(&self) -> f64 {
         f64::from(self.failure_rate.load(Relaxed)) / f64::from(FULL_RATE)
     }
--- a/bergamotshift-forward/src/endpoint/ledger.rs
+++ b/bergamotshift-forward/src/endpoint/ledger.rs
@@ -1,4 +1,4 @@
-//! What the entries of a zone have under way, as they tell the entry that chooses endpoints for them.
+//! Tracks the requests that a zone's entries have in flight, for the keeper that chooses endpoints for them.
 
 use core::time::Duration;
 use std::collections::HashMap;
@@ -8,64 +8,67 @@
 use super::Endpoint;
 use crate::peers::InFlight;
 
-/// How long what an entry told counts. Entries with work under way tell several times a second; one that was killed has
-/// none any more.
+/// Time for which an entry's report counts. Entries with requests in flight report several times a second, and a killed
+/// entry has none left.
 const REPORT_TTL: Duration = Duration::from_secs(3);
 
-/// What one entry has under way.
+/// Requests that one entry has in flight.
 #[derive(Debug, Default)]
 struct Report {
+    /// Time of the last report.
     received: Instant,
+    /// Requests in flight, by the endpoint's hash.
     in_flight: HashMap<u64, InFlight>,
 }
 
-/// Adds up what the entries of a zone have under way at each endpoint.
+/// Sums up the requests that the entries of a zone have in flight at each endpoint.
 ///
-/// Failure: dozens of entries choose by figures that are a second old. Symptom: some send to the same engine at once while
-/// others stand idle, and one stream in eight begins late. Who chooses for all counts each choice at once, and what an
-/// entry tells next replaces all that it told before, so a lost message or an entry that ends leaves nothing behind.
+/// If dozens of entries chose endpoints by figures that are a second old, several would send to the same engine while
+/// others are idle, and one stream in eight would begin late. The keeper chooses for all entries and counts each choice
+/// at once. The next report of an entry replaces its previous one, so lost messages and stopped entries leave no stale
+/// counts.
 #[derive(Debug, Default)]
 pub struct Ledger {
     entries: HashMap<name::Entry, Report>,
 }
 
 impl Ledger {
-    /// Takes in all that an entry has under way; returns the endpoints whose sums changed.
-    pub fn update(&mut self, now: Instant, entry: &name::Entry, flown: &[InFlight]) -> Vec<u64> {
-        let flown = flown.iter().map(|one| (one.endpoint, *one)).collect();
-        let told = self.entries.entry(entry.clone()).or_default();
-        told.received = now;
-        let before = core::mem::replace(&mut told.in_flight, flown);
-        before.into_keys().chain(told.in_flight.keys().copied()).collect()
+    /// Replaces an entry's in-flight requests, and returns the endpoints whose sums may have changed.
+    pub fn update(&mut self, now: Instant, entry: &name::Entry, in_flight: &[InFlight]) -> Vec<u64> {
+        let in_flight = in_flight.iter().map(|one| (one.endpoint, *one)).collect();
+        let report = self.entries.entry(entry.clone()).or_default();
+        report.received = now;
+        let before = core::mem::replace(&mut report.in_flight, in_flight);
+        before.into_keys().chain(report.in_flight.keys().copied()).collect()
     }
 
-    /// Counts a request that this entry placed for another one.
+    /// Counts a request for which this entry chose an endpoint on behalf of another one.
     pub fn record_placement(&mut self, entry: &name::Entry, endpoint: u64, unread: u64) {
-        let told = self.entries.entry(entry.clone()).or_default();
-        let flown = told.in_flight.entry(endpoint).or_insert(InFlight::none(endpoint));
-        flown.running += 1;
-        flown.unread += unread;
+        let report = self.entries.entry(entry.clone()).or_default();
+        let in_flight = report.in_flight.entry(endpoint).or_insert(InFlight::none(endpoint));
+        in_flight.running += 1;
+        in_flight.unread += unread;
     }
 
-    /// Sets what an endpoint has under way by this entry's choice.
+    /// Sets the load that this entry placed at an endpoint to the sum over all reports.
     pub fn apply_to(&self, endpoint: &Endpoint) {
         let here = self
             .entries
             .values()
-            .filter_map(|told| told.in_flight.get(&endpoint.hash));
-        let (running, unread) = here.fold((0, 0), |(running, unread), flown| {
-            (running + flown.running, unread + flown.unread)
+            .filter_map(|report| report.in_flight.get(&endpoint.hash));
+        let (running, unread) = here.fold((0, 0), |(running, unread), load| {
+            (running + load.running, unread + load.unread)
         });
         endpoint.placed.set(running, unread);
     }
 
-    /// Returns whether an entry told lately.
+    /// Returns whether an entry has a current report.
     pub fn contains(&self, entry: &name::Entry) -> bool {
         self.entries.contains_key(entry)
     }
 
-    /// Forgets what was told long ago.
+    /// Removes expired reports.
     pub fn expire(&mut self, now: Instant) {
-        self.entries.retain(|_, told| now.since(told.received) < REPORT_TTL);
+        self.entries.retain(|_, report| now.since(report.received) < REPORT_TTL);
     }
 }
--- a/bergamotshift-forward/src/endpoint/mod.rs
+++ b/bergamotshift-forward/src/endpoint/mod.rs
@@ -1,4 +1,4 @@
-//! Endpoints: what they registered, and what this entry knows of each beside that.
+//! Endpoints: their registrations, health, load and announcements.
 
 mod directory;
 mod health;
@@ -28,75 +28,76 @@
 use crate::peers::InFlight;
 use crate::rollouts::Observer;
 
-/// What an endpoint says of itself where all endpoints register.
+/// Registration of an endpoint in the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Registration {
-    /// Names the endpoint; a restart may keep the name.
+    /// Identifier of the endpoint; it may stay the same after a restart.
     pub id: SmolStr,
-    /// When its process started, in milliseconds since the start of 1970; 0 where it does not say. With the name, it tells
-    /// one incarnation from the next.
+    /// Start time of its process, in milliseconds since the Unix epoch; 0 if unknown. Together with the identifier it
+    /// distinguishes incarnations.
     pub born: u64,
-    /// The service that it runs.
+    /// Service that it runs.
     pub service: name::Service,
-    /// The version of its software.
+    /// Version of its software.
     pub version: SmolStr,
-    /// Where it listens.
+    /// Address that it listens on.
     pub address: SocketAddr,
-    /// Its availability zone.
+    /// Availability zone.
     pub zone: name::Zone,
-    /// Requests that it runs at once.
+    /// Number of requests that it runs concurrently.
     pub slots: u32,
-    /// Whether it is about to leave and takes no new work.
+    /// Whether it is leaving and accepts no new requests.
     pub leaving: bool,
-    /// Whether the platform may reclaim it, all of a zone at once.
+    /// Market of its VM. The platform may reclaim all reclaimable VMs of a zone at once.
     pub market: Market,
-    /// How long until it is reclaimed, when that is known.
+    /// Time until it is reclaimed, if known.
     pub leaves_in: Option<Duration>,
 }
 
-/// Work that is under way at an endpoint.
+/// Requests and prompt tokens in flight at an endpoint.
 #[derive(Debug, Default)]
 pub struct Load {
-    /// Requests that were sent and have not ended.
+    /// Number of requests that were sent and have not ended.
     pub running: AtomicU32,
-    /// Prompt tokens that are still to be read before those requests' first events.
+    /// Prompt tokens of those requests that the endpoint has not read yet; reading ends with a request's first event.
     pub unread: AtomicU64,
 }
 
 impl Load {
-    /// Sets both figures.
+    /// Sets both values.
     pub fn set(&self, running: u32, unread: u64) {
         self.running.store(running, Relaxed);
         self.unread.store(unread, Relaxed);
     }
 }
 
-/// One incarnation of an endpoint, with what this entry knows of it.
+/// One incarnation of an endpoint, with this entry's knowledge of it.
 #[derive(Debug)]
 pub struct Endpoint {
-    /// What it registered when it was first seen.
+    /// Registration at the time when it was first seen.
     pub registration: Registration,
-    /// A hash of its identifier and the start of its process, the same on every entry. What is known of one incarnation
-    /// (cached parts, work under way, suspicions) is known by this, so nothing of it is held against the next one.
+    /// Hash of its identifier and process start time, the same on every entry. Cached prompt parts, in-flight requests
+    /// and suspicions are keyed by this hash, so they do not carry over to the next incarnation.
     pub hash: u64,
-    /// What this entry has under way there.
+    /// Load that this entry itself placed there.
     pub own: Load,
-    /// What the other entries have under way there, as they last said.
+    /// Load of the other entries, as last reported.
     pub others: Load,
-    /// What the entries of the zone have under way there by the choice of this one, their keeper.
+    /// Load of the zone's entries that this entry placed there as their keeper.
     pub placed: Load,
-    /// How it fared lately.
+    /// Recent failures.
     pub health: Health,
-    /// What it said of itself in its answers; outlives a time in which it is not registered.
+    /// Signals from its answers; kept while it is temporarily not registered.
     pub signals: Arc<Signals>,
+    /// Whether its registration is leaving or gone.
     leaving: AtomicBool,
-    /// Whether nothing was heard from its zone just now.
+    /// Whether its zone sent no recent update.
     silent: AtomicBool,
 }
 
 impl Endpoint {
-    /// Makes an endpoint from its registration.
+    /// Creates an endpoint from its registration.
     pub fn new(registration: Registration) -> Self {
         Self {
             hash: xxh3_64_with_seed(registration.id.as_bytes(), registration.born),
@@ -111,7 +112,7 @@
         }
     }
 
-    /// Makes it anew for the same incarnation, which was not registered for a time; what it said of itself stands.
+    /// Creates it anew for the same incarnation after its registration was missing; its signals are kept.
     #[must_use]
     pub fn reregistered(&self, registration: Registration) -> Self {
         Self {
@@ -120,112 +121,113 @@
         }
     }
 
-    /// Notes whether nothing was heard from its zone just now.
+    /// Sets whether its zone sent no recent update.
     pub fn set_silent(&self, silent: bool) {
         self.silent.store(silent, Relaxed);
     }
 
-    /// Returns whether nothing was heard from its zone just now, so that it may be cut off.
+    /// Returns whether its zone sent no recent update, so that it may be cut off.
     pub fn is_silent(&self) -> bool {
         self.silent.load(Relaxed)
     }
 
-    /// Returns whether it takes no new work; once true, it stays true for this incarnation.
+    /// Returns whether it accepts no new requests; once true, this stays true for the incarnation.
     pub fn is_leaving(&self) -> bool {
         self.is_withdrawn() || self.signals.is_leaving()
     }
 
-    /// Returns whether it takes no new work by what is registered, which all entries come to know alike.
+    /// Returns whether it accepts no new requests according to its registration, which all entries eventually agree on.
     pub fn is_withdrawn(&self) -> bool {
         self.leaving.load(Relaxed)
     }
 
-    /// Returns until when this entry sends it nothing; `None` when it may be sent something.
+    /// Returns the time until which this entry sends it no requests; `None` if it may send requests now.
     pub fn closed_until(&self, now: Instant) -> Option<Instant> {
         self.signals
             .paused_until(now)
             .max(self.signals.throttle.paused_until(now))
     }
 
-    /// Marks it as leaving by what is registered, and returns whether that is news.
+    /// Marks it as leaving according to its registration; returns whether it was not marked before.
     pub fn mark_leaving(&self) -> bool {
         !self.leaving.swap(true, Relaxed)
     }
 
-    /// Returns the requests under way there from all entries.
+    /// Returns the number of requests in flight there from all entries.
     pub fn running(&self) -> u32 {
         let all = [&self.own, &self.others, &self.placed];
-        all.iter().map(|flight| flight.running.load(Relaxed)).sum()
+        all.iter().map(|load| load.running.load(Relaxed)).sum()
     }
 
-    /// Returns the prompt tokens still to be read there for all entries.
+    /// Returns the number of prompt tokens not yet read there for all entries.
     pub fn unread(&self) -> u64 {
         let all = [&self.own, &self.others, &self.placed];
-        all.iter().map(|flight| flight.unread.load(Relaxed)).sum()
+        all.iter().map(|load| load.unread.load(Relaxed)).sum()
     }
 
-    /// Returns what this entry has under way there, with what it placed for its zone if that is to count.
+    /// Returns the load of this entry there; `with_placed` adds the load that it placed for its zone as the keeper.
     pub fn in_flight(&self, with_placed: bool) -> InFlight {
         let counted = [Some(&self.own), Some(&self.placed).filter(|_| with_placed)];
-        let flights = counted.into_iter().flatten();
-        flights.fold(InFlight::none(self.hash), |flown, flight| InFlight {
-            running: flown.running + flight.running.load(Relaxed),
-            unread: flown.unread + flight.unread.load(Relaxed),
-            ..flown
+        let loads = counted.into_iter().flatten();
+        loads.fold(InFlight::none(self.hash), |sum, load| InFlight {
+            running: sum.running + load.running.load(Relaxed),
+            unread: sum.unread + load.unread.load(Relaxed),
+            ..sum
         })
     }
 }
 
-/// Counts one request as under way at an endpoint until it is dropped.
+/// Guard that counts one request as in flight at an endpoint until it is dropped.
 #[derive(Debug)]
 pub struct RequestGuard {
     endpoint: Arc<Endpoint>,
+    /// Prompt tokens of the request that have not been read yet.
     unread: u64,
-    /// Sees what comes of the request while two versions are compared.
-    witness: Option<Observer>,
+    /// Records the outcome of the request while two versions are compared.
+    observer: Option<Observer>,
 }
 
 impl RequestGuard {
-    /// Takes a seat for a request of which `unread` prompt tokens are to be read.
+    /// Counts a request of which `unread` prompt tokens have to be read.
     pub fn take(endpoint: Arc<Endpoint>, unread: u64) -> Self {
         endpoint.own.running.fetch_add(1, Relaxed);
         endpoint.own.unread.fetch_add(unread, Relaxed);
         Self {
             endpoint,
             unread,
-            witness: None,
+            observer: None,
         }
     }
 
-    /// Has a witness see what comes of the request.
+    /// Adds an observer that records the outcome of the request.
     #[must_use]
-    pub fn with_witness(mut self, witness: Option<Observer>) -> Self {
-        self.witness = witness;
+    pub fn with_witness(mut self, observer: Option<Observer>) -> Self {
+        self.observer = observer;
         self
     }
 
-    /// Notes that the answer came whole and tells no failure.
+    /// Records that the answer arrived completely and reports no failure.
     pub fn record_success(&self) {
         self.endpoint.health.record_success();
     }
 
-    /// Notes that the answer tells a failure, broke off or cannot be used.
+    /// Records that the answer reports a failure, was cut off or is invalid.
     pub fn record_failure(&mut self) {
         self.endpoint.health.record_failure();
         self.record_version_failure();
     }
 
-    /// Notes a failure where the endpoint's health is noted elsewhere.
+    /// Records a failure for the version comparison only; the caller updates the endpoint's health.
     pub fn record_version_failure(&mut self) {
-        if let Some(witness) = &mut self.witness {
-            witness.failed();
+        if let Some(observer) = &mut self.observer {
+            observer.failed();
         }
     }
 
-    /// Notes that the answer began.
+    /// Records that the answer began.
     pub fn record_start(&mut self) {
-        if let Some(witness) = &mut self.witness {
-            witness.began();
+        if let Some(observer) = &mut self.observer {
+            observer.began();
         }
     }
 
@@ -234,13 +236,13 @@
         &self.endpoint
     }
 
-    /// Notes that the prompt was read: the first event has come; returns whether that is news.
+    /// Records that the prompt was read because the first event arrived; returns whether unread tokens were left.
     pub fn mark_prompt_read(&mut self) -> bool {
         self.record_start();
         self.take_unread() > 0
     }
 
-    /// Counts the prompt as read no more; returns its tokens.
+    /// Removes the unread tokens of this request from the endpoint's count, and returns their number.
     fn take_unread(&mut self) -> u64 {
         let unread = core::mem::take(&mut self.unread);
         self.endpoint.own.unread.fetch_sub(unread, Relaxed);
--- a/bergamotshift-forward/src/endpoint/signals.rs
+++ b/bergamotshift-forward/src/endpoint/signals.rs
@@ -1,4 +1,4 @@
-//! What an endpoint says of itself in its answers.
+//! Signals that an endpoint sends in its answers.
 
 use core::sync::atomic::AtomicBool;
 use core::sync::atomic::Ordering::Relaxed;
@@ -7,33 +7,34 @@
 use bergamotshift_core::prelude::*;
 use bergamotshift_limit::throttle::Throttle;
 
-/// What one incarnation of an endpoint said of itself; no registration takes any of it back.
+/// Signals from the answers of one incarnation of an endpoint; registrations do not override them.
 #[derive(Debug, Default)]
 pub struct Signals {
-    /// The rate that it names.
+    /// Rate that it announces.
     pub throttle: Throttle,
+    /// Whether it announced that it is leaving.
     leaving: AtomicBool,
-    /// Until when it wants nothing from this entry.
+    /// Time until which it accepts no requests from this entry.
     paused: Expiry,
 }
 
 impl Signals {
-    /// Returns whether it said that it leaves.
+    /// Returns whether it announced that it is leaving.
     pub fn is_leaving(&self) -> bool {
         self.leaving.load(Relaxed)
     }
 
-    /// Notes that it said that it leaves, and returns whether that is news.
+    /// Records that it announced that it is leaving; returns whether this was not known before.
     pub fn mark_leaving(&self) -> bool {
         !self.leaving.swap(true, Relaxed)
     }
 
-    /// Notes until when it wants nothing from this entry; an earlier time takes nothing back.
+    /// Pauses requests from this entry until `until`; an earlier time does not shorten a pause.
     pub fn pause_until(&self, until: Instant) {
         self.paused.extend(until);
     }
 
-    /// Returns until when it wants nothing from this entry; `None` when it said no such time, or that is over.
+    /// Returns the time until which it accepts no requests from this entry; `None` if no pause is in force.
     pub fn paused_until(&self, now: Instant) -> Option<Instant> {
         self.paused.after(now)
     }
--- a/bergamotshift-forward/tests/kernel/ledger.rs
+++ b/bergamotshift-forward/tests/kernel/ledger.rs
@@ -1,4 +1,4 @@
-//! What the keeper of a zone counts as under way.
+//! Tests of the in-flight requests that the keeper of a zone counts.
 
 use bergamotshift_core::prelude::*;
 use bergamotshift_forward::endpoint::Endpoint;
@@ -23,7 +23,7 @@
     })
 }
 
-fn flown(endpoint: &Endpoint, running: u32, unread: u64) -> InFlight {
+fn in_flight(endpoint: &Endpoint, running: u32, unread: u64) -> InFlight {
     InFlight {
         endpoint: endpoint.hash,
         running,
@@ -31,41 +31,41 @@
     }
 }
 
-fn sum(ledger: &Ledger, endpoint: &Endpoint) -> (u32, u64) {
+fn load(ledger: &Ledger, endpoint: &Endpoint) -> (u32, u64) {
     ledger.apply_to(endpoint);
     (endpoint.running(), endpoint.unread())
 }
 
-/// Two entries send to an engine by the keeper's choice. Each choice counts before the entry that asked says anything of
-/// it, or the next request would go to the same engine; what the entry says next stands for all that it has there.
+/// Two entries send requests to an engine that the keeper chose. Each choice counts before the entry reports it, or the
+/// next request would go to the same engine. The entry's next report replaces all of its counts.
 #[test]
-fn a_choice_counts_at_once_and_until_its_entry_says_otherwise() {
+fn a_placement_counts_at_once_and_until_the_next_report() {
     let endpoint = endpoint();
     let (one, two) = (name::Entry::new("entry-1"), name::Entry::new("entry-2"));
     let mut ledger = Ledger::default();
     ledger.update(at(0), &one, &[]);
     ledger.record_placement(&one, endpoint.hash, 900);
-    ledger.update(at(0), &two, &[flown(&endpoint, 1, 100)]);
+    ledger.update(at(0), &two, &[in_flight(&endpoint, 1, 100)]);
     ledger.record_placement(&two, endpoint.hash, 50);
-    assert_eq!(sum(&ledger, &endpoint), (3, 1_050));
-    let changed = ledger.update(at(100), &one, &[flown(&endpoint, 1, 0)]);
+    assert_eq!(load(&ledger, &endpoint), (3, 1_050));
+    let changed = ledger.update(at(100), &one, &[in_flight(&endpoint, 1, 0)]);
     assert_eq!(changed, [endpoint.hash, endpoint.hash]);
-    assert_eq!(sum(&ledger, &endpoint), (3, 150));
+    assert_eq!(load(&ledger, &endpoint), (3, 150));
     ledger.update(at(200), &two, &[]);
-    assert_eq!(sum(&ledger, &endpoint), (1, 0));
+    assert_eq!(load(&ledger, &endpoint), (1, 0));
 }
 
-/// An entry is killed with requests under way. Its engines are free again, though it never says so.
+/// An entry is killed with requests in flight and sends no further report. Its requests must not count any longer.
 #[test]
 fn what_an_entry_that_ended_had_is_forgotten() {
     let endpoint = endpoint();
     let entry = name::Entry::new("entry-1");
     let mut ledger = Ledger::default();
-    ledger.update(at(0), &entry, &[flown(&endpoint, 2, 5_000)]);
+    ledger.update(at(0), &entry, &[in_flight(&endpoint, 2, 5_000)]);
     ledger.expire(at(2_000));
     assert!(ledger.contains(&entry));
-    assert_eq!(sum(&ledger, &endpoint), (2, 5_000));
+    assert_eq!(load(&ledger, &endpoint), (2, 5_000));
     ledger.expire(at(4_000));
     assert!(!ledger.contains(&entry));
-    assert_eq!(sum(&ledger, &endpoint), (0, 0));
+    assert_eq!(load(&ledger, &endpoint), (0, 0));
 }
