--- a/bergamotshift-forward/src/control/behind.rs
+++ b/bergamotshift-forward/src/control/behind.rs
@@ -85,26 +85,26 @@
         }
     }
 
-    /// Puts a document in force that another entry provided; `took` is the duration of the fetch.
+    /// Puts a document in force that was downloaded from another entry; `took` is the duration of the download.
     ///
     /// # Errors
     ///
     /// Returns [`Mismatch`] if the update does not start from the version in force.
-    pub fn apply_update(&self, holder: &Holder, arrival: Download, took: Duration) -> Result<(), Mismatch> {
+    pub fn apply_update(&self, holder: &Holder, download: Download, took: Duration) -> Result<(), Mismatch> {
         let now = self.now();
         let mut inner = self.inner.borrow_mut();
-        let (document, steps) = arrival.update.apply(&inner.document)?;
+        let (document, steps) = download.update.apply(&inner.document)?;
         let version = document.version;
         if let Some((logger, left_out)) = self.shared.log.room(now, Topic::Peers) {
             info!(logger, "document given"; "version" => version, "from" => holder.entry.as_str(),
-                "bytes" => arrival.bytes, "steps" => steps.as_ref().map(Vec::len),
+                "bytes" => download.bytes, "steps" => steps.as_ref().map(Vec::len),
                 "ms" => took.as_millis() as u64, "left_out" => left_out);
         }
         inner.apply_document(now, &self.shared, document, steps, holder.entry.as_str());
         if inner.document.version == version {
             // Without the sender's freshness, this entry would query the store at once for changes since its own last
             // read, and the store would return the whole document again.
-            confirm(&mut inner.document_checkpoint, now - took, arrival.freshness);
+            confirm(&mut inner.document_checkpoint, now - took, download.freshness);
         }
         Ok(())
     }
--- a/bergamotshift-forward/src/follow/document.rs
+++ b/bergamotshift-forward/src/follow/document.rs
@@ -1,4 +1,4 @@
-//! Follows the operators' document.
+//! Keeps the operators' document up to date, from other entries or from the store.
 
 use core::time::Duration;
 use std::rc::Rc;
@@ -16,42 +16,43 @@
 use crate::peers::Source;
 use crate::peers::update;
 
-/// How long one question waits for a change. A connection may go silent for good; the question is asked anew on another
-/// one after this time and a little, which has to fit into the time within which a document must be in force.
+/// Time for which one long-poll call of the store waits for a change. A connection may hang permanently, so the call is
+/// repeated on another one shortly after this time. This has to fit into the time within which a document must be in
+/// force.
 const WATCH_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// How old the knowledge of the document may be until an entry asks for itself. The first entry in rank waits at the
-/// store, so its knowledge is as old as its question at the most.
+/// Maximum age of the document's checkpoint before an entry reads the store itself. The first entry in rank always has
+/// a long-poll call open, so its checkpoint is at most as old as that call.
 const POLL_INTERVAL: Duration = Duration::from_millis(800);
 
-/// How long to wait after a call failed.
+/// Delay after a failed call of the store.
 const RETRY_DELAY: Duration = Duration::from_millis(250);
 
-/// How long an entry is not asked again that gives its document to enough others: what a copy of 1,400 new routes takes over
-/// the narrowest links.
+/// Delay before an entry that already uploads to its maximum number of others is asked again: the time that a copy of
+/// 1,400 new routes takes over the slowest links.
 const BUSY_HOLDER_DELAY: Duration = Duration::from_millis(80);
 
-/// How long to wait while all entries that have a newer document are busy; the first of them is asked again about then.
+/// Delay while all entries with a newer document are busy; the first of them is asked again after about this time.
 const ALL_BUSY_DELAY: Duration = Duration::from_millis(40);
 
-/// How long an entry is not asked again that failed to give its document.
+/// Delay before an entry that failed to provide its document is asked again.
 const FAILED_HOLDER_DELAY: Duration = Duration::from_secs(2);
 
-/// How long the other entries may leave this one without a document that they have, until it is read from the store whatever
-/// they say meanwhile.
+/// Time without a newer document that other entries have, after which it is read from the store regardless of updates
+/// from those entries.
 const MAX_PEER_LAG: Duration = Duration::from_millis(1_200);
 
-/// How many entries in a row may fail to give it until then.
+/// Number of consecutive entries that may fail to provide the document before it is read from the store.
 const MAX_PEER_FAILURES: u32 = 2;
 
-/// Follows the operators' document for as long as the process lives.
+/// Keeps the operators' document up to date for the lifetime of the process.
 ///
-/// Changes are awaited from a cursor. When the history after it is gone, or a call failed, everything is read anew: no
-/// change can be missed that way, and an older version is never put in force.
+/// Changes are awaited from a cursor. If the history after the cursor was truncated, or a call failed, everything is
+/// read again. That way no change is missed, and an older version is never put in force.
 ///
-/// Failure: a document has grown large, and an entry asks several others and the store for it at once. Symptom: the copies
-/// share its link, each takes longer than any may, and none is ever whole. Here is one loop, so there is one copy on its way
-/// at a time: from an entry that has it, which may tell the difference alone, or else from the store.
+/// One loop fetches one copy at a time: from an entry that has it and may send only the difference, or else from the
+/// store. Concurrent fetches of a large document would share the link, so that each exceeds its timeout and none
+/// completes.
 pub async fn document(control: Control, operators: Rc<dyn Operators>) {
     let mut follower = Follower {
         last_store_read: control.shared().clock.now(),
@@ -65,27 +66,30 @@
     }
 }
 
-/// What came of asking an entry for its document.
+/// Result of fetching the document from another entry.
 enum Fetched {
+    /// A newer document was put in force.
     Newer,
+    /// The entry is uploading to its maximum number of others.
     Busy,
+    /// The entry did not provide a usable document.
     Failed,
 }
 
-/// Follows the operators' document.
+/// State of the loop that follows the document.
 struct Follower {
     control: Control,
     operators: Rc<dyn Operators>,
-    /// Whether the store has to be asked for everything.
+    /// Whether the next call of the store has to read everything.
     needs_full_read: bool,
-    /// How many entries failed in a row to give their document.
+    /// Number of consecutive failures to fetch the document from other entries.
     failures: u32,
-    /// When the store was last left time to answer to the end.
+    /// Time of the last read of the store that was not interrupted in favour of another entry.
     last_store_read: Instant,
 }
 
 impl Follower {
-    /// Gets a newer document, or looks for one.
+    /// Fetches a newer document from another entry, or reads the store.
     async fn step(&mut self) {
         let must_use_store = self.must_use_store();
         match self.control.document_source() {
@@ -95,13 +99,13 @@
         }
     }
 
-    /// Returns whether the other entries have left this one without a document that they have.
+    /// Returns whether other entries have failed to provide a newer document for too long or too often.
     fn must_use_store(&self) -> bool {
-        let behind = self.control.document_lag().is_some_and(|behind| behind >= MAX_PEER_LAG);
-        self.failures >= MAX_PEER_FAILURES || behind && self.now().since(self.last_store_read) >= MAX_PEER_LAG
+        let is_late = self.control.document_lag().is_some_and(|lag| lag >= MAX_PEER_LAG);
+        self.failures >= MAX_PEER_FAILURES || is_late && self.now().since(self.last_store_read) >= MAX_PEER_LAG
     }
 
-    /// Asks an entry for its document.
+    /// Fetches the document from an entry, and defers that entry if this fails.
     async fn fetch(&mut self, holder: &Holder) {
         match fetch_from(&self.control, holder).await {
             Fetched::Newer => self.failures = 0,
@@ -113,8 +117,8 @@
         }
     }
 
-    /// Asks the store, when it is time for that, and waits if it has nothing. Unless the other entries have left it to the
-    /// store, it goes back to them as soon as one has news, since they have less to tell.
+    /// Reads the store if that is due, and waits. Unless the store must be used, this ends as soon as another entry has
+    /// a newer document, since entries can send a smaller difference.
     async fn read_store(&mut self, must_use_store: bool) {
         let control = self.control.clone();
         let delay = if must_use_store {
@@ -135,7 +139,7 @@
         }
     }
 
-    /// Asks the store, when it is time for that; returns for how long there is nothing to do after that.
+    /// Reads the store if that is due, and returns the delay before the next call.
     async fn poll_store(&mut self) -> Duration {
         let control = &self.control;
         let rank = control.rank();
@@ -155,7 +159,7 @@
         self.needs_full_read = result.is_err();
         control.record_call("document", result.as_ref().err().and_then(failure));
         match result {
-            Ok((written, next)) => control.apply_stored_document(written, next),
+            Ok((instructions, next)) => control.apply_stored_document(instructions, next),
             Err(Gap::Truncated) => {}
             Err(Gap::Failed(_)) => return scale_pause(RETRY_DELAY, control.entry_count()),
         }
@@ -167,14 +171,14 @@
     }
 }
 
-/// Asks an entry for its document.
+/// Fetches the document from an entry and puts it in force.
 async fn fetch_from(control: &Control, holder: &Holder) -> Fetched {
     let now = || control.shared().clock.now();
-    let began = now();
+    let started = now();
     let fetched = update::fetch(holder.address, control.document().version).await;
-    let took = now().since(began);
+    let took = now().since(started);
     let cause = match fetched {
-        Ok(arrival) => match control.apply_update(holder, arrival, took) {
+        Ok(download) => match control.apply_update(holder, download, took) {
             Ok(()) => return Fetched::Newer,
             Err(mismatch) => mismatch.to_string(),
         },
@@ -188,12 +192,12 @@
     Fetched::Failed
 }
 
-/// Only the first in rank waits at the store; the others look and leave.
+/// Returns the time for which a call of the store may wait for a change. Only the first entry in rank waits.
 const fn watch_timeout(rank: usize) -> Duration {
     if rank == 0 { WATCH_TIMEOUT } else { Duration::ZERO }
 }
 
-/// Returns the error of a call that failed; a gap in the history is an answer.
+/// Returns the error of a failed call; `None` for a truncated history, which is a valid answer of the store.
 pub(super) fn failure(gap: &Gap) -> Option<&bergamotshift_platform::Error> {
     match gap {
         Gap::Truncated => None,
--- a/bergamotshift-forward/src/follow/knowledge.rs
+++ b/bergamotshift-forward/src/follow/knowledge.rs
@@ -1,4 +1,4 @@
-//! How fresh what an entry knows of the store is, and when it has to ask the store itself.
+//! Tracks how fresh an entry's knowledge of the store is, and when the entry has to read the store itself.
 
 use core::time::Duration;
 
@@ -6,26 +6,27 @@
 
 use crate::outside::Cursor;
 
-/// How much longer each entry waits than the one before it in rank, so that they do not all ask at once when the first
-/// one is gone.
+/// Additional delay of each entry compared to the previous one in rank, so that not all entries read the store at once
+/// when the first one fails.
 const RANK_DELAY: Duration = Duration::from_millis(150);
 
-/// The most steps: however many entries there are, knowledge is never older than a few looks.
+/// Maximum number of such delays, which bounds the age of a checkpoint regardless of the number of entries.
 const MAX_RANK_STEPS: u32 = 3;
 
-/// How many entries may each call the store as often as one alone would.
+/// Maximum number of entries that may each call the store as often as a single entry would.
 const FULL_RATE_CALLERS: usize = 16;
 
-/// Returns how long one of `members` entries waits between two calls of the store, where one alone would wait for `pause`.
+/// Returns the pause of one of `members` entries between two calls of the store, where a single entry would wait for
+/// `pause`.
 ///
-/// Failure: the store is away, and dozens of entries ask four times a second whether it is back. Symptom: half of a day's
-/// calls are made while it is away, and every call is paid for. With more entries each waits longer, so that together
-/// they ask as often; whoever has an answer first tells the others.
+/// Every call is billed, and if dozens of entries retried four times a second during an outage of the store, half of a
+/// day's calls would be made in that time. The pause grows with the number of entries, so that the total call rate
+/// stays constant. The first entry that gets an answer informs the others.
 pub fn scale_pause(pause: Duration, members: usize) -> Duration {
     pause * u32::try_from(members.div_ceil(FULL_RATE_CALLERS)).unwrap_or(u32::MAX)
 }
 
-/// What is known as of some moment.
+/// Position in the store's history of changes, and the time at which it was last confirmed to be current.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Checkpoint {
     cursor: Cursor,
@@ -33,30 +34,32 @@
 }
 
 impl Checkpoint {
-    /// Returns up to which change it is known.
+    /// Returns the cursor of the last known change.
     pub const fn cursor(&self) -> Cursor {
         self.cursor
     }
 
-    /// Returns how old it is; `None` when nothing is known.
+    /// Returns the time since the last confirmation; `None` if there was none.
     pub fn age(&self, now: Instant) -> Option<Duration> {
         self.confirmed.map(|confirmed| now.since(confirmed))
     }
 
-    /// Notes what somebody knew `age` ago; what is older than what is known already is passed over.
+    /// Records that the state at `cursor` was current `age` ago. An earlier cursor is ignored, and the time of the last
+    /// confirmation never decreases.
     pub fn confirm(&mut self, now: Instant, cursor: Cursor, age: Duration) {
-        let at = now - age;
+        let time = now - age;
         if cursor >= self.cursor {
             self.cursor = cursor;
-            self.confirmed = Some(self.confirmed.map_or(at, |confirmed| confirmed.max(at)));
+            self.confirmed = Some(self.confirmed.map_or(time, |confirmed| confirmed.max(time)));
         }
     }
 
-    /// Returns how long until the entry asks the store itself.
+    /// Returns the time until the entry has to read the store itself.
     ///
-    /// Every entry could ask for itself, and calls would grow with the entries. So the first in rank asks every `look`,
-    /// and tells the others; the next ones ask only when their knowledge is older than that, because the first is gone
-    /// or cannot reach the store. No entry is chosen, so none has to be found dead first.
+    /// If each entry read the store, the number of calls would grow with the number of entries. Therefore the first
+    /// entry in rank reads every `interval` and informs the others. The next ones read only if their checkpoint is
+    /// older, because the first has failed or cannot reach the store. No leader is elected, so no failure of a leader
+    /// has to be detected.
     pub fn due(&self, now: Instant, interval: Duration, rank: usize) -> Duration {
         let steps = u32::try_from(rank).unwrap_or(u32::MAX).min(MAX_RANK_STEPS);
         let max_age = interval + RANK_DELAY * steps;
--- a/bergamotshift-forward/src/follow/members.rs
+++ b/bergamotshift-forward/src/follow/members.rs
@@ -1,4 +1,4 @@
-//! Keeps this entry's row in the list of entries, and reads the others'.
+//! Maintains this entry's row in the stored list of entries, and reads the rows of the others.
 
 use core::net::SocketAddr;
 use core::time::Duration;
@@ -20,56 +20,58 @@
 use crate::control::Control;
 use crate::peers::Contact;
 
-/// The partition of the list.
+/// Partition of the list in the table.
 const PARTITION: &str = "entry";
 
-/// The time between two writes of the own row in a small fleet. In a large one each entry writes less often: with 77 of
-/// them these writes were a quarter of all calls of the store.
+/// Interval between two writes of this entry's row in a small fleet. In a large fleet each entry writes less often;
+/// with 77 entries these writes were a quarter of all calls of the store.
 const WRITE_INTERVAL: Duration = Duration::from_secs(5);
 
-/// How many writes lie between two readings. Entries name one another, so the list is for those that know nobody.
+/// Number of writes per read of the list. Entries inform each other of their members, so only an entry that knows no
+/// others depends on the list.
 const WRITES_PER_READ: u32 = 3;
 
-/// The time until the next try after a call failed.
+/// Delay after a failed call of the store.
 const RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// How old a row may be. Failure: a VM is gone for good and its row stays. Symptom: every entry that starts waits for an
-/// entry that never speaks, and leaves its share of each limit unused. Two writes that failed, and clocks that differ by
-/// seconds, stay below this many times the time between two writes, and this much more.
+/// Maximum age of a row: a multiple of the writer's interval, plus a constant. It tolerates two failed writes and
+/// clocks that differ by seconds. Without it, the row of a VM that is gone for good would make every starting entry
+/// wait for that VM's entry and leave its share of each limit unused.
 const MAX_ROW_AGE: (u32, Duration) = (3, Duration::from_secs(3));
 
-/// The most rows of a page.
+/// Maximum number of rows per page.
 const PAGE_SIZE: u32 = 500;
 
-/// An entry's row.
+/// Row of an entry in the list.
 #[derive(Debug)]
 #[derive(Serialize, Deserialize)]
 struct Row {
-    /// Where it can be asked.
+    /// Address for queries from other entries.
     address: SocketAddr,
-    /// When it was written, in seconds since the start of 1970 by the writer's clock.
+    /// Time of the write, in seconds since the Unix epoch by the writer's clock.
     at: u64,
-    /// The writer's availability zone.
+    /// Availability zone of the writer.
     zone: name::Zone,
-    /// The part of a core that the writer may use, in thousandths.
+    /// Share of a CPU core that the writer may use, in thousandths.
     core_share: u16,
-    /// How many seconds the writer waits until it writes again.
+    /// Interval until the writer's next write, in seconds.
     every: u64,
-    /// Organisations that asked for much of their limits lately.
+    /// Organisations whose recent demand was a large part of their limits.
     busy: Vec<name::Organisation>,
 }
 
-/// Returns how old a row may be whose writer waits for so many seconds between two writes.
+/// Returns the maximum age of a row whose writer writes every `every` seconds.
 fn max_row_age(every: u64) -> Duration {
-    let (times, more) = MAX_ROW_AGE;
-    Duration::from_secs(every).saturating_mul(times) + more
+    let (intervals, extra) = MAX_ROW_AGE;
+    Duration::from_secs(every).saturating_mul(intervals) + extra
 }
 
-/// Keeps the row and reads the list for as long as the process lives.
+/// Writes the row and reads the list for the lifetime of the process.
 pub async fn members(control: Control, table: Rc<dyn Table>) {
     let mut round = 0;
     loop {
-        // The list is read first: the own row still says what the process before knew.
+        // The list is read before the first write, as this entry's row still contains the state of its previous
+        // process.
         let read = round % WRITES_PER_READ != 0 || read(&control, &table).await;
         let written = write(&control, &table).await;
         control.shared().metrics.called("entries", read && written);
@@ -82,7 +84,7 @@
     }
 }
 
-/// Writes this entry's row.
+/// Writes this entry's row; returns whether that succeeded.
 async fn write(control: &Control, table: &Rc<dyn Table>) -> bool {
     let settings = &control.shared().settings;
     let row = Row {
@@ -108,11 +110,12 @@
     ending == Ending::Applied
 }
 
+/// Reads the list page by page, and adds the entries in it; returns whether all pages could be read.
 async fn read(control: &Control, table: &Rc<dyn Table>) -> bool {
-    let today = control.shared().tally.unix_time();
+    let unix_time = control.shared().tally.unix_time();
     let mut after: Option<SmolStr> = None;
     let mut busy = Vec::new();
-    let (mut others, mut is_back) = (0, false);
+    let (mut others, mut has_own_row) = (0, false);
     loop {
         let page = match table.query(SmolStr::new_static(PARTITION), after, PAGE_SIZE).await {
             Ok(page) => page,
@@ -123,10 +126,10 @@
         };
         for (name, row) in &page.rows {
             match postcard::from_bytes::<Row>(&row.body) {
-                Ok(row) if today.saturating_sub(Duration::from_secs(row.at)) < max_row_age(row.every) => {
+                Ok(row) if unix_time.saturating_sub(Duration::from_secs(row.at)) < max_row_age(row.every) => {
                     busy.extend(row.busy);
                     let is_own = *name == control.shared().settings.name.as_str();
-                    is_back |= is_own;
+                    has_own_row |= is_own;
                     others += usize::from(!is_own);
                     control.add_listed(&Contact {
                         entry: name::Entry::new(name),
@@ -143,8 +146,8 @@
             }
         }
         let Some(next) = page.next else {
-            // Where others serve and it has no row of its own, the entry joins them.
-            let joins = others > 0 && !is_back;
+            // An entry without a row of its own joins a fleet that already serves.
+            let joins = others > 0 && !has_own_row;
             control.entry_list_read(Some(busy).filter(|_| !joins));
             return true;
         };
--- a/bergamotshift-forward/src/follow/mod.rs
+++ b/bergamotshift-forward/src/follow/mod.rs
@@ -1,4 +1,4 @@
-//! Follows what the store holds: the operators' document, the registrations and the list of entries.
+//! Follows the contents of the store: the operators' document, the registrations and the list of entries.
 
 mod document;
 mod knowledge;
--- a/bergamotshift-forward/src/follow/notes.rs
+++ b/bergamotshift-forward/src/follow/notes.rs
@@ -1,4 +1,4 @@
-//! Takes in what requests tell the control thread.
+//! Processes notes from requests to the control thread.
 
 use core::time::Duration;
 
@@ -9,13 +9,14 @@
 use crate::exchange::Failure;
 use crate::peers::Note;
 
-/// How long an endpoint may take to accept a connection before it counts as down.
+/// Time within which an endpoint has to accept a connection; otherwise it counts as down.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Takes in notes for as long as the process lives.
+/// Processes notes for the lifetime of the process.
 ///
-/// A connection that breaks may be an endpoint's slip or its end. It counts as the end only if the endpoint accepts no
-/// connection right afterwards: a request that merely lost its answer must not be suspected.
+/// A broken connection does not imply that the endpoint died. The endpoint counts as dead only if it accepts no
+/// connection right afterwards; otherwise a request that merely lost its answer would be suspected of crashing
+/// endpoints.
 pub async fn notes(control: Control, mut inbox: mpsc::UnboundedReceiver<Note>) {
     while let Some(note) = inbox.recv().await {
         let Note::ConnectionLost { endpoint, fingerprint } = note;
--- a/bergamotshift-forward/src/follow/registrations.rs
+++ b/bergamotshift-forward/src/follow/registrations.rs
@@ -1,4 +1,4 @@
-//! Follows the endpoints' registrations.
+//! Keeps the endpoints' registrations up to date.
 
 use core::time::Duration;
 use std::rc::Rc;
@@ -11,15 +11,16 @@
 use crate::outside::Gap;
 use crate::outside::Registry;
 
-/// How old the knowledge of the registrations may be until an entry looks. Every endpoint writes about once a second, so
-/// awaiting each change would cost a call for each of them; a look covers them all, and one look, a round of telling and
-/// a lost call fit into the time within which a leaving endpoint must get no more work.
+/// Maximum age of the registrations' checkpoint before an entry reads the store itself. Every endpoint writes about
+/// once a second, so waiting for each change would cost one call per endpoint, while one read covers them all. One
+/// read, one exchange between entries and one lost call fit into the time within which a leaving endpoint must stop
+/// receiving requests.
 const POLL_INTERVAL: Duration = Duration::from_millis(500);
 
-/// How long to wait after a call failed.
+/// Delay after a failed call of the store.
 const RETRY_DELAY: Duration = Duration::from_millis(250);
 
-/// Follows the registrations for as long as the process lives.
+/// Keeps the registrations up to date for the lifetime of the process.
 pub async fn registrations(control: Control, registry: Rc<dyn Registry>) {
     let mut needs_full_read = true;
     loop {
@@ -49,7 +50,7 @@
     }
 }
 
-/// Returns what was read as an event: all registrations as of one moment, or what changed.
+/// Converts the result of a read to an event: all registrations as of one point in time, or the changes.
 fn event(is_full: bool, changes: Vec<Change>) -> Event {
     if !is_full {
         return Event::Changed(changes);
--- a/bergamotshift-forward/tests/kernel/knowledge.rs
+++ b/bergamotshift-forward/tests/kernel/knowledge.rs
@@ -1,4 +1,4 @@
-//! Who asks the store, and when.
+//! Tests of when an entry reads the store itself.
 
 use core::time::Duration;
 
@@ -8,49 +8,49 @@
 
 use crate::support::at;
 
-const LOOK: Duration = Duration::from_millis(500);
+const INTERVAL: Duration = Duration::from_millis(500);
 
 #[test]
-fn who_knows_nothing_asks_at_once() {
-    assert_eq!(Checkpoint::default().due(at(0), LOOK, 3), Duration::ZERO);
+fn an_entry_without_a_checkpoint_reads_at_once() {
+    assert_eq!(Checkpoint::default().due(at(0), INTERVAL, 3), Duration::ZERO);
 }
 
 #[test]
-fn the_first_in_rank_asks_before_the_others() {
-    let mut knowledge = Checkpoint::default();
-    knowledge.confirm(at(0), Cursor(7), Duration::ZERO);
-    assert_eq!(knowledge.due(at(0), LOOK, 0), LOOK);
-    assert!(knowledge.due(at(0), LOOK, 1) > LOOK);
-    assert_eq!(knowledge.due(at(0), LOOK, 9), knowledge.due(at(0), LOOK, 90));
+fn the_first_entry_in_rank_reads_before_the_others() {
+    let mut checkpoint = Checkpoint::default();
+    checkpoint.confirm(at(0), Cursor(7), Duration::ZERO);
+    assert_eq!(checkpoint.due(at(0), INTERVAL, 0), INTERVAL);
+    assert!(checkpoint.due(at(0), INTERVAL, 1) > INTERVAL);
+    assert_eq!(checkpoint.due(at(0), INTERVAL, 9), checkpoint.due(at(0), INTERVAL, 90));
 }
 
-/// The first in rank is gone, and nobody has said so yet. The others' knowledge grows old, and they ask for themselves
-/// well inside the two seconds within which a change has to be in force.
+/// The first entry in rank has died, and this is not known yet. The others must read the store themselves well within
+/// the two seconds in which a change has to be in force.
 #[test]
 fn no_entry_waits_longer_than_a_second_and_a_half() {
-    let mut knowledge = Checkpoint::default();
-    knowledge.confirm(at(0), Cursor(7), Duration::ZERO);
+    let mut checkpoint = Checkpoint::default();
+    checkpoint.confirm(at(0), Cursor(7), Duration::ZERO);
     let document = Duration::from_millis(800);
-    assert!(knowledge.due(at(0), document, usize::MAX) <= Duration::from_millis(1_500));
+    assert!(checkpoint.due(at(0), document, usize::MAX) <= Duration::from_millis(1_500));
 }
 
 #[test]
-fn older_news_change_nothing() {
-    let mut knowledge = Checkpoint::default();
-    knowledge.confirm(at(1_000), Cursor(7), Duration::ZERO);
-    knowledge.confirm(at(1_000), Cursor(6), Duration::ZERO);
-    knowledge.confirm(at(1_000), Cursor(7), Duration::from_millis(900));
-    assert_eq!(knowledge.cursor(), Cursor(7));
-    assert_eq!(knowledge.age(at(1_000)), Some(Duration::ZERO));
+fn older_confirmations_are_ignored() {
+    let mut checkpoint = Checkpoint::default();
+    checkpoint.confirm(at(1_000), Cursor(7), Duration::ZERO);
+    checkpoint.confirm(at(1_000), Cursor(6), Duration::ZERO);
+    checkpoint.confirm(at(1_000), Cursor(7), Duration::from_millis(900));
+    assert_eq!(checkpoint.cursor(), Cursor(7));
+    assert_eq!(checkpoint.age(at(1_000)), Some(Duration::ZERO));
 }
 
-/// The store is away, and every entry asks again and again whether it is back. However many there are, all together ask no
-/// more often than a small fleet does.
+/// All entries retry the store during an outage. Regardless of their number, together they must not call it more often
+/// than a small fleet.
 #[test]
 fn a_large_fleet_asks_a_store_that_fails_no_more_often_than_a_small_one() {
-    let asked = |members: usize| members as f64 / scale_pause(LOOK, members).as_secs_f64();
-    assert_eq!(scale_pause(LOOK, 7), LOOK);
+    let call_rate = |members: usize| members as f64 / scale_pause(INTERVAL, members).as_secs_f64();
+    assert_eq!(scale_pause(INTERVAL, 7), INTERVAL);
     for members in 16..400 {
-        assert!(asked(members) <= asked(16), "{members} entries");
+        assert!(call_rate(members) <= call_rate(16), "{members} entries");
     }
 }
--- a/bergamotshift-forward/tests/kernel/main.rs
+++ b/bergamotshift-forward/tests/kernel/main.rs
@@ -1,4 +1,4 @@
-//! The decisions of the forwarding daemon, without a socket.
+//! Tests of the forwarding daemon's decisions, without network access.
 
 mod capacity;
 mod choice;
--- a/bergamotshift-forward/tests/kernel/support.rs
+++ b/bergamotshift-forward/tests/kernel/support.rs
@@ -1,4 +1,4 @@
-//! What the tests have in common.
+//! Helpers shared by the tests.
 
 use core::time::Duration;
 
