--- a/bergamotshift-forward/src/control/behind.rs
+++ b/bergamotshift-forward/src/control/behind.rs
@@ -1,4 +1,4 @@
-//! A document that another entry has, and this one lacks.
+//! Tracks whether another entry has a newer document, and exchanges documents between entries.
 
 use core::sync::atomic::Ordering;
 use core::time::Duration;
@@ -9,8 +9,8 @@
 
 use super::Control;
 use super::inner::Inner;
-use super::talk::learn;
-use super::talk::told;
+use super::talk::confirm;
+use super::talk::freshness;
 use crate::document::Mismatch;
 use crate::observe::Topic;
 use crate::peers::Holder;
@@ -20,44 +20,51 @@
 use crate::peers::update::Download;
 use crate::view::Shared;
 
-/// How long an entry may know that it lacks the newest document until it sends its callers to others. A copy takes a
-/// quarter of a second over the narrowest links, and operators expect a change to be in force within two.
-const LATE: Duration = Duration::from_secs(2);
+/// Time after which an entry that lacks the newest document reports itself as not ready, so that its callers go to
+/// other entries. A copy takes a quarter of a second over the slowest links, and operators expect a change to be in
+/// force within two seconds.
+const MAX_DOCUMENT_LAG: Duration = Duration::from_secs(2);
 
 impl Control {
-    /// Returns where a document can be had that is newer than the one in force.
-    pub fn source(&self) -> Source {
+    /// Returns the entry from which a document newer than the one in force can be fetched.
+    pub fn document_source(&self) -> Source {
         let now = self.now();
         let inner = self.inner.borrow();
         inner.members.document_source(now, inner.document.version)
     }
 
-    /// Returns how long another entry has been known to have a newer document.
-    pub fn behind(&self) -> Option<Duration> {
+    /// Returns for how long this entry has known that another entry has a newer document; `None` if none has.
+    pub fn document_lag(&self) -> Option<Duration> {
         let now = self.now();
-        self.inner.borrow().behind.map(|since| now.since(since))
+        self.inner.borrow().behind_since.map(|since| now.since(since))
     }
 
-    /// Waits until an entry can be asked for a newer document.
-    pub async fn news(&self) {
-        while !matches!(self.source(), Source::Holder(_)) {
-            self.news.notified().await;
+    /// Waits until another entry is available to fetch a newer document from.
+    pub async fn wait_for_holder(&self) {
+        while !matches!(self.document_source(), Source::Holder(_)) {
+            self.newer_document.notified().await;
         }
     }
 
-    pub(super) fn tell_news(&self) {
-        if self.inner.borrow().behind.is_some() {
-            self.news.notify_waiters();
+    /// Wakes the tasks that wait for a newer document, if another entry has one.
+    pub(super) fn notify_newer_document(&self) {
+        if self.inner.borrow().behind_since.is_some() {
+            self.newer_document.notify_waiters();
         }
     }
 
-    /// Notes that an entry did not give its document, and for how long it is not asked again.
-    pub fn not_given(&self, holder: &Holder, span: Duration) {
+    /// Excludes an entry that did not provide its document from further fetches for `delay`.
+    pub fn defer_holder(&self, holder: &Holder, delay: Duration) {
         let now = self.now();
-        self.inner.borrow_mut().members.defer_download(now, &holder.entry, span);
+        self.inner
+            .borrow_mut()
+            .members
+            .defer_download(now, &holder.entry, delay);
     }
 
-    /// Returns what another entry is given that has a version of the document.
+    /// Returns the update for another entry that has `version` of the document.
+    ///
+    /// Returns [`Offer::Busy`] if the maximum number of uploads is in progress.
     pub fn offer(&self, version: u64) -> Offer {
         let now = self.now();
         let mut inner = self.inner.borrow_mut();
@@ -68,50 +75,50 @@
         let Ok(permit) = Arc::clone(&self.uploads).try_acquire_owned() else {
             return Offer::Busy;
         };
-        let Some(encoded) = inner.copies.encoded(&document, version) else {
+        let Some(encoded) = inner.updates.update_from(&document, version) else {
             return Offer::Nothing;
         };
         Offer::Update {
-            freshness: told(&inner.document_known, now),
+            freshness: freshness(&inner.document_checkpoint, now),
             encoded,
             permit,
         }
     }
 
-    /// Puts a document in force that another entry gave, `took` after it was asked.
+    /// Puts a document in force that was downloaded from another entry; `took` is the duration of the download.
     ///
     /// # Errors
     ///
-    /// Returns [`Mismatch`] when what came starts from another version than the one in force.
-    pub fn given(&self, holder: &Holder, arrival: Download, took: Duration) -> Result<(), Mismatch> {
+    /// Returns [`Mismatch`] if the update does not start from the version in force.
+    pub fn apply_update(&self, holder: &Holder, download: Download, took: Duration) -> Result<(), Mismatch> {
         let now = self.now();
         let mut inner = self.inner.borrow_mut();
-        let (document, steps) = arrival.update.apply(&inner.document)?;
+        let (document, steps) = download.update.apply(&inner.document)?;
         let version = document.version;
         if let Some((logger, left_out)) = self.shared.log.room(now, Topic::Peers) {
             info!(logger, "document given"; "version" => version, "from" => holder.entry.as_str(),
-                "bytes" => arrival.bytes, "steps" => steps.as_ref().map(Vec::len),
+                "bytes" => download.bytes, "steps" => steps.as_ref().map(Vec::len),
                 "ms" => took.as_millis() as u64, "left_out" => left_out);
         }
-        inner.put_document(now, &self.shared, document, steps, holder.entry.as_str());
+        inner.apply_document(now, &self.shared, document, steps, holder.entry.as_str());
         if inner.document.version == version {
-            // Failure: the copy says nothing of how fresh it is, so the store is asked at once for what changed since this
-            // entry's last look. Symptom: it answers with the whole document once more.
-            learn(&mut inner.document_known, now - took, arrival.freshness);
+            // Without the sender's freshness, this entry would query the store at once for changes since its own last
+            // read, and the store would return the whole document again.
+            confirm(&mut inner.document_checkpoint, now - took, download.freshness);
         }
         Ok(())
     }
 }
 
 impl Inner {
-    /// Notes which version of the document another entry has.
-    pub(super) fn hear_document(&mut self, now: Instant, shared: &Shared, state: &State) {
+    /// Records which version of the document another entry has.
+    pub(super) fn record_peer_document(&mut self, now: Instant, shared: &Shared, state: &State) {
         if state.document <= self.document.version {
             return;
         }
         shared.newest_document.fetch_max(state.document, Ordering::AcqRel);
-        if self.behind.is_none() {
-            self.behind = Some(now);
+        if self.behind_since.is_none() {
+            self.behind_since = Some(now);
             shared.metrics.behind.set(1);
             info!(shared.log.always(), "document behind"; "version" => self.document.version,
                 "newest" => state.document, "entry" => state.entry.as_str(),
@@ -119,16 +126,19 @@
         }
     }
 
-    /// Works out whether the document in force is behind, and for too long.
-    pub(super) fn lag(&mut self, now: Instant, shared: &Shared) {
-        if self.document.version >= shared.newest_document.load(Ordering::Acquire) && self.behind.take().is_some() {
+    /// Updates whether the document in force is behind the newest one, and whether it has been for too long.
+    pub(super) fn update_lag(&mut self, now: Instant, shared: &Shared) {
+        if self.document.version >= shared.newest_document.load(Ordering::Acquire) && self.behind_since.take().is_some()
+        {
             shared.metrics.behind.set(0);
         }
-        let late = self.behind.is_some_and(|since| now.since(since) >= LATE);
+        let late = self
+            .behind_since
+            .is_some_and(|since| now.since(since) >= MAX_DOCUMENT_LAG);
         if shared.late.swap(late, Ordering::AcqRel) != late {
             info!(shared.log.always(), "document late"; "late" => late, "version" => self.document.version,
                 "newest" => shared.newest_document.load(Ordering::Acquire),
-                "behind_ms" => self.behind.map(|since| now.since(since).as_millis() as u64));
+                "behind_ms" => self.behind_since.map(|since| now.since(since).as_millis() as u64));
         }
     }
 }
--- a/bergamotshift-forward/src/control/mod.rs
+++ b/bergamotshift-forward/src/control/mod.rs
@@ -1,4 +1,4 @@
-//! What the control thread knows, and the pictures that it publishes from that.
+//! The control thread's state, and the views of it that are published to the threads that serve requests.
 
 mod behind;
 mod copies;
@@ -27,7 +27,7 @@
 use tokio::sync::oneshot;
 
 use self::inner::Inner;
-use self::inner::victim;
+use self::inner::instance;
 pub use self::rollouts::Rollout;
 use crate::document::Document;
 use crate::endpoint::Change;
@@ -44,86 +44,89 @@
 use crate::peers::update::MAX_UPLOADS;
 use crate::view::Shared;
 
-/// A question of another entry, with the way back of its answer.
+/// A query from another entry, with the channel for its answer.
 #[derive(Debug)]
 pub enum Query {
-    /// What this entry knows.
+    /// Exchange of states between two entries.
     Exchange {
-        /// What the other entry says of itself.
+        /// State of the other entry.
         state: Box<State>,
-        /// Gets the answer.
+        /// Channel for the answer.
         reply: oneshot::Sender<Reply>,
     },
-    /// The newest document.
+    /// Request for a newer document.
     Document {
-        /// The version that the other entry has.
+        /// Version that the other entry has.
         version: u64,
-        /// Gets the answer.
+        /// Channel for the answer.
         reply: oneshot::Sender<Offer>,
     },
 }
 
-/// What the control thread knows; clones share it.
+/// Handle to the control thread's state; clones share the state.
 #[derive(Clone, Debug)]
 pub struct Control {
     shared: Arc<Shared>,
     inner: Rc<RefCell<Inner>>,
-    questions: mpsc::UnboundedSender<Query>,
+    /// Sender of the queries from other entries.
+    queries: mpsc::UnboundedSender<Query>,
+    /// Receiver of those queries, until it is taken.
     inbox: Rc<RefCell<Option<mpsc::UnboundedReceiver<Query>>>>,
-    /// Wakes whoever follows the document when another entry has a newer one.
-    news: Rc<Notify>,
-    /// How many more entries may be given the document now.
+    /// Wakes the task that follows the document when another entry has a newer one.
+    newer_document: Rc<Notify>,
+    /// Limits the number of concurrent uploads of the document to other entries.
     uploads: Arc<Semaphore>,
 }
 
 impl Control {
-    /// Makes a control that knows nothing yet.
+    /// Creates a control without a document, endpoints or peers.
     pub fn new(shared: Arc<Shared>) -> Self {
-        let (questions, inbox) = mpsc::unbounded_channel();
+        let (queries, inbox) = mpsc::unbounded_channel();
         let inner = Inner::new(&shared);
         Self {
             shared,
             inner: Rc::new(RefCell::new(inner)),
-            questions,
+            queries,
             inbox: Rc::new(RefCell::new(Some(inbox))),
-            news: Rc::default(),
+            newer_document: Rc::default(),
             uploads: Arc::new(Semaphore::new(MAX_UPLOADS)),
         }
     }
 
-    /// Returns what the threads share.
+    /// Returns the state that all threads of the entry share.
     pub const fn shared(&self) -> &Arc<Shared> {
         &self.shared
     }
 
-    /// Returns where questions of other entries go.
+    /// Returns the sender for queries from other entries.
     pub fn query_sender(&self) -> mpsc::UnboundedSender<Query> {
-        self.questions.clone()
+        self.queries.clone()
     }
 
-    /// Returns the questions of other entries; `None` from the second call on.
+    /// Returns the receiver of queries from other entries; `None` from the second call on.
     pub fn take_queries(&self) -> Option<mpsc::UnboundedReceiver<Query>> {
         self.inbox.borrow_mut().take()
     }
 
-    /// Returns how many of the entries heard lately come before this one; the first does what need be done once.
+    /// Returns the number of recently heard entries that precede this one. The entry with rank 0 performs tasks that
+    /// are needed only once in the fleet.
     pub fn rank(&self) -> usize {
         let now = self.now();
         self.inner.borrow().rank(now)
     }
 
-    /// Counts a call of the store, and logs when it stops or begins to answer.
+    /// Counts a call of the store, and logs when the call begins to fail or succeeds again.
     pub fn record_call(&self, call: &'static str, error: Option<&bergamotshift_platform::Error>) {
         self.shared.metrics.called(call, error.is_none());
         let mut inner = self.inner.borrow_mut();
-        let lost = inner.lost_calls.contains(call);
+        let lost = inner.failed_calls.contains(call);
         match error {
             Some(error) if !lost => {
-                inner.lost_calls.insert(call);
+                inner.failed_calls.insert(call);
                 info!(self.shared.log.always(), "dependency lost"; "call" => call, "cause" => %error);
             }
             None if lost => {
-                inner.lost_calls.remove(call);
+                inner.failed_calls.remove(call);
                 info!(self.shared.log.always(), "dependency regained"; "call" => call);
             }
             _ => {}
@@ -135,28 +138,28 @@
         Arc::clone(&self.inner.borrow().document)
     }
 
-    /// Returns up to which change the document is known; `None` before it was read.
+    /// Returns the cursor up to which the document is known; `None` before the first read.
     pub fn document_cursor(&self) -> Option<Cursor> {
         let inner = self.inner.borrow();
         inner
-            .document_known
+            .document_checkpoint
             .age(self.now())
-            .map(|_| inner.document_known.cursor())
+            .map(|_| inner.document_checkpoint.cursor())
     }
 
-    /// Returns how long until the document has to be looked at.
-    pub fn document_due(&self, look: Duration) -> Duration {
+    /// Returns the time until this entry has to read the document itself.
+    pub fn document_due(&self, interval: Duration) -> Duration {
         let now = self.now();
         let inner = self.inner.borrow();
-        inner.document_known.due(now, look, inner.rank(now))
+        inner.document_checkpoint.due(now, interval, inner.rank(now))
     }
 
-    /// Takes in what the store tells of the document.
-    pub fn read_document(&self, written: Instructions, cursor: Cursor) {
+    /// Applies the document and the rollout orders that were read from the store.
+    pub fn apply_stored_document(&self, written: Instructions, cursor: Cursor) {
         let now = self.now();
         let mut inner = self.inner.borrow_mut();
-        inner.document_known.confirm(now, cursor, Duration::ZERO);
-        inner.read_rollouts(now, &self.shared, written.rollouts);
+        inner.document_checkpoint.confirm(now, cursor, Duration::ZERO);
+        inner.apply_stored_rollouts(now, &self.shared, written.rollouts);
         for (service, cause) in &written.unreadable {
             self.shared.metrics.unread.inc();
             if let Some((logger, left_out)) = self.shared.log.room(now, Topic::Belief) {
@@ -165,41 +168,41 @@
             }
         }
         if let Some(document) = written.document {
-            inner.put_document(now, &self.shared, document, None, "store");
+            inner.apply_document(now, &self.shared, document, None, "store");
         }
     }
 
-    /// Returns up to which change the registrations are known; `None` before they were read.
+    /// Returns the cursor up to which the registrations are known; `None` before the first read.
     pub fn registrations_cursor(&self) -> Option<Cursor> {
         let inner = self.inner.borrow();
         inner
-            .registrations_known
+            .registrations_checkpoint
             .age(self.now())
-            .map(|_| inner.registrations_known.cursor())
+            .map(|_| inner.registrations_checkpoint.cursor())
     }
 
-    /// Returns how long until the registrations have to be looked at.
-    pub fn registrations_due(&self, look: Duration) -> Duration {
+    /// Returns the time until this entry has to read the registrations itself.
+    pub fn registrations_due(&self, interval: Duration) -> Duration {
         let now = self.now();
         let inner = self.inner.borrow();
-        inner.registrations_known.due(now, look, inner.rank(now))
+        inner.registrations_checkpoint.due(now, interval, inner.rank(now))
     }
 
-    /// Takes in what the store tells of the registrations.
-    pub fn read_registrations(&self, event: Event, cursor: Cursor) {
+    /// Applies registrations that were read from the store.
+    pub fn apply_stored_registrations(&self, event: Event, cursor: Cursor) {
         let now = self.now();
         let mut inner = self.inner.borrow_mut();
-        // Another entry may have told of newer changes while this answer was on its way.
-        let is_older = cursor < inner.registrations_known.cursor();
+        // Another entry may have sent newer changes while this answer was in flight.
+        let is_older = cursor < inner.registrations_checkpoint.cursor();
         if is_older && matches!(event, Event::Listed(_)) {
             return;
         }
-        inner.registrations_known.confirm(now, cursor, Duration::ZERO);
-        inner.on_endpoints(now, &self.shared, event, "store");
+        inner.registrations_checkpoint.confirm(now, cursor, Duration::ZERO);
+        inner.apply_endpoints(now, &self.shared, event, "store");
     }
 
-    /// Counts and logs what stands among the registrations and cannot be read.
-    pub fn unread(&self, changes: &[Change]) {
+    /// Counts and logs registrations that cannot be decoded.
+    pub fn report_unreadable(&self, changes: &[Change]) {
         for change in changes {
             let Change::Unreadable { id, cause } = change else {
                 continue;
@@ -212,27 +215,27 @@
         }
     }
 
-    /// Takes in that the store did not tell of the registrations.
-    pub fn registrations_lost(&self) {
+    /// Records that the registrations could not be read from the store.
+    pub fn registrations_unavailable(&self) {
         let now = self.now();
         let mut inner = self.inner.borrow_mut();
-        // Only while the store is away does what is missing there prove nothing.
-        if inner.members.suspects_store_outage(now, inner::FRESH) {
-            inner.on_endpoints(now, &self.shared, Event::Lost, "store");
+        // Missing registrations are inconclusive only if the store itself is unavailable.
+        if inner.members.suspects_store_outage(now, inner::STATE_TTL) {
+            inner.apply_endpoints(now, &self.shared, Event::StoreFailed, "store");
         }
     }
 
-    /// Takes in that an endpoint ended while it had a request.
-    pub fn on_death(&self, endpoint: u64, fingerprint: Fingerprint) {
+    /// Records that an endpoint died while it was running a request.
+    pub fn endpoint_died(&self, endpoint: u64, fingerprint: Fingerprint) {
         let now = self.now();
         let mut inner = self.inner.borrow_mut();
-        let Some(victim) = inner.directory.by_hash(endpoint).map(|endpoint| victim(endpoint)) else {
+        let Some(instance) = inner.directory.by_hash(endpoint).map(|endpoint| instance(endpoint)) else {
             return;
         };
-        info!(self.shared.log.always(), "endpoint ended with a request"; "endpoint" => victim.vm.as_str(),
+        info!(self.shared.log.always(), "endpoint ended with a request"; "endpoint" => instance.vm.as_str(),
             "fingerprint" => format!("{:032x}", fingerprint.get()));
         let death = quarantine::Death {
-            instance: victim,
+            instance,
             announced: false,
             running: vec![fingerprint],
         };
@@ -240,62 +243,62 @@
         inner.publish(&self.shared);
     }
 
-    /// Notes that the list names another entry.
-    pub fn named(&self, listed: &Contact) {
+    /// Adds an entry that the list of entries contains.
+    pub fn add_listed(&self, listed: &Contact) {
         let now = self.now();
         self.inner.borrow_mut().members.add_contact(now, listed);
     }
 
-    /// Notes that the list of entries was read, with the organisations that they wrote to be busy; `None` where this entry
-    /// joins others that serve already.
+    /// Records that the list of entries was read. `busy` contains the organisations that the entries stored as busy; it
+    /// is `None` if this entry joins others that already serve.
     ///
-    /// Failure: entries join one after the other, and each starts with a part of every organisation's burst, which the ones
-    /// before hold too. Symptom: with sixteen that join, an organisation has its burst more than twice. Only an entry that is
-    /// back, or the first one, gets a part at once; one that joins gets what the others leave.
-    pub fn listed(&self, busy: Option<Vec<name::Organisation>>) {
+    /// An entry that joins gets only the part of a burst that the others release. If each new entry started with a part
+    /// that the existing ones still hold, an organisation would have more than twice its burst after sixteen entries
+    /// joined. Only an entry that restarts, or the first one, gets a part at once.
+    pub fn entry_list_read(&self, busy: Option<Vec<name::Organisation>>) {
         let mut inner = self.inner.borrow_mut();
-        let is_first = !inner.lists_entries;
-        inner.lists_entries = true;
+        let is_first = !inner.entries_listed;
+        inner.entries_listed = true;
         if is_first {
             if busy.is_none() {
                 info!(self.shared.log.always(), "limits left to others"; "members" => inner.members.count());
             }
-            inner.remembered = busy;
+            inner.busy_before_start = busy;
             let now = self.now();
-            inner.remember(now, &self.shared);
+            inner.restore_limits(now, &self.shared);
             inner.publish(&self.shared);
         }
     }
 
-    /// Returns the organisations that asked for much of their limits lately.
-    pub fn busy(&self) -> Vec<name::Organisation> {
+    /// Returns the organisations whose recent demand was a large part of their limits.
+    pub fn busy_organisations(&self) -> Vec<name::Organisation> {
         let now = self.now();
-        self.inner.borrow().busy(now)
+        self.inner.borrow().busy_organisations(now)
     }
 
-    /// Returns whom to ask now.
+    /// Returns the entries to exchange states with now, and their addresses.
     pub fn due_peers(&self, limit: usize) -> Vec<(name::Entry, SocketAddr)> {
         let now = self.now();
         let mut inner = self.inner.borrow_mut();
-        let holder = inner.holder.as_ref().map(|holder| holder.entry.clone());
+        let holder = inner.duty_holder.as_ref().map(|holder| holder.entry.clone());
         inner
             .members
             .set_urgent(self.shared.rollout_evidence.take_canary_failed());
         inner.members.due(now, limit, holder.as_ref())
     }
 
-    /// Returns the part of a core that this entry may use, in thousandths.
+    /// Returns the share of a CPU core that this entry may use, in thousandths.
     pub fn core_share(&self) -> u16 {
         inner::core_share(&self.shared)
     }
 
-    /// Returns who decides for the zone.
+    /// Returns the keeper and the deputy of the zone.
     pub fn keeping(&self) -> Keepers {
-        self.inner.borrow().keeping
+        self.inner.borrow().keepers
     }
 
-    /// Returns how many entries are known, this one included.
-    pub fn members(&self) -> usize {
+    /// Returns the number of known entries, including this one.
+    pub fn entry_count(&self) -> usize {
         self.inner.borrow().members.count()
     }
 
@@ -304,99 +307,99 @@
         self.inner.borrow().members.count() == 1
     }
 
-    /// Notes that another entry did not answer, and whether it was silent rather than refused.
+    /// Records that another entry did not answer; `is_silent` tells a timeout from a refused connection.
     pub fn peer_failed(&self, entry: &name::Entry, is_silent: bool) {
         let now = self.now();
         self.inner.borrow_mut().members.record_failure(now, entry, is_silent);
     }
 
-    /// Returns whether another entry is told in brief.
+    /// Returns whether another entry receives the brief form of this entry's state.
     pub fn is_brief(&self, entry: &name::Entry) -> bool {
         let now = self.now();
         self.inner.borrow().members.is_brief(now, entry)
     }
 
-    /// Returns what this entry says of itself.
+    /// Returns the state that this entry sends to others.
     pub fn state(&self) -> State {
         let now = self.now();
         self.inner.borrow().state(now, &self.shared)
     }
 
-    /// Takes in what another entry says of itself, and returns what it is told.
+    /// Applies the state of another entry, and returns the reply to it.
     pub fn handle_state(&self, state: State) -> Reply {
         let now = self.now();
-        let reply = self.inner.borrow_mut().asked(now, &self.shared, state);
-        self.tell_news();
+        let reply = self.inner.borrow_mut().handle_state(now, &self.shared, state);
+        self.notify_newer_document();
         reply
     }
 
-    /// Takes in another entry's answer.
+    /// Applies another entry's reply.
     pub fn handle_reply(&self, reply: Reply) {
         let now = self.now();
-        self.inner.borrow_mut().answered(now, &self.shared, reply);
-        self.tell_news();
+        self.inner.borrow_mut().handle_reply(now, &self.shared, reply);
+        self.notify_newer_document();
     }
 
-    /// Works out shares and figures anew; called several times a second.
+    /// Recomputes limit shares, in-flight counts and metrics; called several times a second.
     pub fn tick(&self) {
         let now = self.now();
         self.inner.borrow_mut().tick(now, &self.shared);
     }
 
-    /// Notes whether this entry holds the duties, and what it tells of their lease.
-    pub fn set_duties(&self, held: bool, word: Option<Word>) {
+    /// Records whether this entry holds the duties, and the notice about their lease that it sends to others.
+    pub fn set_duties(&self, held: bool, notice: Option<Word>) {
         let mut inner = self.inner.borrow_mut();
-        inner.holds = held;
-        inner.word = word;
+        inner.holds_duties = held;
+        inner.lease_notice = notice;
         self.shared.metrics.holder.set(i64::from(held));
     }
 
-    /// Returns what another entry said of the duties' lease since the last call, as of now.
+    /// Takes the newest notice about the duties' lease that arrived since the last call, adjusted to the current time.
     pub fn take_lease_notice(&self) -> Option<Word> {
         let now = self.now();
-        let (word, at) = self.inner.borrow_mut().heard_word.take()?;
-        Some(word.after(now.since(at)))
+        let (notice, received) = self.inner.borrow_mut().peer_lease_notice.take()?;
+        Some(notice.after(now.since(received)))
     }
 
-    /// Returns whether another entry said lately that the store answers it.
+    /// Returns whether another entry recently reported that it reaches the store.
     pub fn others_reach_store(&self) -> bool {
         let now = self.now();
         self.inner.borrow().others_reach_store(now)
     }
 
-    /// Returns whether another entry said lately that it holds the duties.
+    /// Returns whether another entry recently reported that it holds the duties.
     pub fn is_held_elsewhere(&self) -> bool {
         let now = self.now();
         self.inner.borrow().is_held_elsewhere(now)
     }
 
-    /// Returns whether so many entries take part that news of all of them take seconds.
+    /// Returns whether the fleet is so large that updates from all entries take seconds to arrive.
     pub fn is_large(&self) -> bool {
         self.inner.borrow().members.is_large()
     }
 
-    /// Returns the requests of a window, over all entries.
+    /// Returns the requests of all entries in a window, by organisation.
     pub fn usage(&self, window: u64) -> BTreeMap<name::Organisation, u64> {
         let inner = self.inner.borrow();
         let mut sum = self.shared.tally.windows().remove(&window).unwrap_or_default();
-        let others = inner.counted.values().filter_map(|windows| windows.get(&window));
+        let others = inner.peer_usage.values().filter_map(|windows| windows.get(&window));
         for (organisation, count) in others.flatten() {
             *sum.entry(organisation.clone()).or_default() += count;
         }
         sum
     }
 
-    /// Returns the prompt tokens a second that callers of a service ask all entries to have read.
+    /// Returns the uncached prompt tokens per second in a service's requests to all entries.
     pub fn prompt_demand(&self, service: &name::Service) -> f64 {
         let now = self.now();
-        self.inner.borrow().reading(now, service)
+        self.inner.borrow().prompt_demand(now, service)
     }
 
-    /// Returns the endpoints that take work.
+    /// Returns the endpoints that accept requests.
     pub fn endpoints(&self) -> Vec<Arc<Endpoint>> {
         let inner = self.inner.borrow();
-        let taking = inner.directory.endpoints().filter(|endpoint| !endpoint.is_leaving());
-        taking.cloned().collect()
+        let available = inner.directory.endpoints().filter(|endpoint| !endpoint.is_leaving());
+        available.cloned().collect()
     }
 
     fn now(&self) -> Instant {
--- a/bergamotshift-forward/src/control/organisation.rs
+++ b/bergamotshift-forward/src/control/organisation.rs
@@ -1,4 +1,4 @@
-//! An organisation's limit at this entry: its share, or its zone's, and who keeps the zone.
+//! Computes each organisation's limit at this entry, from the entry's share or that of its zone.
 
 use core::time::Duration;
 use std::sync::Arc;
@@ -6,8 +6,8 @@
 use bergamotshift_core::prelude::*;
 use slog::info;
 
+use super::inner::ASSUMED_ENTRIES;
 use super::inner::Inner;
-use super::inner::UNKNOWN;
 use crate::document::Limit;
 use crate::limits::Account;
 use crate::limits::Demand;
@@ -21,70 +21,75 @@
 use crate::observe::Topic;
 use crate::view::Shared;
 
-/// The part of the units beyond a limit that entries deal out; the rest covers requests that overdraw their share.
-const SLACK_USED: f64 = 0.4;
+/// Fraction of the allowed excess over a limit that is distributed to entries; the rest covers requests that overdraw
+/// their share.
+const SLACK_FRACTION: f64 = 0.4;
 
-/// How many times the burst all entries together may deal out while an organisation is far below its limit.
+/// Multiple of the burst that all entries together may distribute while an organisation is far below its limit.
 ///
-/// Failure: a few large requests come to one entry, whose share of the burst is small. Symptom: they are refused though
-/// the organisation uses half of its limit (one to two in a hundred requests on calm days). What is taken beyond the
-/// share stays owed when demand rises, so it is paid back at the rate before more is let in, and a window holds no more
-/// than the limit's slack allows.
+/// Without it, a few large requests that arrive at one entry exceed its small share of the burst and are refused,
+/// although the organisation uses half of its limit (1 to 2 % of requests under low load). Units taken beyond the share
+/// remain owed when demand rises: they are repaid at the rate before more requests are admitted, so a window stays
+/// within the limit's slack.
 const CALM_BURSTS: f64 = 1.5;
 
-/// How long an organisation counts as busy: a window over which limits are judged, and the time between two writes of an
-/// entry's row.
-const BUSY: Duration = Duration::from_secs(13);
+/// Time for which an organisation counts as busy. It covers the window over which limits are judged and the interval
+/// between two writes of an entry's row.
+const BUSY_DURATION: Duration = Duration::from_secs(13);
 
-/// What a process that starts and keeps its zone takes to be used up, in bursts. Only as many requests as there are zones
-/// overdraw, and a process that was killed is back after a second, so that half a burst more in one window stays within
-/// the tenth by which a limit may be exceeded.
-const USED_KEEPER: f64 = 0.5;
+/// Part of the burst that a keeper which starts counts as already used. Only one request per zone can overdraw, and a
+/// killed process is back after a second, so another half burst in one window stays within the 10 % by which a limit
+/// may be exceeded.
+const KEEPER_INITIAL_DEBT: f64 = 0.5;
 
+/// Limit state of one organisation.
 #[derive(Debug, Default)]
 pub(super) struct Organisation {
+    /// Account for requests at this entry.
     pub(super) account: Arc<Account>,
-    /// What this entry grants to all of its zone, when it keeps that.
-    pub(super) kept: Arc<Account>,
-    /// This entry's share in a small fleet.
+    /// Account from which this entry grants units to its whole zone as the keeper.
+    pub(super) zone_account: Arc<Account>,
+    /// Share of this entry in a small fleet.
     pub(super) share: Share<name::Entry>,
-    /// The zone's share in a large one.
+    /// Share of the zone in a large fleet.
     pub(super) zone_share: Share<name::Zone>,
+    /// Demand of callers at this entry.
     pub(super) demand: Demand,
-    /// When it last asked for more than what is calm, as far as this entry knows.
-    pub(super) busy: Option<Instant>,
-    /// This entry's part of the limit.
-    part: Option<Quota>,
+    /// Time at which its known demand was last above the low-demand threshold.
+    pub(super) last_busy: Option<Instant>,
+    /// Part of the limit that this entry may use.
+    quota: Option<Quota>,
 }
 
 impl Organisation {
-    /// Works out this entry's part of the limit among `members` entries; `slack` are units that all together may let in
-    /// beyond its burst.
-    fn deal(&mut self, now: Instant, limit: Option<Limit>, slack: f64, members: usize) {
+    /// Updates this entry's part of the limit among `members` entries; `slack` is the number of units that all entries
+    /// together may admit beyond the burst.
+    fn update_quota(&mut self, now: Instant, limit: Option<Limit>, slack: f64, members: usize) {
         let policy = SharePolicy::default();
         let fraction = self.share.update(now, &policy, self.demand, members);
-        self.part = limit.map(|limit| {
+        self.quota = limit.map(|limit| {
             if self.share.total_demand(now, &policy, self.demand) >= limit.rate * policy.calm_fraction {
-                self.busy = Some(now);
+                self.last_busy = Some(now);
             }
             let calm = self.share.is_calm(now, &policy, self.demand, members, limit.rate);
-            whole(limit, slack).scaled(fraction, fraction.max(spread(calm, members)))
+            total(limit, slack).scaled(fraction, fraction.max(min_burst_fraction(calm, members)))
         });
-        self.account.set(now, self.part);
+        self.account.set(now, self.quota);
     }
 
-    /// Takes in that all entries knew the organisation to be far below its limit before this process started.
-    fn was_calm(&self, now: Instant) {
-        if let Some(part) = self.part {
-            self.account.cap_debt(now, part, INITIAL_DEBT_CALM);
+    /// Credits part of the burst because the organisation was far below its limit before this process started.
+    fn cap_calm_debt(&self, now: Instant) {
+        if let Some(quota) = self.quota {
+            self.account.cap_debt(now, quota, INITIAL_DEBT_CALM);
         }
     }
 
-    /// Works out the part of the limit that this entry grants as the keeper of its zone, or as its deputy, among `zones`.
-    fn deal_zone(&mut self, now: Instant, limit: Option<Limit>, slack: f64, zones: usize, keeping: Keepers) {
+    /// Updates the part of the limit that this entry grants as the keeper of its zone or as its deputy, among `zones`
+    /// zones.
+    fn update_zone_quota(&mut self, now: Instant, limit: Option<Limit>, slack: f64, zones: usize, keepers: Keepers) {
         let policy = SharePolicy::default();
-        let is_keeper = keeping.keeper == Keeper::Own;
-        if !is_keeper && !keeping.is_deputy {
+        let is_keeper = keepers.keeper == Keeper::Own;
+        if !is_keeper && !keepers.is_deputy {
             return;
         }
         let fraction = if is_keeper {
@@ -92,20 +97,20 @@
         } else {
             self.zone_share.current_or_initial(zones) * keeper::DEPUTY_SHARE
         };
-        let part = limit.map(|limit| {
+        let quota = limit.map(|limit| {
             let calm = is_keeper && self.zone_share.is_calm(now, &policy, self.demand, zones, limit.rate);
-            let whole = Quota {
-                initial_debt: USED_KEEPER,
-                ..whole(limit, slack)
+            let zone_total = Quota {
+                initial_debt: KEEPER_INITIAL_DEBT,
+                ..total(limit, slack)
             };
-            whole.scaled(fraction, fraction.max(spread(calm, zones)))
+            zone_total.scaled(fraction, fraction.max(min_burst_fraction(calm, zones)))
         });
-        self.kept.set(now, part);
+        self.zone_account.set(now, quota);
     }
 }
 
-/// Returns a whole limit, with what may be let in beyond it.
-fn whole(limit: Limit, slack: f64) -> Quota {
+/// Returns the part that covers a whole limit, including the allowed excess.
+fn total(limit: Limit, slack: f64) -> Quota {
     Quota {
         rate: limit.rate,
         burst: limit.burst + slack,
@@ -114,8 +119,8 @@
     }
 }
 
-/// Returns the part of a burst that each of `members` may use at the least.
-fn spread(is_calm: bool, members: usize) -> f64 {
+/// Returns the minimum fraction of a burst that each of `members` may use.
+fn min_burst_fraction(is_calm: bool, members: usize) -> f64 {
     if is_calm {
         (CALM_BURSTS / members as f64).min(1.0)
     } else {
@@ -124,9 +129,10 @@
 }
 
 impl Inner {
-    /// Returns the organisations that asked for much of their limits lately.
-    pub(super) fn busy(&self, now: Instant) -> Vec<name::Organisation> {
-        let is_busy = |organisation: &&Organisation| organisation.busy.is_some_and(|at| now.since(at) < BUSY);
+    /// Returns the organisations whose recent demand was a large part of their limits.
+    pub(super) fn busy_organisations(&self, now: Instant) -> Vec<name::Organisation> {
+        let is_busy =
+            |organisation: &&Organisation| organisation.last_busy.is_some_and(|at| now.since(at) < BUSY_DURATION);
         let busy = self
             .organisations
             .iter()
@@ -134,14 +140,14 @@
         busy.map(|(name, _)| name.clone()).collect()
     }
 
-    /// Takes in which organisations asked for much of their limits, as the entries wrote before this process started.
+    /// Applies the organisations that entries stored as busy before this process started.
     ///
-    /// Failure: all entries are killed, and each that starts again takes every organisation's burst to be used up. Symptom:
-    /// for a second after the end of an outage half of all callers are refused, though they ask for half of their limits.
-    /// What the entries wrote down some seconds before says who may have been at its limit; the others get a part of their
-    /// bursts at once.
-    pub(super) fn remember(&mut self, now: Instant, shared: &Shared) {
-        let Some(busy) = self.remembered.take_if(|_| self.document.version > 0) else {
+    /// A process that starts counts every organisation's burst as used up. After an outage of all entries that would
+    /// refuse half of all callers for a second, although they ask for half of their limits. The rows written some
+    /// seconds before tell which organisations may have been at their limits; the others get part of their bursts at
+    /// once.
+    pub(super) fn restore_limits(&mut self, now: Instant, shared: &Shared) {
+        let Some(busy) = self.busy_before_start.take_if(|_| self.document.version > 0) else {
             return;
         };
         info!(shared.log.always(), "limits remembered"; "busy" => busy.len(),
@@ -149,39 +155,43 @@
         for declared in &Arc::clone(&self.document).organisations {
             let organisation = self.organisations.entry(declared.name.clone()).or_default();
             if busy.contains(&declared.name) {
-                organisation.busy = Some(now);
+                organisation.last_busy = Some(now);
             } else {
-                organisation.was_calm(now);
+                organisation.cap_calm_debt(now);
             }
         }
     }
 
-    /// Works out who keeps the zone.
-    pub(super) fn keep(&mut self, now: Instant, shared: &Shared) {
+    /// Updates the keeper and the deputy of the zone.
+    pub(super) fn update_keepers(&mut self, now: Instant, shared: &Shared) {
         if shared.is_stopping() {
             self.members.set_stopping();
         }
-        let keeping = self.members.keeping(now);
-        if keeping == self.keeping {
+        let keepers = self.members.keeping(now);
+        if keepers == self.keepers {
             return;
         }
         if let Some((logger, left_out)) = shared.log.room(now, Topic::Belief) {
-            info!(logger, "zone kept"; "keeper" => ?keeping.keeper, "deputy" => ?keeping.deputy,
-                "is_deputy" => keeping.is_deputy, "members" => self.members.count(), "left_out" => left_out);
+            info!(logger, "zone kept"; "keeper" => ?keepers.keeper, "deputy" => ?keepers.deputy,
+                "is_deputy" => keepers.is_deputy, "members" => self.members.count(), "left_out" => left_out);
         }
-        let is_keeper = keeping.keeper == Keeper::Own;
+        let is_keeper = keepers.keeper == Keeper::Own;
         shared.metrics.keeper.set(i64::from(is_keeper));
-        self.keeping = keeping;
-        // The accounts come first: whoever is asked from now on grants from them.
-        self.deal(now, shared);
+        self.keepers = keepers;
+        // The accounts are updated before the view is published, as grants are taken from them from then on.
+        self.update_quotas(now, shared);
         self.publish(shared);
     }
 
-    /// Works out this entry's part of each limit.
-    pub(super) fn deal(&mut self, now: Instant, shared: &Shared) {
+    /// Updates this entry's part of each limit.
+    pub(super) fn update_quotas(&mut self, now: Instant, shared: &Shared) {
         let known = self.members.count();
-        let members = if self.lists_entries { known } else { known.max(UNKNOWN) };
-        let slack = shared.settings.limit.slack * SLACK_USED;
+        let members = if self.entries_listed {
+            known
+        } else {
+            known.max(ASSUMED_ENTRIES)
+        };
+        let slack = shared.settings.limit.slack * SLACK_FRACTION;
         let document = Arc::clone(&self.document);
         let zones = self.members.zones().len();
         let is_large = self.members.is_large();
@@ -189,9 +199,9 @@
             let organisation = self.organisations.entry(declared.name.clone()).or_default();
             let limit = declared.limit.filter(|limit| limit.rate > 0.0);
             if is_large {
-                organisation.deal_zone(now, limit, slack, zones, self.keeping);
+                organisation.update_zone_quota(now, limit, slack, zones, self.keepers);
             } else {
-                organisation.deal(now, limit, slack, members);
+                organisation.update_quota(now, limit, slack, members);
             }
         }
     }
--- a/bergamotshift-forward/src/control/zone.rs
+++ b/bergamotshift-forward/src/control/zone.rs
@@ -1,4 +1,4 @@
-//! What is known of the zones: the work under way at their endpoints, and whether they are heard.
+//! Tracks zones: the requests in flight at their endpoints, and whether the zones can be reached.
 
 use core::sync::atomic::Ordering;
 use core::time::Duration;
@@ -8,19 +8,19 @@
 use bergamotshift_core::prelude::*;
 use slog::info;
 
-use super::inner::FRESH;
 use super::inner::Inner;
+use super::inner::STATE_TTL;
 use crate::limits::Keeper;
 use crate::peers::Stage;
 use crate::view::Shared;
 
-/// How long the keepers of zones hear nothing of a zone until its endpoints are left for last; they ask one another every
-/// quarter of a second.
-const ROUNDS: Duration = Duration::from_millis(900);
+/// Time without updates from a zone after which its endpoints are used only as a last resort. Keepers of zones exchange
+/// states every quarter of a second.
+const ZONE_SILENCE_TIMEOUT: Duration = Duration::from_millis(900);
 
 impl Inner {
-    /// Works out whether this entry is cut off from endpoints that its callers need.
-    pub(super) fn strand(&self, now: Instant, shared: &Shared) {
+    /// Updates whether this entry is cut off from endpoints that its callers need.
+    pub(super) fn update_stranded(&self, now: Instant, shared: &Shared) {
         let zone = &shared.settings.zone;
         let lacks = |service: &name::Service| {
             let mut own = self.directory.endpoints().filter(|endpoint| {
@@ -37,21 +37,21 @@
         }
     }
 
-    /// Sums up what the other entries have under way at each endpoint.
+    /// Sums up the requests that other entries have in flight at each endpoint.
     ///
-    /// The keepers of the other zones tell that of their whole zones. The entries of the own zone tell their own; what
-    /// they tell this one as the keeper is newer, and counted apart.
-    pub(super) fn sum_flown(&self, now: Instant, shared: &Shared) {
+    /// Keepers of other zones report for their whole zones, and entries of this zone report their own requests. Reports
+    /// that this entry receives as the keeper are newer and counted separately, in the ledger.
+    pub(super) fn update_in_flight(&self, now: Instant, shared: &Shared) {
         let is_large = self.members.is_large();
         let ledger = shared.ledger();
         let mut sums: HashMap<u64, (u32, u64)> = HashMap::new();
-        for (entry, state) in self.members.recent_states(now, FRESH) {
+        for (entry, state) in self.members.recent_states(now, STATE_TTL) {
             let is_near = state.zone == shared.settings.zone;
-            let counts = !is_large || (state.stage == Stage::Keeps) != is_near && !ledger.contains(entry);
-            for flown in state.in_flight.iter().filter(|_| counts) {
-                let sum = sums.entry(flown.endpoint).or_default();
-                sum.0 += flown.running;
-                sum.1 += flown.unread;
+            let is_counted = !is_large || (state.stage == Stage::Keeps) != is_near && !ledger.contains(entry);
+            for load in state.in_flight.iter().filter(|_| is_counted) {
+                let sum = sums.entry(load.endpoint).or_default();
+                sum.0 += load.running;
+                sum.1 += load.unread;
             }
         }
         let silent = self.silent_zones(now, shared);
@@ -63,18 +63,19 @@
         }
     }
 
-    /// Returns the zones of which nothing was heard just now, as the keeper of a zone sees it.
+    /// Returns the zones without recent updates, if this entry is the keeper of its zone; otherwise none.
     ///
-    /// Failure: a zone is cut off without a reset, and requests go on to its endpoints over connections that stand. Symptom:
-    /// streams hang until their callers leave. The keepers hear one another four times a second, so a zone whose keeper was
-    /// not heard in three rounds may be cut off; its endpoints are left for last until it is heard again.
+    /// A network partition may not reset connections, so requests to the other zone would continue over established
+    /// connections and streams would hang until their callers leave. Keepers exchange states four times a second. A
+    /// zone whose keeper was not heard for three rounds may be cut off, so its endpoints are used only as a last resort
+    /// until an update arrives.
     fn silent_zones(&self, now: Instant, shared: &Shared) -> BTreeSet<name::Zone> {
-        if self.keeping.keeper != Keeper::Own {
+        if self.keepers.keeper != Keeper::Own {
             return BTreeSet::new();
         }
         let heard: BTreeSet<&name::Zone> = self
             .members
-            .recent_states(now, ROUNDS)
+            .recent_states(now, ZONE_SILENCE_TIMEOUT)
             .map(|(_, state)| &state.zone)
             .collect();
         let zones = self.members.zones().into_iter();
--- a/bergamotshift-forward/src/follow/document.rs
+++ b/bergamotshift-forward/src/follow/document.rs
@@ -1,4 +1,4 @@
-//! Follows the operators' document.
+//! Keeps the operators' document up to date, from other entries or from the store.
 
 use core::time::Duration;
 use std::rc::Rc;
@@ -16,48 +16,49 @@
 use crate::peers::Source;
 use crate::peers::update;
 
-/// How long one question waits for a change. A connection may go silent for good; the question is asked anew on another
-/// one after this time and a little, which has to fit into the time within which a document must be in force.
-const WAIT: Duration = Duration::from_millis(500);
+/// Time for which one long-poll call of the store waits for a change. A connection may hang permanently, so the call is
+/// repeated on another one shortly after this time. This has to fit into the time within which a document must be in
+/// force.
+const WATCH_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// How old the knowledge of the document may be until an entry asks for itself. The first entry in rank waits at the
-/// store, so its knowledge is as old as its question at the most.
-const LOOK: Duration = Duration::from_millis(800);
+/// Maximum age of the document's checkpoint before an entry reads the store itself. The first entry in rank always has
+/// a long-poll call open, so its checkpoint is at most as old as that call.
+const POLL_INTERVAL: Duration = Duration::from_millis(800);
 
-/// How long to wait after a call failed.
-const PAUSE: Duration = Duration::from_millis(250);
+/// Delay after a failed call of the store.
+const RETRY_DELAY: Duration = Duration::from_millis(250);
 
-/// How long an entry is not asked again that gives its document to enough others: what a copy of 1,400 new routes takes over
-/// the narrowest links.
-const BUSY: Duration = Duration::from_millis(80);
+/// Delay before an entry that already uploads to its maximum number of others is asked again: the time that a copy of
+/// 1,400 new routes takes over the slowest links.
+const BUSY_HOLDER_DELAY: Duration = Duration::from_millis(80);
 
-/// How long to wait while all entries that have a newer document are busy; the first of them is asked again about then.
-const TURN: Duration = Duration::from_millis(40);
+/// Delay while all entries with a newer document are busy; the first of them is asked again after about this time.
+const ALL_BUSY_DELAY: Duration = Duration::from_millis(40);
 
-/// How long an entry is not asked again that failed to give its document.
-const FAILED: Duration = Duration::from_secs(2);
+/// Delay before an entry that failed to provide its document is asked again.
+const FAILED_HOLDER_DELAY: Duration = Duration::from_secs(2);
 
-/// How long the other entries may leave this one without a document that they have, until it is read from the store whatever
-/// they say meanwhile.
-const LEFT: Duration = Duration::from_millis(1_200);
+/// Time without a newer document that other entries have, after which it is read from the store regardless of updates
+/// from those entries.
+const MAX_PEER_LAG: Duration = Duration::from_millis(1_200);
 
-/// How many entries in a row may fail to give it until then.
-const FAILURES: u32 = 2;
+/// Number of consecutive entries that may fail to provide the document before it is read from the store.
+const MAX_PEER_FAILURES: u32 = 2;
 
-/// Follows the operators' document for as long as the process lives.
+/// Keeps the operators' document up to date for the lifetime of the process.
 ///
-/// Changes are awaited from a cursor. When the history after it is gone, or a call failed, everything is read anew: no
-/// change can be missed that way, and an older version is never put in force.
+/// Changes are awaited from a cursor. If the history after the cursor was truncated, or a call failed, everything is
+/// read again. That way no change is missed, and an older version is never put in force.
 ///
-/// Failure: a document has grown large, and an entry asks several others and the store for it at once. Symptom: the copies
-/// share its link, each takes longer than any may, and none is ever whole. Here is one loop, so there is one copy on its way
-/// at a time: from an entry that has it, which may tell the difference alone, or else from the store.
+/// One loop fetches one copy at a time: from an entry that has it and may send only the difference, or else from the
+/// store. Concurrent fetches of a large document would share the link, so that each exceeds its timeout and none
+/// completes.
 pub async fn document(control: Control, operators: Rc<dyn Operators>) {
     let mut follower = Follower {
-        looked: control.shared().clock.now(),
+        last_store_read: control.shared().clock.now(),
         control,
         operators,
-        anew: true,
+        needs_full_read: true,
         failures: 0,
     };
     loop {
@@ -65,99 +66,102 @@
     }
 }
 
-/// What came of asking an entry for its document.
-enum Given {
+/// Result of fetching the document from another entry.
+enum Fetched {
+    /// A newer document was put in force.
     Newer,
+    /// The entry is uploading to its maximum number of others.
     Busy,
+    /// The entry did not provide a usable document.
     Failed,
 }
 
-/// Follows the operators' document.
+/// State of the loop that follows the document.
 struct Follower {
     control: Control,
     operators: Rc<dyn Operators>,
-    /// Whether the store has to be asked for everything.
-    anew: bool,
-    /// How many entries failed in a row to give their document.
+    /// Whether the next call of the store has to read everything.
+    needs_full_read: bool,
+    /// Number of consecutive failures to fetch the document from other entries.
     failures: u32,
-    /// When the store was last left time to answer to the end.
-    looked: Instant,
+    /// Time of the last read of the store that was not interrupted in favour of another entry.
+    last_store_read: Instant,
 }
 
 impl Follower {
-    /// Gets a newer document, or looks for one.
+    /// Fetches a newer document from another entry, or reads the store.
     async fn step(&mut self) {
-        let is_left = self.is_left();
-        match self.control.source() {
-            Source::Holder(holder) if !is_left => self.fetch(&holder).await,
-            Source::Busy if !is_left => sleep(TURN).await,
-            _ => self.look(is_left).await,
+        let must_use_store = self.must_use_store();
+        match self.control.document_source() {
+            Source::Holder(holder) if !must_use_store => self.fetch(&holder).await,
+            Source::Busy if !must_use_store => sleep(ALL_BUSY_DELAY).await,
+            _ => self.read_store(must_use_store).await,
         }
     }
 
-    /// Returns whether the other entries have left this one without a document that they have.
-    fn is_left(&self) -> bool {
-        let behind = self.control.behind().is_some_and(|behind| behind >= LEFT);
-        self.failures >= FAILURES || behind && self.now().since(self.looked) >= LEFT
+    /// Returns whether other entries have failed to provide a newer document for too long or too often.
+    fn must_use_store(&self) -> bool {
+        let is_late = self.control.document_lag().is_some_and(|lag| lag >= MAX_PEER_LAG);
+        self.failures >= MAX_PEER_FAILURES || is_late && self.now().since(self.last_store_read) >= MAX_PEER_LAG
     }
 
-    /// Asks an entry for its document.
+    /// Fetches the document from an entry, and defers that entry if this fails.
     async fn fetch(&mut self, holder: &Holder) {
-        match fetch(&self.control, holder).await {
-            Given::Newer => self.failures = 0,
-            Given::Busy => self.control.not_given(holder, BUSY),
-            Given::Failed => {
+        match fetch_from(&self.control, holder).await {
+            Fetched::Newer => self.failures = 0,
+            Fetched::Busy => self.control.defer_holder(holder, BUSY_HOLDER_DELAY),
+            Fetched::Failed => {
                 self.failures += 1;
-                self.control.not_given(holder, FAILED);
+                self.control.defer_holder(holder, FAILED_HOLDER_DELAY);
             }
         }
     }
 
-    /// Asks the store, when it is time for that, and waits if it has nothing. Unless the other entries have left it to the
-    /// store, it goes back to them as soon as one has news, since they have less to tell.
-    async fn look(&mut self, is_left: bool) {
+    /// Reads the store if that is due, and waits. Unless the store must be used, this ends as soon as another entry has
+    /// a newer document, since entries can send a smaller difference.
+    async fn read_store(&mut self, must_use_store: bool) {
         let control = self.control.clone();
-        let rest = if is_left {
-            let rest = self.ask().await;
+        let delay = if must_use_store {
+            let delay = self.poll_store().await;
             self.failures = 0;
-            self.looked = self.now();
-            rest
+            self.last_store_read = self.now();
+            delay
         } else {
             tokio::select! {
                 biased;
-                () = control.news() => return,
-                rest = self.ask() => rest,
+                () = control.wait_for_holder() => return,
+                delay = self.poll_store() => delay,
             }
         };
         tokio::select! {
-            () = control.news() => {}
-            () = sleep(rest) => {}
+            () = control.wait_for_holder() => {}
+            () = sleep(delay) => {}
         }
     }
 
-    /// Asks the store, when it is time for that; returns for how long there is nothing to do after that.
-    async fn ask(&mut self) -> Duration {
+    /// Reads the store if that is due, and returns the delay before the next call.
+    async fn poll_store(&mut self) -> Duration {
         let control = &self.control;
         let rank = control.rank();
-        let due = if control.behind().is_some() {
-            control.document_due(PAUSE)
+        let due = if control.document_lag().is_some() {
+            control.document_due(RETRY_DELAY)
         } else {
-            control.document_due(LOOK)
+            control.document_due(POLL_INTERVAL)
         };
         if rank > 0 && !due.is_zero() {
             return due;
         }
         let after = control.document_cursor();
         let result = match after {
-            Some(after) if !self.anew => self.operators.wait_for_change(after, wait(rank)).await,
+            Some(after) if !self.needs_full_read => self.operators.wait_for_change(after, watch_timeout(rank)).await,
             _ => self.operators.read().await.map_err(Gap::Failed),
         };
-        self.anew = result.is_err();
+        self.needs_full_read = result.is_err();
         control.record_call("document", result.as_ref().err().and_then(failure));
         match result {
-            Ok((written, next)) => control.read_document(written, next),
+            Ok((instructions, next)) => control.apply_stored_document(instructions, next),
             Err(Gap::Truncated) => {}
-            Err(Gap::Failed(_)) => return scale_pause(PAUSE, control.members()),
+            Err(Gap::Failed(_)) => return scale_pause(RETRY_DELAY, control.entry_count()),
         }
         Duration::ZERO
     }
@@ -167,33 +171,33 @@
     }
 }
 
-/// Asks an entry for its document.
-async fn fetch(control: &Control, holder: &Holder) -> Given {
+/// Fetches the document from an entry and puts it in force.
+async fn fetch_from(control: &Control, holder: &Holder) -> Fetched {
     let now = || control.shared().clock.now();
-    let began = now();
+    let started = now();
     let fetched = update::fetch(holder.address, control.document().version).await;
-    let took = now().since(began);
+    let took = now().since(started);
     let cause = match fetched {
-        Ok(arrival) => match control.given(holder, arrival, took) {
-            Ok(()) => return Given::Newer,
+        Ok(download) => match control.apply_update(holder, download, took) {
+            Ok(()) => return Fetched::Newer,
             Err(mismatch) => mismatch.to_string(),
         },
-        Err(update::Error::Busy) => return Given::Busy,
+        Err(update::Error::Busy) => return Fetched::Busy,
         Err(error) => error.to_string(),
     };
     if let Some((logger, left_out)) = control.shared().log.room(now(), Topic::Peers) {
         info!(logger, "document not given"; "from" => holder.entry.as_str(), "cause" => cause,
             "ms" => took.as_millis() as u64, "version" => control.document().version, "left_out" => left_out);
     }
-    Given::Failed
+    Fetched::Failed
 }
 
-/// Only the first in rank waits at the store; the others look and leave.
-const fn wait(rank: usize) -> Duration {
-    if rank == 0 { WAIT } else { Duration::ZERO }
+/// Returns the time for which a call of the store may wait for a change. Only the first entry in rank waits.
+const fn watch_timeout(rank: usize) -> Duration {
+    if rank == 0 { WATCH_TIMEOUT } else { Duration::ZERO }
 }
 
-/// Returns the error of a call that failed; a gap in the history is an answer.
+/// Returns the error of a failed call; `None` for a truncated history, which is a valid answer of the store.
 pub(super) fn failure(gap: &Gap) -> Option<&bergamotshift_platform::Error> {
     match gap {
         Gap::Truncated => None,
