--- a/bergamotshift-forward/src/control/copies.rs
+++ b/bergamotshift-forward/src/control/copies.rs
@@ -30,7 +30,7 @@
     pub(super) fn push_steps(&mut self, document: &Document, steps: Vec<Difference>) {
         self.encoded.clear();
         self.steps.extend(steps);
-        // All differences together must be smaller than the document; older ones are useless.
+        // All differences together must be smaller than the document; older ones are dropped.
         let mut total = 0;
         let useful = self.steps.iter().rev().take(MAX_STEPS).take_while(|step| {
             total += step.changed_routes();
--- a/bergamotshift-forward/src/control/inner.rs
+++ b/bergamotshift-forward/src/control/inner.rs
@@ -73,7 +73,7 @@
     /// Name of the entry.
     pub(super) entry: name::Entry,
     /// Time at which this was last reported.
-    pub(super) at: Instant,
+    pub(super) reported: Instant,
     /// Whether it holds the duties; an entry that stops reports that it no longer does.
     pub(super) holds: bool,
 }
@@ -124,7 +124,7 @@
     /// Calls of the store whose last attempt failed.
     pub(super) failed_calls: BTreeSet<&'static str>,
     /// Random identifier of this process.
-    pub(super) life: u64,
+    pub(super) incarnation: u64,
     /// Keeper and deputy of the zone.
     pub(super) keepers: Keepers,
     /// Entries that grant requests to endpoints with an announced rate.
@@ -164,7 +164,7 @@
             entries_listed: false,
             busy_before_start: None,
             failed_calls: BTreeSet::new(),
-            life: random::generator().next_u64(),
+            incarnation: random::generator().next_u64(),
             keepers: Keepers::default(),
             granters: Arc::default(),
             last_tick: now,
@@ -327,7 +327,7 @@
     pub(super) fn is_held_elsewhere(&self, now: Instant) -> bool {
         self.duty_holder
             .as_ref()
-            .is_some_and(|holder| holder.holds && now.since(holder.at) < STATE_TTL)
+            .is_some_and(|holder| holder.holds && now.since(holder.reported) < STATE_TTL)
     }
 
     /// Returns the time for which the state of another entry counts as current.
--- a/bergamotshift-forward/src/control/mod.rs
+++ b/bergamotshift-forward/src/control/mod.rs
@@ -119,13 +119,13 @@
     pub fn record_call(&self, call: &'static str, error: Option<&bergamotshift_platform::Error>) {
         self.shared.metrics.called(call, error.is_none());
         let mut inner = self.inner.borrow_mut();
-        let lost = inner.failed_calls.contains(call);
+        let was_failing = inner.failed_calls.contains(call);
         match error {
-            Some(error) if !lost => {
+            Some(error) if !was_failing => {
                 inner.failed_calls.insert(call);
                 info!(self.shared.log.always(), "dependency lost"; "call" => call, "cause" => %error);
             }
-            None if lost => {
+            None if was_failing => {
                 inner.failed_calls.remove(call);
                 info!(self.shared.log.always(), "dependency regained"; "call" => call);
             }
@@ -155,19 +155,19 @@
     }
 
     /// Applies the document and the rollout orders that were read from the store.
-    pub fn apply_stored_document(&self, written: Instructions, cursor: Cursor) {
+    pub fn apply_stored_document(&self, instructions: Instructions, cursor: Cursor) {
         let now = self.now();
         let mut inner = self.inner.borrow_mut();
         inner.document_checkpoint.confirm(now, cursor, Duration::ZERO);
-        inner.apply_stored_rollouts(now, &self.shared, written.rollouts);
-        for (service, cause) in &written.unreadable {
+        inner.apply_stored_rollouts(now, &self.shared, instructions.rollouts);
+        for (service, cause) in &instructions.unreadable {
             self.shared.metrics.unread.inc();
             if let Some((logger, left_out)) = self.shared.log.room(now, Topic::Belief) {
                 info!(logger, "rollout not read"; "service" => service.as_str(), "cause" => %cause,
                     "left_out" => left_out);
             }
         }
-        if let Some(document) = written.document {
+        if let Some(document) = instructions.document {
             inner.apply_document(now, &self.shared, document, None, "store");
         }
     }
@@ -244,9 +244,9 @@
     }
 
     /// Adds an entry that the list of entries contains.
-    pub fn add_listed(&self, listed: &Contact) {
+    pub fn add_listed(&self, contact: &Contact) {
         let now = self.now();
-        self.inner.borrow_mut().members.add_contact(now, listed);
+        self.inner.borrow_mut().members.add_contact(now, contact);
     }
 
     /// Records that the list of entries was read. `busy` contains the organisations that the entries stored as busy; it
--- a/bergamotshift-forward/src/control/organisation.rs
+++ b/bergamotshift-forward/src/control/organisation.rs
@@ -37,7 +37,7 @@
 /// between two writes of an entry's row.
 const BUSY_DURATION: Duration = Duration::from_secs(13);
 
-/// Part of the burst that a keeper which starts counts as already used. Only one request per zone can overdraw, and a
+/// Initial debt of a keeper that starts, in bursts. Only one request per zone can overdraw, and a
 /// killed process is back after a second, so another half burst in one window stays within the 10 % by which a limit
 /// may be exceeded.
 const KEEPER_INITIAL_DEBT: f64 = 0.5;
@@ -77,7 +77,7 @@
         self.account.set(now, self.quota);
     }
 
-    /// Credits part of the burst because the organisation was far below its limit before this process started.
+    /// Reduces the initial debt because the organisation was far below its limit before this process started.
     fn cap_calm_debt(&self, now: Instant) {
         if let Some(quota) = self.quota {
             self.account.cap_debt(now, quota, INITIAL_DEBT_CALM);
@@ -109,7 +109,7 @@
     }
 }
 
-/// Returns the part that covers a whole limit, including the allowed excess.
+/// Returns the quota that covers a whole limit, including the allowed excess.
 fn total(limit: Limit, slack: f64) -> Quota {
     Quota {
         rate: limit.rate,
--- a/bergamotshift-forward/src/control/talk.rs
+++ b/bergamotshift-forward/src/control/talk.rs
@@ -42,7 +42,7 @@
         let is_keeper = self.keepers.keeper == Keeper::Own;
         // In a large fleet only the keepers' shares are in use.
         let shared_limits = self.organisations.iter().filter(|_| is_keeper || !is_large);
-        let uses = shared_limits.map(|(name, organisation)| LimitUsage {
+        let limit_usage = shared_limits.map(|(name, organisation)| LimitUsage {
             organisation: name.clone(),
             demand: organisation.demand.get(),
             share: if is_keeper {
@@ -59,7 +59,7 @@
             .map(|(name, service)| (name.clone(), service.prompt_demand.get()));
         State {
             entry: shared.settings.name.clone(),
-            incarnation: self.life,
+            incarnation: self.incarnation,
             address: shared.settings.listen.peers,
             zone: shared.settings.zone.clone(),
             core_share: core_share(shared),
@@ -71,7 +71,7 @@
             holds_duties: self.holds_duties,
             lease: self.lease_notice,
             holder: self.duty_holder.as_ref().filter(|holder| holder.holds).map(|holder| {
-                let age = now.since(holder.at).as_millis();
+                let age = now.since(holder.reported).as_millis();
                 (holder.entry.clone(), u32::try_from(age).unwrap_or(u32::MAX))
             }),
             reaches_store: self.failed_calls.is_empty(),
@@ -82,7 +82,7 @@
             // endpoints whose registrations are missing; another entry that adopted them as the newest state would send
             // requests to removed endpoints permanently.
             endpoints_freshness: freshness(&self.registrations_checkpoint, now).filter(|_| self.directory.is_settled()),
-            limit_usage: uses.collect(),
+            limit_usage: limit_usage.collect(),
             in_flight: in_flight.filter(|load| load.running > 0).collect(),
             prompt_rates: prompt_demand.filter(|(_, rate)| *rate > 0.0).collect(),
             cached_parts: shared.recall().announced(now),
@@ -99,17 +99,17 @@
     /// Applies the state of another entry and returns the reply, which includes the registrations if the other entry's
     /// are older.
     pub(super) fn handle_state(&mut self, now: Instant, shared: &Shared, state: State) -> Reply {
-        let theirs = (state.endpoints, state.endpoints_freshness);
+        let peer = (state.endpoints, state.endpoints_freshness);
         let is_brief = state.is_brief();
         self.apply_state(now, shared, state);
-        let cursor = theirs.1.map_or(0, |known| known.cursor);
-        let fresher = self.registrations_checkpoint.cursor().0 > cursor
+        let cursor = peer.1.map_or(0, |known| known.cursor);
+        let is_newer = self.registrations_checkpoint.cursor().0 > cursor
             && self.directory.is_settled()
-            && self.directory.digest() != theirs.0;
+            && self.directory.digest() != peer.0;
         let own = self.state(now, shared);
         Reply {
             state: if is_brief { own.brief() } else { own },
-            endpoints: fresher.then(|| self.directory.registrations()),
+            endpoints: is_newer.then(|| self.directory.registrations()),
         }
     }
 
@@ -129,23 +129,23 @@
     }
 
     /// Applies the demand and the limit shares of another entry or another zone.
-    fn apply_peer_uses(&mut self, now: Instant, shared: &Shared, state: &State) {
+    fn apply_limit_usage(&mut self, now: Instant, shared: &Shared, state: &State) {
         let is_keeper = self.keepers.keeper == Keeper::Own;
         let is_near = state.zone == shared.settings.zone;
-        for used in &state.limit_usage {
-            let Some(organisation) = self.organisations.get_mut(&used.organisation) else {
+        for usage in &state.limit_usage {
+            let Some(organisation) = self.organisations.get_mut(&usage.organisation) else {
                 continue;
             };
             match (state.stage == Stage::Keeps, is_near) {
                 (false, _) => organisation
                     .share
-                    .record_peer(now, &state.entry, used.demand, used.share),
+                    .record_peer(now, &state.entry, usage.demand, usage.share),
                 (true, false) => organisation
                     .zone_share
-                    .record_peer(now, &state.zone, used.demand, used.share),
+                    .record_peer(now, &state.zone, usage.demand, usage.share),
                 // A keeper ignores its predecessor, which does not know yet that it was replaced.
                 (true, true) if is_keeper => {}
-                (true, true) => organisation.zone_share.adopt(used.share),
+                (true, true) => organisation.zone_share.adopt(usage.share),
             }
         }
     }
@@ -156,7 +156,7 @@
             return;
         }
         self.members.merge_members(now, &state.zones, &state.members);
-        self.apply_peer_uses(now, shared, &state);
+        self.apply_limit_usage(now, shared, &state);
         let before = self.peer_lease_notice.map(|(notice, _)| notice);
         if let Some(notice) = state
             .lease
@@ -168,22 +168,25 @@
             .duty_holder
             .as_ref()
             .is_some_and(|holder| holder.entry == state.entry);
-        let reported = if state.holds_duties || was_holder {
+        let holder = if state.holds_duties || was_holder {
             Some(DutyHolder {
                 entry: state.entry.clone(),
-                at: now,
+                reported: now,
                 holds: state.holds_duties,
             })
         } else {
             let relayed = state.holder.clone();
             relayed.map(|(entry, age)| DutyHolder {
                 entry,
-                at: now - Duration::from_millis(age.into()),
+                reported: now - Duration::from_millis(age.into()),
                 holds: true,
             })
         };
-        if let Some(holder) = reported.filter(|holder| holder.entry != shared.settings.name)
-            && self.duty_holder.as_ref().is_none_or(|before| before.at < holder.at)
+        if let Some(holder) = holder.filter(|holder| holder.entry != shared.settings.name)
+            && self
+                .duty_holder
+                .as_ref()
+                .is_none_or(|before| before.reported < holder.reported)
         {
             self.duty_holder = Some(holder);
         }
@@ -201,17 +204,17 @@
             self.quarantine.merge(now, &state.suspicions);
             self.publish(shared);
         }
-        let mut recall = shared.recall();
-        for reading in &state.cached_parts {
-            recall.record(now, *reading);
+        let mut cache_index = shared.recall();
+        for part in &state.cached_parts {
+            cache_index.record(now, *part);
         }
-        drop(recall);
-        let counted = self
+        drop(cache_index);
+        let peer_usage = self
             .peer_usage
             .entry((state.entry.clone(), state.incarnation))
             .or_default();
         for (window, counts) in &state.windows {
-            counted.insert(*window, counts.clone());
+            peer_usage.insert(*window, counts.clone());
         }
         let entry = state.entry.clone();
         if self.members.record_state(now, state)
