--- a/bergamotshift-capacity/src/policy/backoff.rs
+++ b/bergamotshift-capacity/src/policy/backoff.rs
@@ -1,4 +1,4 @@
-//! Pauses after refused starts, per slot.
+//! Backoff after refused starts and reclaims, per pool.
 
 use std::collections::BTreeMap;
 
@@ -6,21 +6,22 @@
 
 use super::Event;
 use super::Settings;
-use crate::market::Slot;
+use crate::market::Pool;
 
+/// The pause of a pool, and the number of refusals that led to it.
 #[derive(Clone, Copy, Debug)]
 struct Pause {
     until: Instant,
     refusals: u32,
 }
 
-/// Remembers which slots are not worth asking for at the moment.
+/// The pools from which no VM is requested for now.
 ///
-/// Failure: a zone is reclaimed and replacements are refused there. Symptom: all starts go on being asked for where
-/// none is sold, and the service stays short. A refused slot pauses, longer each time, and starts go elsewhere.
+/// When a zone is reclaimed and replacements are refused there, requests that keep going to the same pool would leave
+/// the service short of capacity. A refused pool is therefore avoided, longer each time, and VMs are started elsewhere.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Backoff {
-    pauses: BTreeMap<Slot, Pause>,
+    pauses: BTreeMap<Pool, Pause>,
 }
 
 impl Backoff {
@@ -31,31 +32,34 @@
 
     pub(super) fn event(&mut self, now: Instant, event: &Event, settings: &Settings) {
         match event {
-            Event::Started(slot) => {
-                self.pauses.remove(slot);
+            Event::Started(pool) => {
+                self.pauses.remove(pool);
             }
-            Event::Refused(slot) => self.refused(now, slot, settings),
-            Event::Reclaimed(slot) => self.reclaimed(now, slot, settings),
+            Event::Refused(pool) => self.refused(now, pool, settings),
+            Event::Reclaimed(pool) => self.reclaimed(now, pool, settings),
         }
     }
 
-    pub(super) fn open(&self, now: Instant, slot: &Slot) -> bool {
-        self.pauses.get(slot).is_none_or(|pause| now >= pause.until)
+    /// Returns whether VMs may be requested from the pool.
+    pub(super) fn is_available(&self, now: Instant, pool: &Pool) -> bool {
+        self.pauses.get(pool).is_none_or(|pause| now >= pause.until)
     }
 
-    fn refused(&mut self, now: Instant, slot: &Slot, settings: &Settings) {
+    fn refused(&mut self, now: Instant, pool: &Pool, settings: &Settings) {
         const MAX_DOUBLINGS: u32 = 16;
-        let refusals = self.pauses.get(slot).map_or(0, |pause| pause.refusals);
-        let span = settings.pause.saturating_mul(1 << refusals.min(MAX_DOUBLINGS));
-        let until = now + span.min(settings.pause_cap);
+        let refusals = self.pauses.get(pool).map_or(0, |pause| pause.refusals);
+        let span = settings
+            .initial_backoff
+            .saturating_mul(1 << refusals.min(MAX_DOUBLINGS));
+        let until = now + span.min(settings.max_backoff);
         let refusals = refusals + 1;
-        self.pauses.insert(slot.clone(), Pause { until, refusals });
+        self.pauses.insert(pool.clone(), Pause { until, refusals });
     }
 
-    /// What the platform takes back it does not sell again at once.
-    fn reclaimed(&mut self, now: Instant, slot: &Slot, settings: &Settings) {
-        let until = now + settings.pause_cap;
-        let refusals = self.pauses.get(slot).map_or(0, |pause| pause.refusals);
-        self.pauses.insert(slot.clone(), Pause { until, refusals });
+    /// Pauses the pool for the maximum backoff, because the platform does not sell at once what it has just reclaimed.
+    fn reclaimed(&mut self, now: Instant, pool: &Pool, settings: &Settings) {
+        let until = now + settings.max_backoff;
+        let refusals = self.pauses.get(pool).map_or(0, |pause| pause.refusals);
+        self.pauses.insert(pool.clone(), Pause { until, refusals });
     }
 }
--- a/bergamotshift-capacity/src/policy/peak.rs
+++ b/bergamotshift-capacity/src/policy/peak.rs
@@ -1,4 +1,4 @@
-//! A baseline: on-demand VMs for the highest demand, always.
+//! Baseline policy: on-demand VMs for the peak demand at all times.
 
 use bergamotshift_core::plugin;
 use bergamotshift_core::prelude::*;
@@ -16,29 +16,29 @@
 use crate::market::Offer;
 
 plugin::inventory::submit! {
-    Kind { name: "static-peak", build: |settings| Box::new(Peak { settings, backoff: Backoff::new() }) }
+    Kind { name: "static-peak", build: |settings| Box::new(StaticPeak { settings, backoff: Backoff::new() }) }
 }
 
-/// Holds on-demand VMs for the peak with any one zone lost, and never gives one up.
+/// Holds enough on-demand VMs for the peak demand with any one zone lost, and never gives one up.
 #[derive(Debug)]
-struct Peak {
+struct StaticPeak {
     settings: Settings,
     backoff: Backoff,
 }
 
-impl Policy for Peak {
+impl Policy for StaticPeak {
     fn plan(&mut self, now: Instant, situation: &Situation<'_>) -> Vec<Action> {
         let need = Demand {
             urgent: self.settings.peak,
             deferrable: 0.0,
         };
         let tally = Tally::planned(situation.vms);
-        if tally.carries(need) {
+        if tally.covers(need) {
             return Vec::new();
         }
-        let open = |offer: &&Offer| !offer.slot.reclaimable() && self.backoff.open(now, &offer.slot);
-        let slots = purchase::cheapest(&tally, situation.offers.iter().filter(open), need);
-        slots.into_iter().map(Action::Start).collect()
+        let available = |offer: &&Offer| !offer.pool.reclaimable() && self.backoff.is_available(now, &offer.pool);
+        let pools = purchase::cheapest(&tally, situation.offers.iter().filter(available), need);
+        pools.into_iter().map(Action::Start).collect()
     }
 
     fn event(&mut self, now: Instant, event: &Event) {
--- a/bergamotshift-capacity/src/policy/spread.rs
+++ b/bergamotshift-capacity/src/policy/spread.rs
@@ -1,4 +1,4 @@
-//! The default: the cheapest spread that carries urgent work with any one zone lost.
+//! Default policy: the cheapest spread over zones that covers urgent work with any one zone lost.
 
 use bergamotshift_core::plugin;
 use bergamotshift_core::prelude::*;
@@ -22,17 +22,17 @@
     Kind { name: super::DEFAULT, build: |settings| Box::new(Spread::new(settings)) }
 }
 
-/// The part of the VMs that may be given up at one tick.
-const DRAIN_PART: usize = 10;
+/// Divisor of the fleet size that gives the maximum number of VMs to drain at one tick.
+const DRAIN_DIVISOR: usize = 10;
 
-/// Buys reclaimable VMs over the zones, and on-demand ones only for urgent work that those cannot carry.
+/// Buys reclaimable VMs across the zones, and on-demand VMs only for urgent work that these cannot cover.
 #[derive(Debug)]
 struct Spread {
     settings: Settings,
     urgent: Damper,
     deferrable: Damper,
     backoff: Backoff,
-    replaced: Option<Instant>,
+    last_replacement: Option<Instant>,
 }
 
 impl Spread {
@@ -42,11 +42,12 @@
             urgent: Damper::new(settings.damping),
             deferrable: Damper::new(settings.damping),
             backoff: Backoff::new(),
-            replaced: None,
+            last_replacement: None,
         }
     }
 
-    fn need(&mut self, now: Instant, demand: Demand) -> Demand {
+    /// Returns the smoothed demand, with headroom on top of the urgent work.
+    fn smoothed_need(&mut self, now: Instant, demand: Demand) -> Demand {
         let factor = 1.0 + self.settings.headroom;
         Demand {
             urgent: self.urgent.observe(now, demand.urgent) * factor,
@@ -54,87 +55,88 @@
         }
     }
 
-    /// Returns what has to be bought: reclaimable where it is sold, on demand for urgent work where it is not.
+    /// Returns the VMs to buy: reclaimable ones, or from all markets when these cannot cover the urgent work.
     fn purchases(&self, now: Instant, situation: &Situation<'_>, need: Demand) -> Vec<Action> {
         let mut tally = Tally::planned(situation.vms);
-        if tally.carries(need) {
+        if tally.covers(need) {
             return Vec::new();
         }
-        let open = |offer: &&Offer| self.backoff.open(now, &offer.slot);
+        let available = |offer: &&Offer| self.backoff.is_available(now, &offer.pool);
         let reclaimable = situation
             .offers
             .iter()
-            .filter(open)
-            .filter(|offer| offer.slot.reclaimable());
-        let mut slots = purchase::cheapest(&tally, reclaimable, need);
-        for offer in slots
+            .filter(available)
+            .filter(|offer| offer.pool.reclaimable());
+        let mut pools = purchase::cheapest(&tally, reclaimable, need);
+        for offer in pools
             .iter()
-            .filter_map(|slot| situation.offers.iter().find(|offer| offer.slot == *slot))
+            .filter_map(|pool| situation.offers.iter().find(|offer| offer.pool == *pool))
         {
-            tally.add(&offer.slot.zone, offer.rate);
+            tally.add(&offer.pool.zone, offer.rate);
         }
         let urgent = Demand {
             deferrable: 0.0,
             ..need
         };
-        if !tally.carries(urgent) {
-            // Bought anew from all markets: reclaimable VMs in one zone alone would not help beside them.
+        if !tally.covers(urgent) {
+            // Plans again from all markets instead of adding to the reclaimable purchase: reclaimable VMs that are all
+            // in one zone do not help against the loss of a zone.
             let have = Tally::planned(situation.vms);
-            slots = purchase::cheapest(&have, situation.offers.iter().filter(open), urgent);
+            pools = purchase::cheapest(&have, situation.offers.iter().filter(available), urgent);
         }
-        slots.into_iter().map(Action::Start).collect()
+        pools.into_iter().map(Action::Start).collect()
     }
 
-    /// Buys one reclaimable VM in place of one on demand, at most one each hold time.
+    /// Returns the start of a reclaimable VM that replaces an on-demand one, at most once per hold time.
     fn replacement(&mut self, now: Instant, situation: &Situation<'_>) -> Option<Action> {
-        let hold = self.settings.damping.hold;
-        let dear =
-            |vm: &Vm| !vm.slot.reclaimable() && matches!(vm.phase, Phase::Live(since) if now.since(since) >= hold);
-        let recent = self.replaced.is_some_and(|at| now.since(at) < hold);
-        if recent || !situation.vms.iter().any(dear) {
+        let hold = self.settings.damping.hold_time;
+        let expensive =
+            |vm: &Vm| !vm.pool.reclaimable() && matches!(vm.phase, Phase::Live(since) if now.since(since) >= hold);
+        let recent = self.last_replacement.is_some_and(|at| now.since(at) < hold);
+        if recent || !situation.vms.iter().any(expensive) {
             return None;
         }
         let tally = Tally::planned(situation.vms);
-        let open = |offer: &&Offer| offer.slot.reclaimable() && self.backoff.open(now, &offer.slot);
-        let smallest = |offer: &&Offer| (tally.zone(&offer.slot.zone) * 1e6) as u64;
-        let offer = situation.offers.iter().filter(open).min_by_key(smallest)?;
-        self.replaced = Some(now);
-        Some(Action::Start(offer.slot.clone()))
+        let available = |offer: &&Offer| offer.pool.reclaimable() && self.backoff.is_available(now, &offer.pool);
+        let smallest = |offer: &&Offer| (tally.zone(&offer.pool.zone) * 1e6) as u64;
+        let offer = situation.offers.iter().filter(available).min_by_key(smallest)?;
+        self.last_replacement = Some(now);
+        Some(Action::Start(offer.pool.clone()))
     }
 
-    /// Returns the VMs that can go: the dearest first, then those of the largest zone.
+    /// Returns the drains of VMs that are not needed: the most expensive first, then those of the largest zone.
     ///
-    /// Only VMs that serve count as remaining, so a replacement serves before what it replaces is drained.
+    /// Only VMs that serve count as remaining capacity, so a VM is drained only after its replacement serves.
     fn drains(&self, now: Instant, situation: &Situation<'_>, need: Demand) -> Vec<Action> {
         let mut tally = Tally::live(situation.vms);
-        let factor = 1.0 + self.settings.band;
-        let beyond = Demand {
+        let factor = 1.0 + self.settings.scale_in_margin;
+        let with_margin = Demand {
             urgent: need.urgent * factor,
             deferrable: need.deferrable * factor,
         };
-        if !tally.carries(beyond) {
+        if !tally.covers(with_margin) {
             return Vec::new();
         }
-        let hold = self.settings.damping.hold;
-        let old = |vm: &&Vm| matches!(vm.phase, Phase::Live(since) if now.since(since) >= hold);
-        let mut vms: Vec<_> = situation.vms.iter().filter(old).collect();
+        let hold = self.settings.damping.hold_time;
+        let past_hold_time = |vm: &&Vm| matches!(vm.phase, Phase::Live(since) if now.since(since) >= hold);
+        let mut vms: Vec<_> = situation.vms.iter().filter(past_hold_time).collect();
         let price = |vm: &Vm| price_per_rate(situation.offers, vm);
         vms.sort_by(|left, right| {
             let by_price = price(right).total_cmp(&price(left));
-            let by_zone = tally.zone(&right.slot.zone).total_cmp(&tally.zone(&left.slot.zone));
+            let by_zone = tally.zone(&right.pool.zone).total_cmp(&tally.zone(&left.pool.zone));
             by_price.then(by_zone).then_with(|| left.name.cmp(&right.name))
         });
-        let most = (situation.vms.len() / DRAIN_PART).max(1);
+        let limit = (situation.vms.len() / DRAIN_DIVISOR).max(1);
         let mut actions = Vec::new();
         for vm in vms {
-            if actions.len() == most {
+            if actions.len() == limit {
                 break;
             }
-            tally.remove(&vm.slot.zone, vm.rate);
-            if tally.carries(need) {
+            tally.remove(&vm.pool.zone, vm.rate);
+            if tally.covers(need) {
                 actions.push(Action::Drain(vm.name.clone()));
             } else {
-                tally.add(&vm.slot.zone, vm.rate);
+                tally.add(&vm.pool.zone, vm.rate);
             }
         }
         actions
@@ -143,7 +145,7 @@
 
 impl Policy for Spread {
     fn plan(&mut self, now: Instant, situation: &Situation<'_>) -> Vec<Action> {
-        let need = self.need(now, situation.demand);
+        let need = self.smoothed_need(now, situation.demand);
         let mut actions = stops(situation.vms);
         let purchases = self.purchases(now, situation, need);
         if purchases.is_empty() {
@@ -159,14 +161,14 @@
     }
 }
 
-/// Returns the stops of all VMs that have drained.
+/// Returns stop actions for all VMs that are drained and idle.
 pub(super) fn stops(vms: &[Vm]) -> Vec<Action> {
     let drained = vms.iter().filter(|vm| vm.phase == Phase::Draining { idle: true });
     drained.map(|vm| Action::Stop(vm.name.clone())).collect()
 }
 
-/// Returns what a VM costs per unit of work; one that is no longer sold counts as the dearest.
+/// Returns the price of a VM per unit of work. VMs that are no longer offered count as the most expensive.
 fn price_per_rate(offers: &[Offer], vm: &Vm) -> f64 {
-    let offer = offers.iter().find(|offer| offer.slot == vm.slot);
+    let offer = offers.iter().find(|offer| offer.pool == vm.pool);
     offer.map_or(f64::INFINITY, Offer::price_per_rate)
 }
--- a/bergamotshift-capacity/src/prelude.rs
+++ b/bergamotshift-capacity/src/prelude.rs
@@ -1,11 +1,11 @@
-//! The types that users of the crate need most.
+//! Re-exports of the types that most callers need.
 
 pub use crate::demand;
 pub use crate::demand::Demand;
 pub use crate::duty;
 pub use crate::market::Offer;
 pub use crate::market::Phase;
-pub use crate::market::Slot;
+pub use crate::market::Pool;
 pub use crate::market::Vm;
 pub use crate::placement;
 pub use crate::policy;
--- a/bergamotshift-core/src/lib.rs
+++ b/bergamotshift-core/src/lib.rs
@@ -1,8 +1,8 @@
-//! The vocabulary that every bergamotshift crate shares.
+//! Value types shared by all bergamotshift crates.
 //!
-//! The crate holds small value types and no behaviour of its own: kernel time, arena keys, names, outcomes, VM classes
-//! and prices. Nothing here reads a clock, opens a socket or draws a random number, so the kernel crates that build on
-//! it can be replayed in virtual time.
+//! The crate contains small types such as kernel time, arena keys, names, outcomes, VM listings and prices. Nothing
+//! here reads a clock, opens a socket or draws a random number, so the kernel crates that use it can be replayed in
+//! virtual time.
 //!
 //! ```
 //! use bergamotshift_core::prelude::*;
@@ -21,10 +21,10 @@
 pub mod load;
 pub mod name;
 pub mod outcome;
-pub mod pace;
 pub mod plugin;
 pub mod prelude;
 pub mod price;
 pub mod table;
+pub mod throughput;
 pub mod urgency;
 pub mod vm;
--- a/bergamotshift-entry/src/control/fleet.rs
+++ b/bergamotshift-entry/src/control/fleet.rs
@@ -6,7 +6,7 @@
 use bergamotshift_config::config::Config;
 use bergamotshift_core::prelude::*;
 use bergamotshift_endpoint::call::Target;
-use bergamotshift_limit::quarantine::Victim;
+use bergamotshift_limit::quarantine::Instance;
 use bergamotshift_route::registry::Registry;
 use bergamotshift_route::view;
 use slotmap::SecondaryMap;
@@ -36,8 +36,8 @@
 }
 
 impl Known {
-    pub(super) fn victim(&self) -> Victim {
-        Victim::new(self.endpoint.vm.clone(), self.endpoint.incarnation)
+    pub(super) fn victim(&self) -> Instance {
+        Instance::new(self.endpoint.vm.clone(), self.endpoint.incarnation)
     }
 }
 
@@ -99,7 +99,7 @@
         let news = !core::mem::replace(&mut known.leaving, true);
         let key = known.key;
         if let Some(key) = key.filter(|_| news) {
-            let _ = self.registry.leave(key);
+            let _ = self.registry.mark_leaving(key);
         }
         news
     }
@@ -191,7 +191,7 @@
     };
     let key = registry.insert(entered).ok()?;
     if known.leaving {
-        let _ = registry.leave(key);
+        let _ = registry.mark_leaving(key);
     }
     Some(key)
 }
--- a/bergamotshift-forward/src/control/publish.rs
+++ b/bergamotshift-forward/src/control/publish.rs
@@ -1,15 +1,15 @@
-//! Makes the picture that requests are served from.
+//! Builds and publishes the view that requests are served from.
 
 use core::sync::atomic::AtomicU64;
 use std::collections::HashMap;
 use std::sync::Arc;
 
 use bergamotshift_core::prelude::*;
-use bergamotshift_rollout::standing::Admission;
+use bergamotshift_rollout::tracker::Admission;
 
 use super::inner::Inner;
-use super::inner::Lasting;
-use super::inner::budget;
+use super::inner::ServiceState;
+use super::inner::retry_budget;
 use super::organisation::Organisation;
 use crate::endpoint::Endpoint;
 use crate::limits::Demand;
@@ -20,16 +20,17 @@
 use crate::view::View;
 
 impl Organisation {
+    /// Returns the accounts that requests are charged to.
     fn accounts(&self) -> Accounts {
         Accounts {
             own: Arc::clone(&self.account),
-            kept: Arc::clone(&self.kept),
+            zone: Arc::clone(&self.zone_account),
         }
     }
 }
 
 impl Inner {
-    /// Publishes what requests are served from next.
+    /// Builds a view from the current state and publishes it.
     pub(super) fn publish(&mut self, shared: &Shared) {
         let mut endpoints: HashMap<name::Service, Vec<Arc<Endpoint>>> = HashMap::new();
         for endpoint in self.directory.endpoints() {
@@ -46,26 +47,29 @@
         let document = Arc::clone(&self.document);
         let mut services = HashMap::new();
         for service in &document.services {
-            let lasting = self.services.entry(service.name.clone()).or_insert_with(|| Lasting {
-                budget: Arc::new(budget(shared)),
-                asked: Arc::new(AtomicU64::new(0)),
-                reading: Demand::default(),
-                usual_prompt: Arc::default(),
-            });
-            let picture = Service {
+            let state = self
+                .services
+                .entry(service.name.clone())
+                .or_insert_with(|| ServiceState {
+                    budget: Arc::new(retry_budget(shared)),
+                    requested_tokens: Arc::new(AtomicU64::new(0)),
+                    prompt_demand: Demand::default(),
+                    typical_prompt: Arc::default(),
+                });
+            let snapshot = Service {
                 canary: None,
                 endpoints: endpoints.remove(&service.name).unwrap_or_default().into(),
                 engine: service.engine,
-                budget: Arc::clone(&lasting.budget),
-                asked: Arc::clone(&lasting.asked),
-                usual_prompt: Arc::clone(&lasting.usual_prompt),
+                budget: Arc::clone(&state.budget),
+                requested_tokens: Arc::clone(&state.requested_tokens),
+                typical_prompt: Arc::clone(&state.typical_prompt),
             };
             let canary = self.canary(now, &service.name);
-            services.insert(service.name.clone(), Service { canary, ..picture });
+            services.insert(service.name.clone(), Service { canary, ..snapshot });
         }
         let memories = document.services.iter().filter_map(|service| service.engine);
         if let Some(memory) = memories.map(|engine| engine.memory).min() {
-            shared.recall().bound(memory);
+            shared.recall().set_memory(memory);
         }
         let accounts = self.organisations.iter();
         let view = View {
@@ -74,15 +78,15 @@
             by_hash,
             accounts: accounts.map(|(name, one)| (name.clone(), one.accounts())).collect(),
             suspects: self.quarantine.table(),
-            keeping: self.keeping,
+            keeping: self.keepers,
             granters: Arc::clone(&self.granters),
             knows_endpoints: self.directory.endpoints().next().is_some(),
-            knows_entries: self.lists_entries,
+            knows_entries: self.entries_listed,
         };
-        let is_known = view.is_known();
+        let can_serve = view.can_serve();
         shared.view.store(Arc::new(view));
-        if is_known {
-            shared.known.notify_waiters();
+        if can_serve {
+            shared.view_ready.notify_waiters();
         }
     }
 }
--- a/bergamotshift-forward/src/control/rollouts.rs
+++ b/bergamotshift-forward/src/control/rollouts.rs
@@ -1,4 +1,4 @@
-//! Which versions of a service take work, and what other entries tell of that.
+//! Determines which versions of a service receive requests, and exchanges rollout state with other entries.
 
 use core::sync::atomic::Ordering::Relaxed;
 use core::time::Duration;
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 
 use bergamotshift_core::prelude::*;
-use bergamotshift_rollout::directive::WHOLE;
+use bergamotshift_rollout::directive::FULL_SHARE;
 use bergamotshift_rollout::prelude::*;
 use slog::info;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
@@ -19,72 +19,73 @@
 use crate::view::Canary;
 use crate::view::Shared;
 
-/// Stands for the share of a version whose order has ended.
-const ENDED: u16 = WHOLE + 1;
+/// Marks the share of a version whose order has ended; larger than any real share.
+const ENDED: u16 = FULL_SHARE + 1;
 
-/// What the holder of the duties needs to direct an order.
+/// State of a rollout order that the holder of the duties needs to direct it.
 #[derive(Clone, Debug)]
 pub struct Rollout {
-    /// The order.
+    /// Order of the operators.
     pub order: Order,
-    /// What was last directed.
+    /// Last directive.
     pub directive: Option<Directive>,
-    /// What its director sees.
-    pub sight: Sight,
+    /// Input of the director.
+    pub observation: Observation,
 }
 
 impl Control {
-    /// Returns whether an endpoint is of a version that serves everybody.
+    /// Returns whether an endpoint runs a version that receives all requests.
     pub fn is_stable(&self, registration: &Registration) -> bool {
         self.inner.borrow().admission_of(registration) == Admission::Stable
     }
 
-    /// Returns how many endpoints of a service, leaving ones included, the platform started in each zone for a version that
-    /// does not serve everybody.
-    pub fn foreign(&self, service: &name::Service) -> BTreeMap<name::Zone, u32> {
+    /// Returns the number of a service's endpoints in each zone, including leaving ones, whose version does not receive
+    /// all requests.
+    pub fn unstable_endpoints(&self, service: &name::Service) -> BTreeMap<name::Zone, u32> {
         let inner = self.inner.borrow();
         let mut zones = BTreeMap::new();
-        let all = inner.directory.endpoints();
-        let own = all.filter(|endpoint| endpoint.registration.service == *service);
+        let endpoints = inner.directory.endpoints();
+        let own = endpoints.filter(|endpoint| endpoint.registration.service == *service);
         for endpoint in own.filter(|endpoint| inner.admission(endpoint) != Admission::Stable) {
             *zones.entry(endpoint.registration.zone.clone()).or_default() += 1;
         }
         zones
     }
 
-    /// Returns the orders that stand and are not ended.
+    /// Returns the orders that are neither completed nor rolled back.
     pub fn rollouts(&self) -> Vec<Rollout> {
         let now = self.now();
         let inner = self.inner.borrow();
-        let open = inner.standings.iter().filter(|(_, standing)| standing.is_open());
-        open.filter_map(|(service, standing)| inner.rollout(now, &self.shared, service, standing))
+        let open = inner.trackers.iter().filter(|(_, tracker)| tracker.is_open());
+        open.filter_map(|(service, tracker)| inner.rollout(now, &self.shared, service, tracker))
             .collect()
     }
 
-    /// Puts in force, and tells all entries, what is to happen to a service's requests.
-    pub fn direct(&self, service: &name::Service, directive: Directive) {
+    /// Puts a directive for a service's requests in force; other entries receive it with the next exchange.
+    pub fn apply_directive(&self, service: &name::Service, directive: Directive) {
         let now = self.now();
         let mut inner = self.inner.borrow_mut();
-        let standing = inner.standings.get_mut(service);
-        if standing.is_some_and(|standing| standing.direct(now, directive)) {
+        let tracker = inner.trackers.get_mut(service);
+        if tracker.is_some_and(|tracker| tracker.apply_directive(now, directive)) {
             inner.apply_shares(now, &self.shared);
         }
     }
 }
 
 impl Inner {
-    /// Returns what an endpoint may get.
+    /// Returns which requests an endpoint may receive.
     pub(super) fn admission(&self, endpoint: &Endpoint) -> Admission {
         self.admission_of(&endpoint.registration)
     }
 
+    /// Returns which requests an endpoint with this registration may receive.
     fn admission_of(&self, registration: &Registration) -> Admission {
-        let standing = self.standings.get(&registration.service);
-        standing.map_or(Admission::Stable, |standing| standing.admission(&registration.version))
+        let tracker = self.trackers.get(&registration.service);
+        tracker.map_or(Admission::Stable, |tracker| tracker.admission(&registration.version))
     }
 
-    /// Takes in the orders that the operators wrote, with what they were told of each.
-    pub(super) fn read_rollouts(&mut self, now: Instant, shared: &Shared, written: Vec<(Order, State)>) {
+    /// Applies the operators' orders from the store, with the last state that was written for each.
+    pub(super) fn apply_stored_rollouts(&mut self, now: Instant, shared: &Shared, written: Vec<(Order, State)>) {
         for (order, state) in written {
             let directive = state.is_final().then_some(Directive {
                 order: order.number,
@@ -93,25 +94,27 @@
                 phase: state.into(),
                 share: 0,
             });
-            self.hear_rollout(now, shared, order, Duration::ZERO, directive, "store");
+            self.apply_rollout(now, shared, order, Duration::ZERO, directive, "store");
         }
     }
 
-    /// Takes in what another entry tells of orders.
-    pub(super) fn hear_rollouts(&mut self, now: Instant, shared: &Shared, state: &peers::State) {
-        for told in &state.rollouts {
-            let age = Duration::from_millis(told.age_ms.into());
-            let order = told.order.clone();
-            self.hear_rollout(now, shared, order, age, told.directive, state.entry.as_str());
+    /// Applies another entry's orders, directives and evidence.
+    pub(super) fn apply_peer_rollouts(&mut self, now: Instant, shared: &Shared, state: &peers::State) {
+        for rollout in &state.rollouts {
+            let age = Duration::from_millis(rollout.age_ms.into());
+            let order = rollout.order.clone();
+            self.apply_rollout(now, shared, order, age, rollout.directive, state.entry.as_str());
         }
-        let key = (state.entry.clone(), state.life);
-        // Whoever takes the duties over next hears the whole sums anew.
-        if self.holds && !state.evidence.is_empty() {
-            self.testimonies.insert(key, state.evidence.clone());
+        let key = (state.entry.clone(), state.incarnation);
+        // Only the holder of the duties needs the evidence. Entries send their full sums, so a successor misses
+        // nothing.
+        if self.holds_duties && !state.evidence.is_empty() {
+            self.peer_evidence.insert(key, state.evidence.clone());
         }
     }
 
-    fn hear_rollout(
+    /// Applies an order that was given `age` ago and its directive, and logs what changed.
+    fn apply_rollout(
         &mut self,
         now: Instant,
         shared: &Shared,
@@ -121,17 +124,17 @@
         from: &str,
     ) {
         let service = order.service.clone();
-        let standing = self.standings.entry(service.clone());
-        let standing = standing.or_insert_with(|| Standing::new(&shared.settings.rollout));
+        let tracker = self.trackers.entry(service.clone());
+        let tracker = tracker.or_insert_with(|| Tracker::new(&shared.settings.rollout));
         let (to, number) = (order.to.clone(), order.number);
-        let before = standing.directive().map(|directive| directive.phase);
-        let is_ordered = standing.order(now, order, age);
-        let is_directed = directive.is_some_and(|directive| standing.direct(now, directive));
+        let before = tracker.directive().map(|directive| directive.phase);
+        let is_ordered = tracker.apply_order(now, order, age);
+        let is_directed = directive.is_some_and(|directive| tracker.apply_directive(now, directive));
         if is_ordered {
             info!(shared.log.always(), "rollout ordered"; "service" => service.as_str(), "to" => to.as_str(),
                 "order" => number, "age_ms" => age.as_millis() as u64, "from" => from);
         }
-        let phase = standing.directive().map(|directive| directive.phase);
+        let phase = tracker.directive().map(|directive| directive.phase);
         if phase != before {
             info!(shared.log.always(), "rollout phase"; "service" => service.as_str(), "to" => to.as_str(),
                 "order" => number, "before" => ?before, "phase" => ?phase, "from" => from);
@@ -144,29 +147,29 @@
         }
     }
 
-    /// Returns what this entry tells others of the orders.
-    pub(super) fn told_rollouts(&self, now: Instant) -> Vec<peers::Rollout> {
-        let told = self.standings.values().filter_map(|standing| {
+    /// Returns the orders and directives that this entry sends to others.
+    pub(super) fn announced_rollouts(&self, now: Instant) -> Vec<peers::Rollout> {
+        let rollouts = self.trackers.values().filter_map(|tracker| {
             Some(peers::Rollout {
-                order: standing.last_order()?.clone(),
-                age_ms: u32::try_from(standing.age(now).as_millis()).unwrap_or(u32::MAX),
-                directive: standing.directive().copied(),
+                order: tracker.last_order()?.clone(),
+                age_ms: u32::try_from(tracker.age(now).as_millis()).unwrap_or(u32::MAX),
+                directive: tracker.directive().copied(),
             })
         });
-        told.collect()
+        rollouts.collect()
     }
 
-    /// Publishes a picture if a new version's share or standing changed, and counts the answers of open orders alone.
+    /// Publishes a view if the share or the state of a new version changed, and restricts evidence to open orders.
     pub(super) fn apply_shares(&mut self, now: Instant, shared: &Shared) {
-        self.open_book(shared);
-        let share_of = |standing: &Standing| match standing.directive() {
-            // What a version may get changes with the end of an order, also where the share stays the same.
+        self.track_open_orders(shared);
+        let share_of = |tracker: &Tracker| match tracker.directive() {
+            // The end of an order changes the admission of its version even if the share stays the same.
             Some(directive) if directive.phase.is_final() => ENDED,
-            _ => standing.share(now),
+            _ => tracker.share(now),
         };
-        let known = self.standings.iter();
+        let known = self.trackers.iter();
         let newest: BTreeMap<_, _> = known
-            .map(|(service, standing)| (service.clone(), share_of(standing)))
+            .map(|(service, tracker)| (service.clone(), share_of(tracker)))
             .collect();
         if newest == self.shares {
             return;
@@ -178,41 +181,41 @@
         self.publish(shared);
     }
 
-    /// Has the answers of the services with an open order counted, and forgets those of others.
-    fn open_book(&mut self, shared: &Shared) {
-        let open = self.standings.iter().filter(|(_, standing)| standing.is_open());
+    /// Collects evidence for services with an open order only, and drops the evidence of all others.
+    fn track_open_orders(&mut self, shared: &Shared) {
+        let open = self.trackers.iter().filter(|(_, tracker)| tracker.is_open());
         let orders: BTreeMap<_, _> = open
-            .filter_map(|(service, standing)| Some((service.clone(), standing.last_order()?.number)))
+            .filter_map(|(service, tracker)| Some((service.clone(), tracker.last_order()?.number)))
             .collect();
-        shared.book.open(&orders);
+        shared.rollout_evidence.set_orders(&orders);
         if orders.is_empty() {
-            self.testimonies.clear();
+            self.peer_evidence.clear();
         }
     }
 
-    /// Returns a service's new version as requests see it, while an order stands.
+    /// Returns a service's new version while its order is open.
     pub(super) fn canary(&self, now: Instant, service: &name::Service) -> Option<Canary> {
-        let standing = self.standings.get(service).filter(|standing| standing.is_open())?;
-        let order = standing.last_order()?.number;
-        let share = standing.share(now);
-        let phase = standing.directive().map(|directive| directive.phase);
-        let (stable, canary) = self.by_version(service);
-        let most = match phase {
-            Some(Phase::Canary) => canaries(stable.len(), share),
+        let tracker = self.trackers.get(service).filter(|tracker| tracker.is_open())?;
+        let order = tracker.last_order()?.number;
+        let share = tracker.share(now);
+        let phase = tracker.directive().map(|directive| directive.phase);
+        let (stable, canary) = self.endpoints_by_version(service);
+        let limit = match phase {
+            Some(Phase::Canary) => canary_count(stable.len(), share),
             Some(Phase::Stress) => 1,
             _ => canary.len(),
         };
-        let usual = &self.services.get(service)?.usual_prompt;
+        let typical = &self.services.get(service)?.typical_prompt;
         Some(Canary {
             order,
-            endpoints: spread(canary, order, most).into(),
+            endpoints: spread_over_zones(canary, order, limit).into(),
             share,
-            largest: (phase == Some(Phase::Stress)).then(|| usual.load(Relaxed)),
+            max_prompt_tokens: (phase == Some(Phase::Stress)).then(|| typical.load(Relaxed)),
         })
     }
 
-    /// Returns the endpoints that take work, of the version in force and of the new one.
-    fn by_version(&self, service: &name::Service) -> (Vec<&Arc<Endpoint>>, Vec<&Arc<Endpoint>>) {
+    /// Returns the endpoints that accept requests: those of the stable version, and those of the new one.
+    fn endpoints_by_version(&self, service: &name::Service) -> (Vec<&Arc<Endpoint>>, Vec<&Arc<Endpoint>>) {
         let of = |admission: Admission| {
             let own = self.directory.endpoints().filter(|endpoint| {
                 endpoint.registration.service == *service
@@ -224,24 +227,25 @@
         (of(Admission::Stable), of(Admission::Canary))
     }
 
-    fn rollout(&self, now: Instant, shared: &Shared, service: &name::Service, standing: &Standing) -> Option<Rollout> {
-        let order = standing.last_order()?.clone();
+    /// Returns the state of a service's order, with the evidence of all entries summed up.
+    fn rollout(&self, now: Instant, shared: &Shared, service: &name::Service, tracker: &Tracker) -> Option<Rollout> {
+        let order = tracker.last_order()?.clone();
         let mut evidence = Evidence::new(order.number);
-        let own = shared.book.evidence();
-        let all = self.testimonies.values().flatten().chain(&own);
-        for (_, seen) in all.filter(|(of, _)| of == service) {
-            evidence.add(seen);
+        let own = shared.rollout_evidence.evidence();
+        let all = self.peer_evidence.values().flatten().chain(&own);
+        for (_, part) in all.filter(|(name, _)| name == service) {
+            evidence.add(part);
         }
-        let (stable, canary) = self.by_version(service);
+        let (stable, canary) = self.endpoints_by_version(service);
         let slots = canary.iter().map(|endpoint| endpoint.registration.slots);
         Some(Rollout {
-            directive: standing.directive().copied(),
-            sight: Sight {
-                age: standing.age(now),
+            directive: tracker.directive().copied(),
+            observation: Observation {
+                age: tracker.age(now),
                 evidence,
-                busy: stable.iter().map(|endpoint| endpoint.running()).sum(),
-                stable: stable.len(),
-                canary: canary.len(),
+                stable_in_flight: stable.iter().map(|endpoint| endpoint.running()).sum(),
+                stable_endpoints: stable.len(),
+                canary_endpoints: canary.len(),
                 slots: slots.max().unwrap_or(1),
             },
             order,
@@ -249,15 +253,16 @@
     }
 }
 
-/// Returns how many endpoints of the new version take a share of the requests, so that each is loaded as one of those in
-/// force is.
-fn canaries(stable: usize, share: u16) -> usize {
-    let alike = stable as f64 * f64::from(share) / f64::from(WHOLE);
-    (alike as usize).max(1)
+/// Returns the number of endpoints of the new version that receive its share of the requests, so that each has the load
+/// of a stable endpoint.
+fn canary_count(stable: usize, share: u16) -> usize {
+    let count = stable as f64 * f64::from(share) / f64::from(FULL_SHARE);
+    (count as usize).max(1)
 }
 
-/// Returns so many endpoints, on which all entries agree: spread over the zones, by hash.
-fn spread(endpoints: Vec<&Arc<Endpoint>>, order: u64, most: usize) -> Vec<Arc<Endpoint>> {
+/// Returns at most `limit` endpoints, spread evenly over the zones. The order depends on hashes only, so all entries
+/// select the same endpoints.
+fn spread_over_zones(endpoints: Vec<&Arc<Endpoint>>, order: u64, limit: usize) -> Vec<Arc<Endpoint>> {
     let mut zones: BTreeMap<&name::Zone, Vec<(u64, &Arc<Endpoint>)>> = BTreeMap::new();
     for endpoint in endpoints {
         let key = xxh3_64_with_seed(&endpoint.hash.to_le_bytes(), order);
@@ -274,7 +279,7 @@
         );
     }
     ranked.sort_by_key(|(place, key, _)| (*place, *key));
-    ranked.truncate(most);
+    ranked.truncate(limit);
     ranked
         .into_iter()
         .map(|(_, _, endpoint)| Arc::clone(endpoint))
--- a/bergamotshift-forward/src/control/talk.rs
+++ b/bergamotshift-forward/src/control/talk.rs
@@ -1,207 +1,223 @@
-//! What this entry tells the others, and what it takes from them.
+//! Exchanges state with other entries: builds this entry's state and applies the states received.
 
 use core::time::Duration;
 
 use bergamotshift_core::prelude::*;
 use slog::info;
 
-use super::inner::Holder;
+use super::inner::DutyHolder;
 use super::inner::Inner;
 use super::inner::core_share;
 use crate::endpoint::Event;
-use crate::follow::Knowledge;
+use crate::follow::Checkpoint;
 use crate::limits::Keeper;
 use crate::observe::Topic;
 use crate::outside::Cursor;
-use crate::peers::Known;
+use crate::peers::Freshness;
+use crate::peers::LimitUsage;
 use crate::peers::Reply;
 use crate::peers::Stage;
 use crate::peers::State;
-use crate::peers::Use;
 use crate::view::Shared;
 
-/// Returns how fresh something is known, in the form in which it is told.
-pub(super) fn told(knowledge: &Knowledge, now: Instant) -> Option<Known> {
-    knowledge.age(now).map(|age| Known {
-        cursor: knowledge.cursor().0,
+/// Converts a checkpoint to the form in which it is sent to other entries.
+pub(super) fn freshness(checkpoint: &Checkpoint, now: Instant) -> Option<Freshness> {
+    checkpoint.age(now).map(|age| Freshness {
+        cursor: checkpoint.cursor().0,
         age_ms: u32::try_from(age.as_millis()).unwrap_or(u32::MAX),
     })
 }
 
-/// Takes in how fresh another entry knows something that it has in the same state.
-pub(super) fn learn(knowledge: &mut Knowledge, now: Instant, known: Option<Known>) {
-    if let Some(Known { cursor, age_ms }) = known {
-        knowledge.learn(now, Cursor(cursor), Duration::from_millis(age_ms.into()));
+/// Updates a checkpoint from another entry that has the same data.
+pub(super) fn confirm(checkpoint: &mut Checkpoint, now: Instant, freshness: Option<Freshness>) {
+    if let Some(Freshness { cursor, age_ms }) = freshness {
+        checkpoint.confirm(now, Cursor(cursor), Duration::from_millis(age_ms.into()));
     }
 }
 
 impl Inner {
+    /// Returns the state that this entry sends to others.
     pub(super) fn state(&self, now: Instant, shared: &Shared) -> State {
         let is_large = self.members.is_large();
-        let keeps = self.keeping.keeper == Keeper::Own;
+        let is_keeper = self.keepers.keeper == Keeper::Own;
         // In a large fleet only the keepers' shares are in use.
-        let sharing = self.organisations.iter().filter(|_| keeps || !is_large);
-        let uses = sharing.map(|(name, organisation)| Use {
+        let shared_limits = self.organisations.iter().filter(|_| is_keeper || !is_large);
+        let limit_usage = shared_limits.map(|(name, organisation)| LimitUsage {
             organisation: name.clone(),
             demand: organisation.demand.get(),
-            share: if keeps {
-                organisation.zone_share.told()
+            share: if is_keeper {
+                organisation.zone_share.announced()
             } else {
-                organisation.share.told()
+                organisation.share.announced()
             },
         });
-        let flown = self.directory.endpoints().map(|endpoint| endpoint.flown(keeps));
-        let (zones, members) = self.members.names(now);
-        let reading = self
+        let in_flight = self.directory.endpoints().map(|endpoint| endpoint.in_flight(is_keeper));
+        let (zones, members) = self.members.member_list(now);
+        let prompt_demand = self
             .services
             .iter()
-            .map(|(name, lasting)| (name.clone(), lasting.reading.get()));
+            .map(|(name, service)| (name.clone(), service.prompt_demand.get()));
         State {
             entry: shared.settings.name.clone(),
-            life: self.life,
+            incarnation: self.incarnation,
             address: shared.settings.listen.peers,
             zone: shared.settings.zone.clone(),
             core_share: core_share(shared),
-            stage: match keeps {
+            stage: match is_keeper {
                 _ if shared.is_stopping() => Stage::Stops,
                 true => Stage::Keeps,
                 false => Stage::Serves,
             },
-            holds: self.holds,
-            lease: self.word,
-            holder: self.holder.as_ref().filter(|holder| holder.holds).map(|holder| {
-                let age = now.since(holder.at).as_millis();
+            holds_duties: self.holds_duties,
+            lease: self.lease_notice,
+            holder: self.duty_holder.as_ref().filter(|holder| holder.holds).map(|holder| {
+                let age = now.since(holder.reported).as_millis();
                 (holder.entry.clone(), u32::try_from(age).unwrap_or(u32::MAX))
             }),
-            reaches_store: self.lost_calls.is_empty(),
+            reaches_store: self.failed_calls.is_empty(),
             document: self.document.version,
-            document_known: told(&self.document_known, now),
+            document_freshness: freshness(&self.document_checkpoint, now),
             endpoints: self.directory.digest(),
-            // Failure: this entry keeps endpoints whose registrations are missing, since the store was away for it, and
-            // another one takes them over as the newest state. Symptom: endpoints that left get work for good. What is
-            // not settled is not told as knowledge.
-            endpoints_known: told(&self.registrations_known, now).filter(|_| self.directory.is_settled()),
-            uses: uses.collect(),
-            flown: flown.filter(|flown| flown.running > 0).collect(),
-            reading: reading.filter(|(_, rate)| *rate > 0.0).collect(),
-            readings: shared.recall().told(now),
+            // An unsettled directory is not sent as current. While the store was unreachable this entry is_keeper
+            // endpoints whose registrations are missing; another entry that adopted them as the newest state would send
+            // requests to removed endpoints permanently.
+            endpoints_freshness: freshness(&self.registrations_checkpoint, now).filter(|_| self.directory.is_settled()),
+            limit_usage: limit_usage.collect(),
+            in_flight: in_flight.filter(|load| load.running > 0).collect(),
+            prompt_rates: prompt_demand.filter(|(_, rate)| *rate > 0.0).collect(),
+            cached_parts: shared.recall().announced(now),
             windows: shared.tally.windows(),
             suspicions: self.quarantine.suspicions(now),
-            rates: self.told_rates(now),
-            rollouts: self.told_rollouts(now),
-            evidence: shared.book.evidence(),
+            rates: self.announced_rates(now),
+            rollouts: self.announced_rollouts(now),
+            evidence: shared.rollout_evidence.evidence(),
             zones,
             members,
         }
     }
 
-    /// Takes in what another entry says of itself, and returns what it is told: also what it has in an older state.
-    pub(super) fn asked(&mut self, now: Instant, shared: &Shared, state: State) -> Reply {
-        let theirs = (state.endpoints, state.endpoints_known);
+    /// Applies the state of another entry and returns the reply, which includes the registrations if the other entry's
+    /// are older.
+    pub(super) fn handle_state(&mut self, now: Instant, shared: &Shared, state: State) -> Reply {
+        let peer = (state.endpoints, state.endpoints_freshness);
         let is_brief = state.is_brief();
-        self.heard(now, shared, state);
-        let cursor = theirs.1.map_or(0, |known| known.cursor);
-        let fresher = self.registrations_known.cursor().0 > cursor
+        self.apply_state(now, shared, state);
+        let cursor = peer.1.map_or(0, |known| known.cursor);
+        let is_newer = self.registrations_checkpoint.cursor().0 > cursor
             && self.directory.is_settled()
-            && self.directory.digest() != theirs.0;
+            && self.directory.digest() != peer.0;
         let own = self.state(now, shared);
         Reply {
             state: if is_brief { own.brief() } else { own },
-            endpoints: fresher.then(|| self.directory.registrations()),
+            endpoints: is_newer.then(|| self.directory.registrations()),
         }
     }
 
-    /// Takes in another entry's answer.
-    pub(super) fn answered(&mut self, now: Instant, shared: &Shared, reply: Reply) {
+    /// Applies another entry's reply, and its registrations if they are newer than this entry's.
+    pub(super) fn handle_reply(&mut self, now: Instant, shared: &Shared, reply: Reply) {
         let Reply { state, endpoints } = reply;
         let from = state.entry.clone();
         if let Some(endpoints) = endpoints
             && state
-                .endpoints_known
-                .is_some_and(|known| known.cursor > self.registrations_known.cursor().0)
+                .endpoints_freshness
+                .is_some_and(|known| known.cursor > self.registrations_checkpoint.cursor().0)
         {
-            learn(&mut self.registrations_known, now, state.endpoints_known);
-            self.on_endpoints(now, shared, Event::Relayed(endpoints), from.as_str());
+            confirm(&mut self.registrations_checkpoint, now, state.endpoints_freshness);
+            self.apply_endpoints(now, shared, Event::Relayed(endpoints), from.as_str());
         }
-        self.heard(now, shared, state);
+        self.apply_state(now, shared, state);
     }
 
-    /// Takes in which shares of limits another entry, or another zone, uses.
-    fn hear_uses(&mut self, now: Instant, shared: &Shared, state: &State) {
-        let keeps = self.keeping.keeper == Keeper::Own;
+    /// Applies the demand and the limit shares of another entry or another zone.
+    fn apply_limit_usage(&mut self, now: Instant, shared: &Shared, state: &State) {
+        let is_keeper = self.keepers.keeper == Keeper::Own;
         let is_near = state.zone == shared.settings.zone;
-        for used in &state.uses {
-            let Some(organisation) = self.organisations.get_mut(&used.organisation) else {
+        for usage in &state.limit_usage {
+            let Some(organisation) = self.organisations.get_mut(&usage.organisation) else {
                 continue;
             };
             match (state.stage == Stage::Keeps, is_near) {
-                (false, _) => organisation.share.heard(now, &state.entry, used.demand, used.share),
-                (true, false) => organisation.zone_share.heard(now, &state.zone, used.demand, used.share),
-                // A keeper is told nothing by one before it that does not know yet.
-                (true, true) if keeps => {}
-                (true, true) => organisation.zone_share.adopt(used.share),
+                (false, _) => organisation
+                    .share
+                    .record_peer(now, &state.entry, usage.demand, usage.share),
+                (true, false) => organisation
+                    .zone_share
+                    .record_peer(now, &state.zone, usage.demand, usage.share),
+                // A keeper ignores its predecessor, which does not know yet that it was replaced.
+                (true, true) if is_keeper => {}
+                (true, true) => organisation.zone_share.adopt(usage.share),
             }
         }
     }
 
-    fn heard(&mut self, now: Instant, shared: &Shared, state: State) {
+    /// Applies the state of another entry.
+    fn apply_state(&mut self, now: Instant, shared: &Shared, state: State) {
         if state.entry == shared.settings.name {
             return;
         }
-        self.members.told(now, &state.zones, &state.members);
-        self.hear_uses(now, shared, &state);
-        let before = self.heard_word.map(|(word, _)| word);
-        if let Some(word) = state
+        self.members.merge_members(now, &state.zones, &state.members);
+        self.apply_limit_usage(now, shared, &state);
+        let before = self.peer_lease_notice.map(|(notice, _)| notice);
+        if let Some(notice) = state
             .lease
-            .filter(|word| before.is_none_or(|before| word.replaces(before)))
+            .filter(|notice| before.is_none_or(|before| notice.replaces(before)))
         {
-            self.heard_word = Some((word, now));
+            self.peer_lease_notice = Some((notice, now));
         }
-        let was_holder = self.holder.as_ref().is_some_and(|holder| holder.entry == state.entry);
-        let said = if state.holds || was_holder {
-            Some(Holder {
+        let was_holder = self
+            .duty_holder
+            .as_ref()
+            .is_some_and(|holder| holder.entry == state.entry);
+        let holder = if state.holds_duties || was_holder {
+            Some(DutyHolder {
                 entry: state.entry.clone(),
-                at: now,
-                holds: state.holds,
+                reported: now,
+                holds: state.holds_duties,
             })
         } else {
-            let told = state.holder.clone();
-            told.map(|(entry, age)| Holder {
+            let relayed = state.holder.clone();
+            relayed.map(|(entry, age)| DutyHolder {
                 entry,
-                at: now - Duration::from_millis(age.into()),
+                reported: now - Duration::from_millis(age.into()),
                 holds: true,
             })
         };
-        if let Some(holder) = said.filter(|holder| holder.entry != shared.settings.name)
-            && self.holder.as_ref().is_none_or(|before| before.at < holder.at)
+        if let Some(holder) = holder.filter(|holder| holder.entry != shared.settings.name)
+            && self
+                .duty_holder
+                .as_ref()
+                .is_none_or(|before| before.reported < holder.reported)
         {
-            self.holder = Some(holder);
+            self.duty_holder = Some(holder);
         }
-        self.hear_rates(now, shared, &state);
-        self.hear_rollouts(now, shared, &state);
-        self.hear_document(now, shared, &state);
-        // Who has the same, and knows it to be newer, makes this entry's knowledge as fresh as its own.
+        self.apply_peer_rates(now, shared, &state);
+        self.apply_peer_rollouts(now, shared, &state);
+        self.record_peer_document(now, shared, &state);
+        // If the other entry has the same data and confirmed it more recently, its confirmation applies here too.
         if state.document == self.document.version {
-            learn(&mut self.document_known, now, state.document_known);
+            confirm(&mut self.document_checkpoint, now, state.document_freshness);
         }
         if state.endpoints == self.directory.digest() {
-            learn(&mut self.registrations_known, now, state.endpoints_known);
+            confirm(&mut self.registrations_checkpoint, now, state.endpoints_freshness);
         }
         if !state.suspicions.is_empty() {
             self.quarantine.merge(now, &state.suspicions);
             self.publish(shared);
         }
-        let mut recall = shared.recall();
-        for reading in &state.readings {
-            recall.hear(now, *reading);
+        let mut cache_index = shared.recall();
+        for part in &state.cached_parts {
+            cache_index.record(now, *part);
         }
-        drop(recall);
-        let counted = self.counted.entry((state.entry.clone(), state.life)).or_default();
+        drop(cache_index);
+        let peer_usage = self
+            .peer_usage
+            .entry((state.entry.clone(), state.incarnation))
+            .or_default();
         for (window, counts) in &state.windows {
-            counted.insert(*window, counts.clone());
+            peer_usage.insert(*window, counts.clone());
         }
         let entry = state.entry.clone();
-        if self.members.heard_of(now, state)
+        if self.members.record_state(now, state)
             && let Some((logger, left_out)) = shared.log.room(now, Topic::Belief)
         {
             info!(logger, "entry heard"; "entry" => entry.as_str(), "members" => self.members.count(),
--- a/bergamotshift-limit/src/prelude.rs
+++ b/bergamotshift-limit/src/prelude.rs
@@ -1,4 +1,4 @@
-//! The types that users of the crate need most.
+//! Commonly used types of the crate.
 
 pub use crate::admission;
 pub use crate::admission::Gate;
@@ -6,9 +6,9 @@
 pub use crate::backoff::Backoff;
 pub use crate::defer;
 pub use crate::demand;
-pub use crate::desk;
 pub use crate::hedge;
 pub use crate::hedge::Hedge;
+pub use crate::limiter;
 pub use crate::quarantine;
 pub use crate::quarantine::Quarantine;
 pub use crate::quarantine::Verdict;
--- a/bergamotshift-route/tests/reclaim.rs
+++ b/bergamotshift-route/tests/reclaim.rs
@@ -1,4 +1,4 @@
-//! Reclaim plans: each way is chosen where it fits, and links and notice are never overdrawn.
+//! Reclaim plans: the choice of actions, and the limits of links and notice.
 
 use core::time::Duration;
 
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn each_way_where_it_fits() {
+fn each_action_is_chosen_where_it_fits() {
     let cases = [
         (
             "short",
@@ -95,10 +95,10 @@
 
 #[test]
 fn a_slow_link_goes_to_urgent_streams_first() {
-    // A zone is reclaimed and its link carries only a few of its streams. Callers who wait must not be the ones whose
-    // answers stall while background work takes the link, so urgent streams reserve it first.
+    // A zone is reclaimed and its link has capacity for only a few of its streams. If deferrable streams took the link,
+    // the answers of waiting callers would stall, so urgent streams reserve it first.
     let notice = Notice {
-        left: Duration::from_secs(3),
+        remaining: Duration::from_secs(3),
         ..notice()
     };
     let streams: Vec<Stream> = (0..40)
@@ -125,7 +125,7 @@
 
 #[test]
 fn restarts_spread_over_the_end_of_the_notice() {
-    // The window is 18 s; restarts take its last third, one turn each.
+    // The window is 18 s. Ten restarts are spread evenly over its last third.
     let streams: Vec<Stream> = (0..10).map(|id| Stream { id, ..LONG }).collect();
     let plan = reclaim::plan(&notice(), &streams);
     assert_eq!(plan[0].after, Duration::from_secs(12));
@@ -135,14 +135,14 @@
 
 #[test]
 fn a_move_ends_with_the_window() {
-    // A stream that is moved early leaves engine time unused where it is free, and takes some where it is scarce.
+    // A stream that moves early wastes free engine time at the leaving endpoint and takes scarce time elsewhere.
     let plan = reclaim::plan(&notice(), &[Stream { movable: true, ..LONG }]);
-    assert_eq!(plan[0].after + plan[0].takes, Duration::from_secs(18));
+    assert_eq!(plan[0].after + plan[0].duration, Duration::from_secs(18));
 }
 
 quickcheck! {
     fn every_stream_has_one_step_and_no_link_is_overdrawn(seeds: Vec<(u8, u16, u16, bool)>, left_ms: u16) -> bool {
-        let notice = Notice { left: Duration::from_millis(left_ms.into()), ..notice() };
+        let notice = Notice { remaining: Duration::from_millis(left_ms.into()), ..notice() };
         let streams: Vec<Stream> = seeds
             .iter()
             .enumerate()
@@ -159,7 +159,7 @@
         let mut ids: Vec<u64> = plan.iter().map(|step| step.id).collect();
         ids.sort_unstable();
         let whole = ids == (0..streams.len() as u64).collect::<Vec<_>>();
-        let window = notice.left.saturating_sub(notice.margin);
+        let window = notice.remaining.saturating_sub(notice.margin);
         let bytes: u64 = plan
             .iter()
             .filter(|step| step.action == Action::Move)
@@ -169,6 +169,8 @@
             })
             .sum();
         let carried = notice.shared_link as f64 * window.as_secs_f64();
-        whole && bytes as f64 <= carried && plan.iter().all(|step| step.after + step.takes <= window.max(step.takes))
+        whole
+            && bytes as f64 <= carried
+            && plan.iter().all(|step| step.after + step.duration <= window.max(step.duration))
     }
 }
