--- a/bergamotshift-entry/src/api/reply.rs
+++ b/bergamotshift-entry/src/api/reply.rs
@@ -12,7 +12,7 @@
 use bergamotshift_core::attempt;
 use bergamotshift_core::outcome::Outcome;
 use bergamotshift_endpoint::header as hop;
-use bergamotshift_forward::serve::cut;
+use bergamotshift_forward::serve::flush_and_terminate;
 use futures_util::FutureExt;
 use futures_util::Stream;
 use futures_util::future::LocalBoxFuture;
@@ -92,7 +92,7 @@
             let (Some(Err(error)), Some(connection)) = (&item, &self.active.connection) else {
                 return Poll::Ready(item);
             };
-            self.cut = Some((cut(connection.clone()).boxed_local(), Rc::clone(error)));
+            self.cut = Some((flush_and_terminate(connection.clone()).boxed_local(), Rc::clone(error)));
         }
         let Some((cut, error)) = &mut self.cut else {
             return Poll::Ready(None);
--- a/bergamotshift-forward/src/daemon/server.rs
+++ b/bergamotshift-forward/src/daemon/server.rs
@@ -81,7 +81,7 @@
             let forwarder = Rc::new(Forwarder::new(Arc::clone(&callers)));
             ntex::rt::spawn(sweep(Rc::clone(&forwarder)));
             ntex::rt::spawn(close(Rc::clone(&forwarder)));
-            ntex::rt::spawn(Rc::clone(&forwarder).tell());
+            ntex::rt::spawn(Rc::clone(&forwarder).report_in_flight());
             HttpService::new(fn_service(move |request: Request| {
                 let forwarder = Rc::clone(&forwarder);
                 async move { Ok::<_, io::Error>(forwarder.serve(request).await) }
--- a/bergamotshift-forward/src/exchange/call.rs
+++ b/bergamotshift-forward/src/exchange/call.rs
@@ -52,7 +52,7 @@
 /// # Errors
 ///
 /// Returns what went wrong on the way; any status is an answer.
-pub async fn ask_pooled(
+pub async fn call_pooled(
     pool: &RefCell<Pool>,
     clock: Clock,
     address: SocketAddr,
--- a/bergamotshift-forward/src/exchange/connection.rs
+++ b/bergamotshift-forward/src/exchange/connection.rs
@@ -70,13 +70,13 @@
     /// # Errors
     ///
     /// Returns the system's error when the options cannot be read.
-    pub fn is_watched(&self) -> io::Result<bool> {
+    pub fn has_system_timeout(&self) -> io::Result<bool> {
         let socket = SockRef::from(&self.stream);
         Ok(socket.keepalive()? || socket.tcp_user_timeout()?.is_some_and(|timeout| !timeout.is_zero()))
     }
 
     /// Returns how many bytes ever came.
-    pub const fn total(&self) -> usize {
+    pub const fn bytes_received(&self) -> usize {
         self.total
     }
 
--- a/bergamotshift-forward/src/exchange/mod.rs
+++ b/bergamotshift-forward/src/exchange/mod.rs
@@ -12,8 +12,8 @@
 mod pool;
 
 pub use self::body::Body;
-pub use self::call::ask_pooled;
 pub use self::call::call;
+pub use self::call::call_pooled;
 pub use self::call::download;
 pub use self::connection::Connection;
 pub use self::event::Events;
--- a/bergamotshift-forward/src/peers/permit.rs
+++ b/bergamotshift-forward/src/peers/permit.rs
@@ -150,7 +150,7 @@
     async fn exchange(&self, address: SocketAddr, question: &Question) -> Option<Verdict> {
         let question = postcard::to_stdvec(question).ok()?;
         let clock = self.shared.clock;
-        let call = exchange::ask_pooled(&self.pool, clock, address, granter::ANSWER_TIMEOUT, PATH, &question);
+        let call = exchange::call_pooled(&self.pool, clock, address, granter::ANSWER_TIMEOUT, PATH, &question);
         let answer = call.await.ok()?;
         (answer.status == StatusCode::OK)
             .then(|| postcard::from_bytes(&answer.body).ok())
--- a/bergamotshift-forward/src/peers/task.rs
+++ b/bergamotshift-forward/src/peers/task.rs
@@ -147,10 +147,10 @@
         Some(connection) => connection,
         None => Connection::open(address, timeout).await?,
     };
-    let before = connection.total();
+    let before = connection.bytes_received();
     let call = timeout_at(deadline, exchange::call(&mut connection, address, PATH, question)).await;
     let answer = call.map_err(|_elapsed| Error::Timeout {
-        received: connection.total() - before,
+        received: connection.bytes_received() - before,
     })??;
     if answer.status != StatusCode::OK {
         return Err(Error::Status(answer.status.as_u16()));
--- a/bergamotshift-forward/src/serve/cut.rs
+++ b/bergamotshift-forward/src/serve/cut.rs
@@ -8,7 +8,7 @@
 /// Failure: the HTTP library answers a body that fails with an error message of its own, written into the middle of
 /// the body. Symptom: a caller that counts bytes takes the message for the rest of its answer. On a connection that is
 /// cut already the library writes nothing.
-pub async fn cut(connection: IoRef) {
+pub async fn flush_and_terminate(connection: IoRef) {
     const LOOK: Millis = Millis(2);
     const LOOKS: usize = 500;
     for _ in 0..LOOKS {
--- a/bergamotshift-forward/src/serve/keeper.rs
+++ b/bergamotshift-forward/src/serve/keeper.rs
@@ -117,7 +117,7 @@
     }
 
     /// Tells the keeper what work is under way, soon after it changed, for as long as the process lives.
-    pub async fn tell(self: Rc<Self>) {
+    pub async fn report_in_flight(self: Rc<Self>) {
         loop {
             self.shared.in_flight_changed.notified().await;
             let changed = self.shared.clock.now();
@@ -166,7 +166,7 @@
     async fn exchange(&self, address: SocketAddr, question: &Question) -> Result<Answer, Missed> {
         let question = postcard::to_stdvec(question).or(Err(Missed::Disagrees))?;
         let clock = self.shared.clock;
-        let asked = exchange::ask_pooled(
+        let asked = exchange::call_pooled(
             &self.pool,
             clock,
             address,
--- a/bergamotshift-forward/src/serve/mod.rs
+++ b/bergamotshift-forward/src/serve/mod.rs
@@ -15,7 +15,7 @@
 mod stream;
 mod whole;
 
-pub use self::cut::cut;
+pub use self::cut::flush_and_terminate;
 pub use self::forwarder::Forwarder;
 pub use self::refusal::Reason;
 pub use self::refusal::Refusal;
--- a/bergamotshift-forward/src/serve/stream.rs
+++ b/bergamotshift-forward/src/serve/stream.rs
@@ -22,7 +22,7 @@
 use super::active::Active;
 use super::attempt::History;
 use super::attempt::Open;
-use super::cut::cut;
+use super::cut::flush_and_terminate;
 use super::job::Job;
 use super::refusal::Reason;
 use super::refusal::Refusal;
@@ -238,7 +238,7 @@
                     .forwarder
                     .broken(&state.flow.job, &state.flow.history, &failure);
                 if let Some(caller) = state.caller.take() {
-                    cut(caller).await;
+                    flush_and_terminate(caller).await;
                 }
                 state.ended = true;
                 let error: Rc<dyn StdError> = Rc::new(Cut(failure.to_string()));
--- a/bergamotshift-forward/tests/daemon/abandoned.rs
+++ b/bergamotshift-forward/tests/daemon/abandoned.rs
@@ -58,7 +58,7 @@
     let endpoint = silent::Receiver::start().unwrap();
     let address = endpoint.address();
     let connection = Connection::open(address, Duration::from_secs(1)).await.unwrap();
-    assert!(!connection.is_watched().unwrap(), "a new one is");
+    assert!(!connection.has_system_timeout().unwrap(), "a new one is");
     let (now, mut pool) = (Instant::from_secs(1), Pool::default());
     pool.put(now, address, connection, &HeaderMap::new());
     let mut connection = pool.take(now, address).expect("it was kept");
@@ -66,7 +66,7 @@
     timeout(Duration::from_millis(50), exchange)
         .await
         .expect_err("the endpoint is silent");
-    assert!(!connection.is_watched().unwrap(), "one with a request is");
+    assert!(!connection.has_system_timeout().unwrap(), "one with a request is");
 }
 
 /// A request is sent over a connection whose peer went silent without a word while it was idle, and is lost. Nobody watches
