--- a/bergamotshift-forward/src/exchange/body.rs
+++ b/bergamotshift-forward/src/exchange/body.rs
@@ -11,17 +11,17 @@
 use super::failure::Failure;
 
 /// The longest line of a chunk's size, extensions included.
-const SIZE_LINE: usize = 256;
+const MAX_SIZE_LINE: usize = 256;
 
 /// How a body ends, and how much of it is still to come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Body {
+pub enum Framing {
     /// It has ended.
     Done,
     /// It has this many bytes more.
     Length(u64),
     /// The next bytes are a chunk's size.
-    Size,
+    ChunkSize,
     /// The chunk has this many bytes more, and a line end behind them.
     Chunk(u64),
     /// The line end behind a chunk comes next.
@@ -29,12 +29,12 @@
     /// The lines behind the last chunk come next.
     Trailer,
     /// It ends with the connection.
-    Close,
+    UntilClose,
 }
 
-impl Body {
+impl Framing {
     /// Returns how the body of an answer with this head ends.
-    pub(super) fn of(status: StatusCode, headers: &HeaderMap, method: &Method) -> Result<Self, Failure> {
+    pub(super) fn from_head(status: StatusCode, headers: &HeaderMap, method: &Method) -> Result<Self, Failure> {
         let empty = status.is_informational() || matches!(status, StatusCode::NO_CONTENT | StatusCode::NOT_MODIFIED);
         if empty || *method == Method::HEAD {
             return Ok(Self::Done);
@@ -43,11 +43,11 @@
             if headers.contains_key(header::CONTENT_LENGTH) || !coding.as_bytes().eq_ignore_ascii_case(b"chunked") {
                 return Err(Failure::Malformed("its framing is ambiguous"));
             }
-            return Ok(Self::Size);
+            return Ok(Self::ChunkSize);
         }
         let mut lengths = headers.get_all(header::CONTENT_LENGTH);
         let Some(length) = lengths.next() else {
-            return Ok(Self::Close);
+            return Ok(Self::UntilClose);
         };
         if lengths.any(|other| other.as_bytes() != length.as_bytes()) {
             return Err(Failure::Malformed("it has two lengths"));
@@ -65,7 +65,7 @@
 
     /// Returns whether the body's end is told by something else than the connection's end.
     pub const fn is_framed(self) -> bool {
-        !matches!(self, Self::Close)
+        !matches!(self, Self::UntilClose)
     }
 
     /// Takes the next bytes of the body out of what was received; `None` when more is needed or it has ended.
@@ -74,7 +74,7 @@
             match *self {
                 Self::Done => return Ok(None),
                 _ if received.is_empty() => return Ok(None),
-                Self::Close => return Ok(Some(received.split().freeze())),
+                Self::UntilClose => return Ok(Some(received.split().freeze())),
                 Self::Length(left) => {
                     let (piece, left) = split(received, left);
                     *self = if left == 0 { Self::Done } else { Self::Length(left) };
@@ -85,12 +85,12 @@
                     *self = if left == 0 { Self::ChunkEnd } else { Self::Chunk(left) };
                     return Ok(Some(piece));
                 }
-                Self::Size => match httparse::parse_chunk_size(received) {
+                Self::ChunkSize => match httparse::parse_chunk_size(received) {
                     Ok(httparse::Status::Complete((line, size))) => {
                         received.advance(line);
                         *self = if size == 0 { Self::Trailer } else { Self::Chunk(size) };
                     }
-                    Ok(httparse::Status::Partial) if received.len() <= SIZE_LINE => return Ok(None),
+                    Ok(httparse::Status::Partial) if received.len() <= MAX_SIZE_LINE => return Ok(None),
                     _ => return Err(Failure::Malformed("a chunk has no size")),
                 },
                 Self::ChunkEnd => {
@@ -101,7 +101,7 @@
                         return Err(Failure::Malformed("a chunk has no end"));
                     }
                     received.advance(2);
-                    *self = Self::Size;
+                    *self = Self::ChunkSize;
                 }
                 Self::Trailer => {
                     let Some(end) = received.windows(2).position(|pair| pair == b"\r\n") else {
--- a/bergamotshift-forward/src/exchange/call.rs
+++ b/bergamotshift-forward/src/exchange/call.rs
@@ -16,7 +16,7 @@
 
 use super::connection::Connection;
 use super::failure::Failure;
-use super::head::Answer;
+use super::head::Head;
 use super::head::encode;
 use super::pool::Pool;
 use crate::observe::Clock;
@@ -46,7 +46,7 @@
     read(connection, address, path, question, &Cell::new(0)).await
 }
 
-/// Sends a question to another entry over an idle connection, or a new one that comes about within `patience`, reads the
+/// Sends a question to another entry over an idle connection, or a new one that comes about within `connect_timeout`, reads the
 /// whole answer and gives the connection back.
 ///
 /// # Errors
@@ -56,21 +56,21 @@
     pool: &RefCell<Pool>,
     clock: Clock,
     address: SocketAddr,
-    patience: Duration,
+    connect_timeout: Duration,
     path: &str,
     question: &[u8],
 ) -> Result<Reply, Failure> {
     let idle = pool.borrow_mut().take(clock.now(), address);
     let mut connection = match idle {
         Some(connection) => connection,
-        None => Connection::open(address, patience).await?,
+        None => Connection::open(address, connect_timeout).await?,
     };
     let reply = call(&mut connection, address, path, question).await?;
     pool.borrow_mut().put(clock.now(), address, connection, &reply.headers);
     Ok(reply)
 }
 
-/// Sends a question to another entry and reads its whole answer, however long that is, while it keeps pace.
+/// Sends a question to another entry and reads its whole answer, however long that is, while it keeps throughput.
 ///
 /// # Errors
 ///
@@ -80,16 +80,16 @@
     address: SocketAddr,
     path: &str,
     question: &[u8],
-    pace: Throughput,
+    throughput: Throughput,
 ) -> Result<Reply, Failure> {
     let received = Cell::new(0);
     let mut reading = pin!(read(connection, address, path, question, &received));
-    let mut watch = pace.monitor();
+    let mut monitor = throughput.monitor();
     loop {
-        if let Ok(ended) = timeout(pace.within, reading.as_mut()).await {
+        if let Ok(ended) = timeout(throughput.within, reading.as_mut()).await {
             return ended;
         }
-        if !watch.is_sustained(received.get()) {
+        if !monitor.is_sustained(received.get()) {
             return Err(Failure::Slow {
                 received: received.get(),
             });
@@ -105,22 +105,27 @@
     question: &[u8],
     received: &Cell<usize>,
 ) -> Result<Reply, Failure> {
-    let answer = ask(connection, address, path, question).await?;
-    let mut framing = answer.body;
+    let head = send_question(connection, address, path, question).await?;
+    let mut framing = head.framing;
     let mut body = Vec::new();
     while let Some(piece) = connection.body(&mut framing).await? {
         body.extend_from_slice(&piece);
         received.set(body.len());
     }
     Ok(Reply {
-        status: answer.status,
-        headers: answer.headers,
+        status: head.status,
+        headers: head.headers,
         body,
     })
 }
 
 /// Sends a question and reads the head of its answer.
-async fn ask(connection: &mut Connection, address: SocketAddr, path: &str, question: &[u8]) -> Result<Answer, Failure> {
+async fn send_question(
+    connection: &mut Connection,
+    address: SocketAddr,
+    path: &str,
+    question: &[u8],
+) -> Result<Head, Failure> {
     let mut headers = HeaderMap::new();
     // An address is always a valid header value.
     if let Ok(host) = HeaderValue::from_str(&address.to_string()) {
--- a/bergamotshift-forward/src/exchange/connection.rs
+++ b/bergamotshift-forward/src/exchange/connection.rs
@@ -14,18 +14,18 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-use super::body::Body;
+use super::body::Framing;
 use super::failure::Failure;
-use super::head::Answer;
+use super::head::Head;
 
 /// How much room there is for one read, in bytes.
-const READ: usize = 8 * 1024;
+const READ_SIZE: usize = 8 * 1024;
 
 /// The largest head of an answer, in bytes.
-const HEAD: usize = 16 * 1024;
+const MAX_HEAD: usize = 16 * 1024;
 
 /// The largest answer to somebody else that is read over to get at one's own, in bytes.
-const STRAY: u64 = 64 * 1024;
+const MAX_SKIPPED: u64 = 64 * 1024;
 
 /// A connection to an endpoint, with what was received and not taken yet.
 #[derive(Debug)]
@@ -33,9 +33,9 @@
     stream: TcpStream,
     received: BytesMut,
     /// How many bytes ever came.
-    total: usize,
+    total_received: usize,
     /// Whether it cannot carry another exchange.
-    spent: bool,
+    unusable: bool,
 }
 
 impl Connection {
@@ -49,9 +49,9 @@
     /// # Errors
     ///
     /// Returns [`Failure::Connect`] when none comes about in time.
-    pub async fn open(address: SocketAddr, patience: Duration) -> Result<Self, Failure> {
+    pub async fn open(address: SocketAddr, connect_timeout: Duration) -> Result<Self, Failure> {
         let failed = |error: io::Error| Failure::Connect(error.to_string());
-        let stream = match timeout(patience, TcpStream::connect(address)).await {
+        let stream = match timeout(connect_timeout, TcpStream::connect(address)).await {
             Ok(stream) => stream.map_err(failed)?,
             Err(_) => return Err(Failure::Connect("no answer in time".to_owned())),
         };
@@ -60,8 +60,8 @@
         Ok(Self {
             stream,
             received: BytesMut::new(),
-            total: 0,
-            spent: false,
+            total_received: 0,
+            unusable: false,
         })
     }
 
@@ -77,7 +77,7 @@
 
     /// Returns how many bytes ever came.
     pub const fn bytes_received(&self) -> usize {
-        self.total
+        self.total_received
     }
 
     /// Returns whether another exchange may follow on the connection.
@@ -85,14 +85,14 @@
     /// Failure: an endpoint closes an idle connection, or sends a second answer after a whole one. Symptom: the next
     /// request is lost, or gets somebody else's answer. Bytes or an end on an idle connection show both.
     pub fn is_reusable(&self) -> bool {
-        if self.spent || !self.received.is_empty() {
+        if self.unusable || !self.received.is_empty() {
             return false;
         }
         let mut byte = [0];
         matches!(self.stream.try_read(&mut byte), Err(error) if error.kind() == io::ErrorKind::WouldBlock)
     }
 
-    /// Sends a request and returns the head of the answer that `belongs`.
+    /// Sends a request and returns the head of the answer that `is_expected`.
     ///
     /// An endpoint may answer before it has read all of the request; the connection is not used again then, since the
     /// rest of the request is still due on it.
@@ -104,32 +104,32 @@
         &mut self,
         request: &[u8],
         method: &Method,
-        belongs: impl Fn(&Answer) -> bool,
-    ) -> Result<Answer, Failure> {
+        is_expected: impl Fn(&Head) -> bool,
+    ) -> Result<Head, Failure> {
         let mut sent = 0;
-        let mut stray = false;
+        let mut has_skipped = false;
         loop {
-            if let Some((answer, length)) = Answer::parse(&self.received, method)? {
+            if let Some((head, length)) = Head::parse(&self.received, method)? {
                 self.received.advance(length);
-                if answer.status.is_informational() {
+                if head.status.is_informational() {
                     continue;
                 }
-                if belongs(&answer) {
-                    self.spent = sent < request.len() || !answer.keeps;
-                    return Ok(answer);
+                if is_expected(&head) {
+                    self.unusable = sent < request.len() || !head.keep_alive;
+                    return Ok(head);
                 }
-                if stray {
+                if has_skipped {
                     return Err(Failure::Malformed("it belongs to another request"));
                 }
-                stray = true;
-                self.skip(answer.body).await?;
+                has_skipped = true;
+                self.skip(head.framing).await?;
                 continue;
             }
-            if self.received.len() > HEAD {
+            if self.received.len() > MAX_HEAD {
                 return Err(Failure::Malformed("its head is too large"));
             }
             if sent < request.len() {
-                sent += self.exchange(&request[sent..]).await?;
+                sent += self.write_or_read(&request[sent..]).await?;
             } else if self.read().await? == 0 {
                 return Err(Failure::Broken("it ended before the answer".to_owned()));
             }
@@ -141,19 +141,19 @@
     /// # Errors
     ///
     /// Returns [`Failure::Broken`] when the connection ends before the body does.
-    pub async fn body(&mut self, body: &mut Body) -> Result<Option<Bytes>, Failure> {
+    pub async fn body(&mut self, framing: &mut Framing) -> Result<Option<Bytes>, Failure> {
         loop {
-            if let Some(piece) = body.take(&mut self.received)? {
+            if let Some(piece) = framing.take(&mut self.received)? {
                 return Ok(Some(piece));
             }
-            if *body == Body::Done {
-                self.spent |= !self.received.is_empty();
+            if *framing == Framing::Done {
+                self.unusable |= !self.received.is_empty();
                 return Ok(None);
             }
             if self.read().await? == 0 {
-                self.spent = true;
-                if *body == Body::Close {
-                    *body = Body::Done;
+                self.unusable = true;
+                if *framing == Framing::UntilClose {
+                    *framing = Framing::Done;
                     continue;
                 }
                 return Err(Failure::Broken("it ended within the answer".to_owned()));
@@ -165,27 +165,27 @@
     ///
     /// Failure: an endpoint answers a request twice, and the second answer stands where the next one is expected.
     /// Symptom: a caller gets another caller's answer. Its identifier shows whose it is, and the right one follows.
-    async fn skip(&mut self, mut body: Body) -> Result<(), Failure> {
+    async fn skip(&mut self, mut framing: Framing) -> Result<(), Failure> {
         let mut skipped = 0;
-        if !body.is_framed() {
+        if !framing.is_framed() {
             return Err(Failure::Malformed("it belongs to another request"));
         }
-        while let Some(piece) = self.body(&mut body).await? {
+        while let Some(piece) = self.body(&mut framing).await? {
             skipped += piece.len() as u64;
-            if skipped > STRAY {
+            if skipped > MAX_SKIPPED {
                 return Err(Failure::Malformed("it belongs to another request"));
             }
         }
-        self.spent = false;
+        self.unusable = false;
         Ok(())
     }
 
     /// Sends what the system takes, unless the endpoint says something first; returns how many bytes left.
-    async fn exchange(&mut self, request: &[u8]) -> Result<usize, Failure> {
+    async fn write_or_read(&mut self, request: &[u8]) -> Result<usize, Failure> {
         let interest = Interest::READABLE | Interest::WRITABLE;
         let ready = self.stream.ready(interest).await.map_err(|error| broken(&error))?;
         if ready.is_readable() {
-            match self.take() {
+            match self.read_available() {
                 Ok(0) => return Err(Failure::Broken("it ended before the answer".to_owned())),
                 Ok(_) => return Ok(0),
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
@@ -202,7 +202,7 @@
     async fn read(&mut self) -> Result<usize, Failure> {
         loop {
             self.stream.readable().await.map_err(|error| broken(&error))?;
-            match self.take() {
+            match self.read_available() {
                 Ok(length) => return Ok(length),
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
                 Err(error) => return Err(broken(&error)),
@@ -210,10 +210,10 @@
         }
     }
 
-    fn take(&mut self) -> io::Result<usize> {
-        self.received.reserve(READ);
+    fn read_available(&mut self) -> io::Result<usize> {
+        self.received.reserve(READ_SIZE);
         let length = self.stream.try_read_buf(&mut self.received)?;
-        self.total += length;
+        self.total_received += length;
         Ok(length)
     }
 }
--- a/bergamotshift-forward/src/exchange/head.rs
+++ b/bergamotshift-forward/src/exchange/head.rs
@@ -9,29 +9,29 @@
 use ntex::http::header::HeaderName;
 use ntex::http::header::HeaderValue;
 
-use super::body::Body;
+use super::body::Framing;
 use super::failure::Failure;
 
 /// The most header fields of an answer.
-const FIELDS: usize = 64;
+const MAX_FIELDS: usize = 64;
 
 /// The head of an answer.
 #[derive(Clone, Debug)]
-pub struct Answer {
+pub struct Head {
     /// The status.
     pub status: StatusCode,
     /// The headers.
     pub headers: HeaderMap,
     /// How its body ends.
-    pub body: Body,
+    pub framing: Framing,
     /// Whether the endpoint keeps the connection after it.
-    pub keeps: bool,
+    pub keep_alive: bool,
 }
 
 /// Writes a request's head and body as they go over the wire.
 pub fn encode(method: &Method, path: &str, headers: &HeaderMap, body: &[u8]) -> Vec<u8> {
-    const USUAL_HEAD: usize = 768;
-    let mut text = String::with_capacity(USUAL_HEAD);
+    const TYPICAL_HEAD: usize = 768;
+    let mut text = String::with_capacity(TYPICAL_HEAD);
     // Writing to a string never fails.
     let _ = write!(text, "{method} {path} HTTP/1.1\r\n");
     let mut bytes = text.into_bytes();
@@ -50,35 +50,35 @@
     bytes
 }
 
-impl Answer {
+impl Head {
     /// Parses an answer's head; returns it with its length, or `None` when more bytes are needed.
     pub(super) fn parse(bytes: &[u8], method: &Method) -> Result<Option<(Self, usize)>, Failure> {
-        let mut fields = [httparse::EMPTY_HEADER; FIELDS];
-        let mut head = httparse::Response::new(&mut fields);
-        let length = match head.parse(bytes) {
+        let mut fields = [httparse::EMPTY_HEADER; MAX_FIELDS];
+        let mut response = httparse::Response::new(&mut fields);
+        let length = match response.parse(bytes) {
             Ok(httparse::Status::Complete(length)) => length,
             Ok(httparse::Status::Partial) => return Ok(None),
             Err(_) => return Err(Failure::Malformed("its head is no HTTP")),
         };
-        let status = head.code.and_then(|code| StatusCode::from_u16(code).ok());
+        let status = response.code.and_then(|code| StatusCode::from_u16(code).ok());
         let status = status.ok_or(Failure::Malformed("its status is none"))?;
-        let mut headers = HeaderMap::with_capacity(head.headers.len());
-        for field in head.headers.iter() {
+        let mut headers = HeaderMap::with_capacity(response.headers.len());
+        for field in response.headers.iter() {
             let name =
                 HeaderName::try_from(field.name).map_err(|_invalid| Failure::Malformed("a header's name is none"))?;
             let value = HeaderValue::from_bytes(field.value);
             let value = value.map_err(|_invalid| Failure::Malformed("a header's value is none"))?;
             headers.append(name, value);
         }
-        let body = Body::of(status, &headers, method)?;
-        let keeps = keeps(head.version == Some(1), &headers) && body.is_framed();
-        let answer = Self {
+        let framing = Framing::from_head(status, &headers, method)?;
+        let keep_alive = is_persistent(response.version == Some(1), &headers) && framing.is_framed();
+        let head = Self {
             status,
             headers,
-            body,
-            keeps,
+            framing,
+            keep_alive,
         };
-        Ok(Some((answer, length)))
+        Ok(Some((head, length)))
     }
 
     /// Returns whether the answer is a stream of events.
@@ -88,12 +88,12 @@
     }
 }
 
-fn keeps(current: bool, headers: &HeaderMap) -> bool {
+fn is_persistent(is_http_1_1: bool, headers: &HeaderMap) -> bool {
     let options = headers.get_all(header::CONNECTION);
     let mut options = options
         .filter_map(|value| value.to_str().ok())
         .flat_map(|text| text.split(','));
-    if current {
+    if is_http_1_1 {
         !options.any(|option| option.trim().eq_ignore_ascii_case("close"))
     } else {
         options.any(|option| option.trim().eq_ignore_ascii_case("keep-alive"))
--- a/bergamotshift-forward/src/exchange/mod.rs
+++ b/bergamotshift-forward/src/exchange/mod.rs
@@ -11,13 +11,13 @@
 mod head;
 mod pool;
 
-pub use self::body::Body;
+pub use self::body::Framing;
 pub use self::call::call;
 pub use self::call::call_pooled;
 pub use self::call::download;
 pub use self::connection::Connection;
 pub use self::event::Events;
 pub use self::failure::Failure;
-pub use self::head::Answer;
+pub use self::head::Head;
 pub use self::head::encode;
 pub use self::pool::Pool;
--- a/bergamotshift-forward/src/exchange/pool.rs
+++ b/bergamotshift-forward/src/exchange/pool.rs
@@ -10,17 +10,17 @@
 use super::connection::Connection;
 
 /// How long an idle connection is kept when the endpoint does not say.
-const USUAL_KEEP: Duration = Duration::from_secs(4);
+const DEFAULT_KEEP_ALIVE: Duration = Duration::from_secs(4);
 
 /// The longest time that an idle connection is kept. Nothing tells whether its peer is still reached, and a request that is
 /// sent into silence may have run.
-const LONGEST_KEEP: Duration = Duration::from_secs(1);
+const MAX_KEEP_ALIVE: Duration = Duration::from_secs(1);
 
 /// What is taken off an endpoint's own figure, so that it does not close a connection just as it is used again.
-const MARGIN: Duration = Duration::from_millis(500);
+const KEEP_ALIVE_MARGIN: Duration = Duration::from_millis(500);
 
 /// The most idle connections to one endpoint; endpoints take a few hundred from all entries together.
-const IDLE: usize = 24;
+const MAX_IDLE_PER_ADDRESS: usize = 24;
 
 #[derive(Debug)]
 struct Idle {
@@ -38,26 +38,28 @@
     /// Takes a connection that may carry another exchange.
     pub fn take(&mut self, now: Instant, address: SocketAddr) -> Option<Connection> {
         let idle = self.idle.get_mut(&address)?;
-        while let Some(one) = idle.pop() {
-            if one.until > now && one.connection.is_reusable() {
-                return Some(one.connection);
+        while let Some(entry) = idle.pop() {
+            if entry.until > now && entry.connection.is_reusable() {
+                return Some(entry.connection);
             }
         }
         None
     }
 
     /// Takes back a connection whose exchange ended; `answer` are the headers of its last answer.
-    pub fn put(&mut self, now: Instant, address: SocketAddr, connection: Connection, answer: &HeaderMap) {
+    pub fn put(&mut self, now: Instant, address: SocketAddr, connection: Connection, headers: &HeaderMap) {
         if !connection.is_reusable() {
             return;
         }
-        let keep = keep(answer).saturating_sub(MARGIN).min(LONGEST_KEEP);
-        if keep.is_zero() {
+        let keep_alive = keep_alive(headers)
+            .saturating_sub(KEEP_ALIVE_MARGIN)
+            .min(MAX_KEEP_ALIVE);
+        if keep_alive.is_zero() {
             return;
         }
         let idle = self.idle.entry(address).or_default();
-        if idle.len() < IDLE {
-            let until = now + keep;
+        if idle.len() < MAX_IDLE_PER_ADDRESS {
+            let until = now + keep_alive;
             idle.push(Idle { connection, until });
         }
     }
@@ -65,18 +67,18 @@
     /// Closes what was idle for too long, and all connections to an address that is no endpoint any more.
     pub fn sweep(&mut self, now: Instant, is_endpoint: impl Fn(SocketAddr) -> bool) {
         self.idle.retain(|address, idle| {
-            idle.retain(|one| one.until > now);
+            idle.retain(|entry| entry.until > now);
             !idle.is_empty() && is_endpoint(*address)
         });
     }
 }
 
 /// Returns how long the endpoint keeps the connection.
-fn keep(headers: &HeaderMap) -> Duration {
+fn keep_alive(headers: &HeaderMap) -> Duration {
     let text = headers.get("keep-alive").and_then(|value| value.to_str().ok());
     let seconds = text.and_then(|text| {
         let mut fields = text.split(',').map(str::trim);
         fields.find_map(|field| field.strip_prefix("timeout="))?.parse().ok()
     });
-    seconds.map_or(USUAL_KEEP, Duration::from_secs)
+    seconds.map_or(DEFAULT_KEEP_ALIVE, Duration::from_secs)
 }
--- a/bergamotshift-forward/src/serve/active.rs
+++ b/bergamotshift-forward/src/serve/active.rs
@@ -1,27 +1,27 @@
-//! Requests under way.
+//! Count of the requests in flight.
 
 use core::sync::atomic::Ordering;
 use std::sync::Arc;
 
-use super::callers::Busy;
+use super::callers::Guard;
 use crate::view::Shared;
 
-/// Counts one request as under way until it is dropped.
+/// Guard that counts one request as in flight until it is dropped.
 #[derive(Debug)]
 pub(super) struct Active {
     shared: Arc<Shared>,
     /// Keeps the caller's connection from being closed as idle.
-    _busy: Option<Busy>,
+    _connection: Option<Guard>,
 }
 
 impl Active {
-    /// Counts a request.
-    pub(super) fn new(shared: &Arc<Shared>, busy: Option<Busy>) -> Self {
+    /// Counts a request as in flight.
+    pub(super) fn new(shared: &Arc<Shared>, connection: Option<Guard>) -> Self {
         shared.active.fetch_add(1, Ordering::AcqRel);
         shared.metrics.active.inc();
         Self {
             shared: Arc::clone(shared),
-            _busy: busy,
+            _connection: connection,
         }
     }
 }
--- a/bergamotshift-forward/src/serve/attempt.rs
+++ b/bergamotshift-forward/src/serve/attempt.rs
@@ -1,4 +1,4 @@
-//! Sends a request to endpoints until one answers, or no more may be tried.
+//! Sends a request to endpoints until one responds or no further attempt is allowed.
 
 use core::time::Duration;
 use std::sync::Arc;
@@ -12,8 +12,8 @@
 
 use super::Forwarder;
 use super::job::Job;
+use super::pace::Estimate;
 use super::pace::Pace;
-use super::pace::Sent;
 use super::refusal::Reason;
 use super::refusal::Refusal;
 use crate::choice::Choice;
@@ -22,63 +22,64 @@
 use crate::document::Kind;
 use crate::endpoint::RequestGuard;
 use crate::exchange;
-use crate::exchange::Answer;
 use crate::exchange::Connection;
 use crate::exchange::Failure;
+use crate::exchange::Head;
 use crate::observe::Topic;
 use crate::peers::Note;
 use crate::rollouts::Observer;
 
-/// How long a connection may take to come about: ten times the way there and back between zones.
-const CONNECT: Duration = Duration::from_millis(250);
+/// Timeout for opening a connection: ten times the round trip between zones.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// The most connections tried for one request; unreachable endpoints are passed over after the first failure.
-const CONNECTS: usize = 4;
+/// Maximum number of attempts that end before a request is sent. Unreachable endpoints are skipped after their first
+/// failure.
+const MAX_UNSENT_ATTEMPTS: usize = 4;
 
-/// What is kept back of the caller's time for the answer's way back.
-const WAY_BACK: Duration = Duration::from_millis(5);
+/// Part of the caller's time that is reserved for returning the response.
+const RETURN_MARGIN: Duration = Duration::from_millis(5);
 
-/// Less time than this is not worth a send: the endpoint could not answer.
-const SHORTEST: Duration = Duration::from_millis(10);
+/// Minimum time left for sending a request; an endpoint could not respond in less.
+const MIN_TIME_LEFT: Duration = Duration::from_millis(10);
 
-/// What happened to a request so far.
+/// Attempts of a request so far.
 #[derive(Clone, Debug, Default)]
 pub(super) struct History {
-    /// Endpoints that had it or could not be reached, by their hashes.
+    /// Hashes of the endpoints that received it or could not be reached.
     pub(super) tried: Vec<u64>,
-    /// How often it was sent.
+    /// Number of times that it was sent.
     pub(super) sends: u32,
-    /// How often it was sent and surely not run.
-    unrun: u32,
-    /// Connections that did not come about.
-    unreachable: usize,
-    /// Its last send.
-    pub(super) sent: Option<Sent>,
-    /// When the events of its answer came.
+    /// Number of sends that provably did not run.
+    not_run: u32,
+    /// Number of attempts that ended before it was sent.
+    unsent: usize,
+    /// Estimate for the last send.
+    pub(super) estimate: Option<Estimate>,
+    /// Timing of the events of its response.
     pub(super) pace: Pace,
 }
 
 impl History {
     /// Returns whether an endpoint may have run the request.
     pub(super) const fn may_have_run(&self) -> bool {
-        self.sends > self.unrun
+        self.sends > self.not_run
     }
 
     /// Returns whether another endpoint may be tried.
     ///
-    /// Of the endpoints that may have run a request only as many may be tried as its route allows; a proof that one
-    /// did not run it gives one more try.
-    fn may_go_on(&self, job: &Job) -> bool {
-        let ran = self.sends - self.unrun;
+    /// A route limits the number of endpoints that may have run a request. An endpoint that proves that it did not run
+    /// the request allows one more send.
+    fn can_retry(&self, job: &Job) -> bool {
+        let ran = self.sends - self.not_run;
         let repeatable = ran == 0 || job.route.is_repeatable();
-        let left = ran < job.route.attempts && self.sends <= job.route.attempts;
-        repeatable && left && self.unreachable < CONNECTS
+        let attempts_left = ran < job.route.attempts && self.sends <= job.route.attempts;
+        repeatable && attempts_left && self.unsent < MAX_UNSENT_ATTEMPTS
     }
 
-    /// Returns the refusal of a request that has no more time or no more tries.
+    /// Returns the refusal of a request that has no time or no attempts left.
     ///
-    /// Failure: a request that an endpoint may have run is refused as not run. Symptom: its caller sends it again, and
-    /// it runs twice. Only a request that never left, or whose endpoints all proved that they did not run it, is.
+    /// The refusal states that the request did not run only if it was never sent, or if all endpoints that received it
+    /// proved that they did not run it. Otherwise its caller would send it again, and it would run twice.
     pub(super) fn refusal(&self, timed_out: bool) -> Refusal {
         let reason = match (self.may_have_run(), timed_out) {
             (true, true) => Reason::TimedOut,
@@ -91,105 +92,112 @@
     }
 }
 
-/// An endpoint's answer whose head is there and whose body is still to be read.
+/// Exchange with an endpoint whose response head has arrived and whose body is still to be read.
 #[derive(Debug)]
-pub(super) struct Open {
-    pub(super) answer: Answer,
+pub(super) struct Exchange {
+    pub(super) head: Head,
     pub(super) connection: Connection,
-    pub(super) seat: RequestGuard,
+    pub(super) guard: RequestGuard,
 }
 
-/// How one send ended, as long as no answer was taken.
-enum Missed {
+/// Error of an attempt without an acceptable response.
+enum Error {
     /// The endpoint proved that it did not run the request.
-    Unrun,
-    /// The same, and it named a time for which it wants nothing.
-    TurnedAway,
-    /// The endpoint wants no more, as an answer said while the request waited for a connection.
-    Withdrawn,
-    /// The endpoint failed in a way that its answer tells; the answer stands if no other comes.
-    Failed(Box<Open>),
-    /// There was no connection.
+    NotRun,
+    /// The endpoint proved that it did not run the request, and named a time for which it accepts none.
+    RetryLater,
+    /// The endpoint stopped accepting requests, according to another response, while this request waited for a
+    /// connection.
+    Unavailable,
+    /// The endpoint responded with a server error, which is returned if no other endpoint responds.
+    Status(Box<Exchange>),
+    /// No connection was opened in time.
     Unreachable,
-    /// The exchange broke.
-    Lost(Failure),
+    /// The exchange failed.
+    Failed(Failure),
 }
 
-/// What one try came to.
-enum Step {
-    /// There is an answer to take.
-    Taken(Open),
-    /// Another try may follow; an answer that tells a failure is kept in case none does better.
-    Again(Option<Box<Open>>),
-    /// No more tries.
-    End(Refusal),
+/// Outcome of one attempt.
+enum Outcome {
+    /// The response can be returned to the caller.
+    Accepted(Exchange),
+    /// Another attempt may follow; a server error is kept in case no other endpoint responds.
+    Retry(Option<Box<Exchange>>),
+    /// No further attempt is allowed.
+    Refused(Refusal),
 }
 
 impl Forwarder {
-    /// Sends a request until an endpoint's answer is there.
-    pub(super) async fn open(
+    /// Sends a request until an endpoint responds.
+    ///
+    /// # Errors
+    ///
+    /// Returns the refusal when no further attempt is allowed and no endpoint responded.
+    pub(super) async fn send_with_retries(
         &self,
         job: &Job,
         history: &mut History,
         last_event: Option<u64>,
-    ) -> Result<Open, Refusal> {
+    ) -> Result<Exchange, Refusal> {
         let mut fallback = None;
         loop {
-            match self.step(job, history, last_event).await {
-                Step::Taken(open) => return Ok(open),
-                Step::Again(failed) => fallback = failed.or(fallback),
-                Step::End(refusal) => return fallback.map(|open| *open).ok_or(refusal),
+            match self.attempt(job, history, last_event).await {
+                Outcome::Accepted(exchange) => return Ok(exchange),
+                Outcome::Retry(response) => fallback = response.or(fallback),
+                Outcome::Refused(refusal) => return fallback.map(|exchange| *exchange).ok_or(refusal),
             }
         }
     }
 
-    async fn step(&self, job: &Job, history: &mut History, last_event: Option<u64>) -> Step {
-        if job.deadline.since(self.shared.clock.now()) < SHORTEST {
-            return Step::End(history.refusal(true));
+    /// Sends a request to one endpoint.
+    async fn attempt(&self, job: &Job, history: &mut History, last_event: Option<u64>) -> Outcome {
+        if job.deadline.since(self.shared.clock.now()) < MIN_TIME_LEFT {
+            return Outcome::Refused(history.refusal(true));
         }
         let view = self.shared.view.load_full();
         let Some(service) = view.services.get(&job.service) else {
-            return Step::End(history.refusal(false));
+            return Outcome::Refused(history.refusal(false));
         };
         let choice = match self.choose(service, job, history).await {
             Ok(choice) => choice,
-            Err(refusal) => return Step::End(refusal),
+            Err(refusal) => return Outcome::Refused(refusal),
         };
-        // A repeat after a proof that nothing ran is no further run, but it loads the service like one.
-        let repeats = history.sends > 0;
-        if repeats && !service.budget.try_withdraw() {
-            return Step::End(history.refusal(false));
+        // A retry loads the service even if the request has not run yet, so it draws from the retry budget.
+        let is_retry = history.sends > 0;
+        if is_retry && !service.budget.try_withdraw() {
+            return Outcome::Refused(history.refusal(false));
         }
         let sends = history.sends;
-        let missed = match self.send(job, &choice, history, last_event).await {
-            Ok(open) => return Step::Taken(open),
-            Err(missed) => missed,
+        let error = match self.send(job, &choice, history, last_event).await {
+            Ok(exchange) => return Outcome::Accepted(exchange),
+            Err(error) => error,
         };
-        if repeats && history.sends == sends {
+        if is_retry && history.sends == sends {
             service.budget.refund();
         }
-        let failed = self.judge(job, &choice, history, missed);
-        if history.may_go_on(job) {
-            return Step::Again(failed);
+        let fallback = self.handle_error(job, &choice, history, error);
+        if history.can_retry(job) {
+            return Outcome::Retry(fallback);
         }
-        let timed_out = job.deadline.since(self.shared.clock.now()) < SHORTEST;
-        match failed {
-            Some(open) => Step::Taken(*open),
-            None => Step::End(history.refusal(timed_out)),
+        let timed_out = job.deadline.since(self.shared.clock.now()) < MIN_TIME_LEFT;
+        match fallback {
+            Some(exchange) => Outcome::Accepted(*exchange),
+            None => Outcome::Refused(history.refusal(timed_out)),
         }
     }
 
+    /// Sends a request to the chosen endpoint and checks the head of its response.
     async fn send(
         &self,
         job: &Job,
         choice: &Choice,
         history: &mut History,
         last_event: Option<u64>,
-    ) -> Result<Open, Missed> {
+    ) -> Result<Exchange, Error> {
         let endpoint = &choice.endpoint;
         let address = endpoint.registration.address;
-        let expected = Sent::new(choice);
-        let mut seat = RequestGuard::take(Arc::clone(endpoint), choice.unread);
+        let estimate = Estimate::new(choice);
+        let mut guard = RequestGuard::take(Arc::clone(endpoint), choice.unread);
         history.tried.push(endpoint.hash);
         let now = self.shared.clock.now();
         let idle = self.pool.borrow_mut().take(now, address);
@@ -197,27 +205,29 @@
             connection
         } else {
             self.shared.metrics.connections.inc();
-            let patience = CONNECT.min(job.deadline.since(now));
-            let opened = Connection::open(address, patience).await;
-            opened.map_err(|_unreachable| Missed::Unreachable)?
+            let connect_timeout = CONNECT_TIMEOUT.min(job.deadline.since(now));
+            let opened = Connection::open(address, connect_timeout).await;
+            opened.map_err(|_unreachable| Error::Unreachable)?
         };
         let now = self.shared.clock.now();
-        let left = job.deadline.since(now);
-        if left < SHORTEST {
-            return Err(Missed::Unreachable);
+        let time_left = job.deadline.since(now);
+        if time_left < MIN_TIME_LEFT {
+            return Err(Error::Unreachable);
         }
         if endpoint.is_leaving() || endpoint.signals.paused_until(now).is_some() {
-            return Err(Missed::Withdrawn);
+            return Err(Error::Unavailable);
         }
         history.sends += 1;
-        history.sent = Some(expected);
+        history.estimate = Some(estimate);
         self.shared.metrics.sends.inc();
-        self.shared.recall().record_choice(now, endpoint.hash, &job.ask.parts);
-        seat = seat.with_witness(self.witness(job, choice));
+        self.shared
+            .recall()
+            .record_choice(now, endpoint.hash, &job.metadata.parts);
+        guard = guard.with_witness(self.observer(job, choice));
         let envelope = Envelope {
             expected: &endpoint.registration.id,
             organisation: job.organisation.as_ref(),
-            time_left: job.time_left(now + WAY_BACK),
+            time_left: job.time_left_ms(now + RETURN_MARGIN),
             source: choice.source,
             urgency: self.is_engine(job).then_some(job.urgency.min(9)),
             last_event,
@@ -225,36 +235,38 @@
         let headers = self.shared.dialect.towards_endpoint(&job.headers, &envelope);
         let request = exchange::encode(&job.method, &job.path, &headers, &job.body);
         let dialect = &self.shared.dialect;
-        let belongs = |answer: &Answer| dialect.echoes(&answer.headers, &job.ask.id);
-        let repeats = job.route.attempts > history.sends;
-        let patience = job
-            .patience()
-            .filter(|_| repeats)
-            .map_or(left, |patience| patience.min(left));
-        let exchange = connection.send(&request, &job.method, belongs);
-        let exchanged = timeout(patience, exchange).await.unwrap_or(Err(Failure::Silent));
-        let answer = match exchanged {
-            Ok(answer) => answer,
+        let is_expected = |head: &Head| dialect.echoes(&head.headers, &job.metadata.id);
+        let can_repeat = job.route.attempts > history.sends;
+        let response_timeout = job
+            .response_timeout()
+            .filter(|_| can_repeat)
+            .map_or(time_left, |limit| limit.min(time_left));
+        let exchange = connection.send(&request, &job.method, is_expected);
+        let exchanged = timeout(response_timeout, exchange)
+            .await
+            .unwrap_or(Err(Failure::Silent));
+        let head = match exchanged {
+            Ok(head) => head,
             Err(failure) => {
-                seat.record_version_failure();
-                return Err(Missed::Lost(failure));
+                guard.record_version_failure();
+                return Err(Error::Failed(failure));
             }
         };
-        let notice = self.hear(job, choice, now, &answer);
-        let open = Open {
-            answer,
+        let notice = self.apply_notice(job, choice, now, &head);
+        let exchange = Exchange {
+            head,
             connection,
-            seat,
+            guard,
         };
-        self.accept(job, open, notice)
+        self.check_response(job, exchange, notice)
     }
 
-    /// Returns who sees what comes of a send while two versions of the service are compared.
-    fn witness(&self, job: &Job, choice: &Choice) -> Option<Observer> {
-        /// What the way there and back and the endpoint's turns add to the expected time, in milliseconds.
-        const BESIDE: f64 = 40.0;
-        /// The part of its objective that a plain answer is expected to take.
-        const PLAIN: f64 = 0.25;
+    /// Returns an observer of the response while two versions of the service are compared.
+    fn observer(&self, job: &Job, choice: &Choice) -> Option<Observer> {
+        /// Time that the network round trip and the endpoint's scheduling add to the expected time, in milliseconds.
+        const OVERHEAD_MS: f64 = 40.0;
+        /// Share of its objective that a plain request is expected to take.
+        const PLAIN_SHARE: f64 = 0.25;
         let view = self.shared.view.load();
         let service = view.services.get(&job.service)?;
         let canary = service.canary.as_ref()?;
@@ -265,85 +277,88 @@
             Group::canary(endpoint)
         };
         let expected = if service.engine.is_some() {
-            choice.cost + BESIDE
+            choice.cost + OVERHEAD_MS
         } else {
-            job.route.objective.as_secs_f64() * 1e3 * PLAIN
+            job.route.objective.as_secs_f64() * 1e3 * PLAIN_SHARE
         };
         let route = xxh3_64(job.route.name.as_bytes()) as u32;
-        let witness = Observer::new(
+        let observer = Observer::new(
             &self.shared.rollout_evidence,
             self.shared.clock,
             &job.service,
             canary.order,
             route,
         );
-        Some(witness.expecting(group, expected))
+        Some(observer.expecting(group, expected))
     }
 
-    /// Tells an answer that the caller may get from one that calls for another try.
+    /// Distinguishes a response that the caller may get from one that calls for another attempt.
     ///
-    /// Being turned away with a time is no failure: neither the endpoint's health nor its version's evidence suffers.
-    fn accept(&self, job: &Job, mut open: Open, notice: Notice) -> Result<Open, Missed> {
-        let turned_away = notice.retry_after.is_some();
-        let Answer { status, headers, .. } = &open.answer;
+    /// A refusal that names a retry time is not a failure: it counts neither against the endpoint's health nor as
+    /// evidence against its version.
+    fn check_response(&self, job: &Job, mut exchange: Exchange, notice: Notice) -> Result<Exchange, Error> {
+        let names_time = notice.retry_after.is_some();
+        let Head { status, headers, .. } = &exchange.head;
         if *status == StatusCode::MISDIRECTED_REQUEST {
-            // Another incarnation has the address, so this one is gone.
-            open.seat.endpoint().mark_leaving();
-            return Err(Missed::Unrun);
+            // Another incarnation has the address, so the expected one is gone.
+            exchange.guard.endpoint().mark_leaving();
+            return Err(Error::NotRun);
         }
         if self.shared.dialect.says_not_run(headers) {
-            if turned_away {
-                return Err(Missed::TurnedAway);
+            if names_time {
+                return Err(Error::RetryLater);
             }
-            open.seat.record_version_failure();
-            return Err(Missed::Unrun);
+            exchange.guard.record_version_failure();
+            return Err(Error::NotRun);
         }
         let sealed = self.shared.dialect.is_sealed(headers);
         if status.is_success() && (!sealed || headers.contains_key(header::CONTENT_ENCODING)) {
-            open.seat.record_version_failure();
-            return Err(Missed::Lost(Failure::Malformed("a success bears no seal")));
+            exchange.guard.record_version_failure();
+            return Err(Error::Failed(Failure::Malformed(
+                "a success has no seal or has a content encoding",
+            )));
         }
         if status.is_server_error() {
-            if !turned_away {
-                open.seat.record_failure();
+            if !names_time {
+                exchange.guard.record_failure();
             }
             if job.route.kind == Kind::Idempotent {
-                return Err(Missed::Failed(Box::new(open)));
+                return Err(Error::Status(Box::new(exchange)));
             }
         }
-        Ok(open)
+        Ok(exchange)
     }
 
-    /// Draws the conclusions from a send that brought no answer to take; returns one that tells a failure.
-    fn judge(&self, job: &Job, choice: &Choice, history: &mut History, missed: Missed) -> Option<Box<Open>> {
+    /// Records the consequences of an attempt without an acceptable response; returns the server error, if it was one.
+    fn handle_error(&self, job: &Job, choice: &Choice, history: &mut History, error: Error) -> Option<Box<Exchange>> {
         let now = self.shared.clock.now();
         let endpoint = &choice.endpoint;
-        let mut failed = None;
-        let cause = match missed {
-            Missed::Unrun => {
-                history.unrun += 1;
+        let mut fallback = None;
+        let cause = match error {
+            Error::NotRun => {
+                history.not_run += 1;
                 endpoint.health.record_failure();
-                "the endpoint refused it unrun".to_owned()
+                "the endpoint refused the request without running it".to_owned()
             }
-            Missed::TurnedAway => {
-                history.unrun += 1;
-                "the endpoint turned it away unrun for a time".to_owned()
+            Error::RetryLater => {
+                history.not_run += 1;
+                "the endpoint refused the request without running it and named a retry time".to_owned()
             }
-            Missed::Withdrawn => {
-                history.unreachable += 1;
-                "the endpoint wants no more".to_owned()
+            Error::Unavailable => {
+                history.unsent += 1;
+                "the endpoint accepts no requests".to_owned()
             }
-            Missed::Unreachable => {
-                history.unreachable += 1;
+            Error::Unreachable => {
+                history.unsent += 1;
                 endpoint.health.record_unreachable(now);
                 "the endpoint cannot be reached".to_owned()
             }
-            Missed::Failed(open) => {
-                let cause = format!("the endpoint answered {}", open.answer.status.as_u16());
-                failed = Some(open);
+            Error::Status(exchange) => {
+                let cause = format!("the endpoint answered {}", exchange.head.status.as_u16());
+                fallback = Some(exchange);
                 cause
             }
-            Missed::Lost(failure) => {
+            Error::Failed(failure) => {
                 endpoint.health.record_failure();
                 if matches!(failure, Failure::Broken(_)) {
                     let _ = self.shared.notes.send(Note::ConnectionLost {
@@ -355,16 +370,16 @@
             }
         };
         if let Some((logger, left_out)) = self.shared.log.room(now, Topic::Attempt) {
-            info!(logger, "attempt failed"; "request" => job.ask.id.as_str(), "route" => job.route.name.as_str(),
+            info!(logger, "attempt failed"; "request" => job.metadata.id.as_str(), "route" => job.route.name.as_str(),
                 "endpoint" => endpoint.registration.id.as_str(), "cause" => cause, "sends" => history.sends,
                 "expected_ms" => choice.cost as u64, "running" => endpoint.running(),
-                "document" => self.version(), "left_out" => left_out);
+                "document" => self.document_version(), "left_out" => left_out);
         }
-        failed
+        fallback
     }
 
-    /// Returns the version of the document in force.
-    pub(super) fn version(&self) -> u64 {
+    /// Returns the version of the document in force; 0 without a document.
+    pub(super) fn document_version(&self) -> u64 {
         let view = self.shared.view.load();
         view.table.as_ref().map_or(0, |table| table.document().version)
     }
--- a/bergamotshift-forward/src/serve/callers.rs
+++ b/bergamotshift-forward/src/serve/callers.rs
@@ -1,4 +1,4 @@
-//! Callers' connections, so that idle ones can be closed when the entry stops.
+//! Connections of callers, tracked so that idle ones can be closed when the entry stops.
 
 use core::cell::RefCell;
 use std::collections::HashMap;
@@ -6,53 +6,53 @@
 
 use ntex::io::IoRef;
 
-/// The connections of one thread on which requests came, with the requests under way on each.
+/// Connections of one thread on which requests arrived, with the number of requests in flight on each.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Callers(Rc<RefCell<HashMap<IoRef, u32>>>);
 
-/// Counts one request as under way on a connection until it is dropped.
+/// Guard that counts one request as in flight on a connection until it is dropped.
 #[derive(Debug)]
-pub(super) struct Busy {
+pub(super) struct Guard {
     callers: Callers,
     connection: IoRef,
 }
 
 impl Callers {
-    /// Counts a request.
-    pub(super) fn enter(&self, connection: &IoRef) -> Busy {
+    /// Counts a request as in flight on a connection.
+    pub(super) fn track(&self, connection: &IoRef) -> Guard {
         *self.0.borrow_mut().entry(connection.clone()).or_default() += 1;
-        Busy {
+        Guard {
             callers: self.clone(),
             connection: connection.clone(),
         }
     }
 
-    /// Closes the connections on which no request is under way, behind what was written to them.
+    /// Closes the connections without requests in flight, after flushing what was written to them.
     ///
-    /// Failure: a caller keeps its connection and sends a request just before the process ends. Symptom: the request is
-    /// cut. A closed connection makes the caller come to another entry; a request that crosses the close was never
-    /// passed on, so its caller may send it again.
+    /// Otherwise, a caller could send a request on an idle connection just before the process ends, and the request
+    /// would be cut. A caller whose connection is closed connects to another entry. A request that crosses the close
+    /// was never forwarded, so its caller may send it again.
     pub(super) fn close_idle(&self) {
         self.forget_closed();
-        for (connection, busy) in self.0.borrow().iter() {
-            if *busy == 0 {
+        for (connection, in_flight) in self.0.borrow().iter() {
+            if *in_flight == 0 {
                 connection.close();
             }
         }
     }
 
-    /// Forgets connections that are gone.
+    /// Forgets closed connections without requests in flight.
     pub(super) fn forget_closed(&self) {
         self.0
             .borrow_mut()
-            .retain(|connection, busy| *busy > 0 || !connection.is_closed());
+            .retain(|connection, in_flight| *in_flight > 0 || !connection.is_closed());
     }
 }
 
-impl Drop for Busy {
+impl Drop for Guard {
     fn drop(&mut self) {
-        if let Some(busy) = self.callers.0.borrow_mut().get_mut(&self.connection) {
-            *busy -= 1;
+        if let Some(in_flight) = self.callers.0.borrow_mut().get_mut(&self.connection) {
+            *in_flight -= 1;
         }
     }
 }
--- a/bergamotshift-forward/src/serve/charge.rs
+++ b/bergamotshift-forward/src/serve/charge.rs
@@ -1,4 +1,4 @@
-//! Takes what a request counts from its organisation's limit, and has an endpoint chosen for it where another entry does.
+//! Charges a request to its organisation's limit, and has the zone's keeper choose an endpoint for it.
 
 use std::sync::Arc;
 
@@ -21,29 +21,33 @@
 use crate::peers;
 use crate::view::View;
 
-/// What a request was let in with.
+/// Admission of a request.
 #[derive(Debug, Default)]
 pub(super) struct Admission {
-    /// What it counts against its organisation's limit, and where.
+    /// Charge that this entry made against the organisation's limit.
     pub(super) charge: Option<Charge>,
-    /// The endpoint that the zone's keeper chose for it.
+    /// Endpoint that the zone's keeper chose for the request.
     pub(super) placement: Option<Placement>,
 }
 
 impl Forwarder {
-    /// Takes what a request counts, from this entry's share or from whoever keeps its zone.
+    /// Charges a request to this entry's share of the limit, or asks the keeper of its zone.
+    ///
+    /// # Errors
+    ///
+    /// Returns the refusal when the organisation is over its limit.
     pub(super) async fn charge(
         &self,
         view: &View,
         organisation: Option<&Organisation>,
         service: &name::Service,
-        ask: &Metadata,
+        metadata: &Metadata,
         is_canary: bool,
         now: Instant,
     ) -> Result<Admission, Refusal> {
         let accounts = organisation.and_then(|organisation| {
             let accounts = view.accounts.get(&organisation.name)?;
-            let count = organisation.limit?.units(ask.size.map(Size::total));
+            let count = organisation.limit?.units(metadata.size.map(Size::total));
             let units = Units {
                 organisation: organisation.name.clone(),
                 count,
@@ -55,13 +59,13 @@
             Some((accounts, units))
         });
         let generation = || {
-            let size = ask.size.filter(|_| view.is_engine(service))?;
+            let size = metadata.size.filter(|_| view.is_engine(service))?;
             Some(Generation {
                 service: service.clone(),
                 prompt: size.prompt,
-                parts: ask.parts.clone(),
+                parts: metadata.parts.clone(),
                 is_canary,
-                avoided: avoided(view, service, now),
+                avoided: avoided_endpoints(view, service, now),
             })
         };
         let admission = match (view.keeping.keeper, accounts) {
@@ -69,10 +73,10 @@
             (Keeper::Nobody, Some((accounts, units))) => accounts
                 .own
                 .take(now, units.count)
-                .map(|()| from(&accounts.own, units.count)),
+                .map(|()| charged(&accounts.own, units.count)),
             (Keeper::Own, accounts) => {
                 let granted = accounts.map_or(Ok(Admission::default()), |(accounts, units)| {
-                    peers::keep::grant(view, now, &units).map(|()| from(&accounts.zone, units.count))
+                    peers::keep::grant(view, now, &units).map(|()| charged(&accounts.zone, units.count))
                 });
                 match (granted, generation()) {
                     (Ok(admission), Some(generation)) => Ok(Admission {
@@ -98,25 +102,26 @@
     }
 }
 
-/// Returns the endpoints of a service that said that they want nothing from this entry.
+/// Returns the endpoints of a service that announced that they accept no requests from this entry.
 ///
-/// Only this entry may know that; a keeper that does not would take them for idle and place all generations there.
-fn avoided(view: &View, service: &name::Service, now: Instant) -> Vec<u64> {
+/// Only this entry may know that; a keeper that does not would consider them idle and place all generations there.
+fn avoided_endpoints(view: &View, service: &name::Service, now: Instant) -> Vec<u64> {
     let Some(service) = view.services.get(service) else {
         return Vec::new();
     };
-    let wants_nothing = |endpoint: &&Arc<Endpoint>| {
-        let is_told = endpoint.signals.is_leaving() || endpoint.signals.paused_until(now).is_some();
-        is_told && !endpoint.is_withdrawn()
+    let accepts_nothing = |endpoint: &&Arc<Endpoint>| {
+        let is_announced = endpoint.signals.is_leaving() || endpoint.signals.paused_until(now).is_some();
+        is_announced && !endpoint.is_withdrawn()
     };
     service
         .all_endpoints()
-        .filter(wants_nothing)
+        .filter(accepts_nothing)
         .map(|endpoint| endpoint.hash)
         .collect()
 }
 
-fn from(account: &Arc<Account>, units: u64) -> Admission {
+/// Returns the admission of a request that was charged to an account.
+fn charged(account: &Arc<Account>, units: u64) -> Admission {
     Admission {
         charge: Some(Charge {
             account: Arc::clone(account),
--- a/bergamotshift-forward/src/serve/choose.rs
+++ b/bergamotshift-forward/src/serve/choose.rs
@@ -1,4 +1,4 @@
-//! Chooses the endpoint of the next try, and refuses at once what cannot be answered in time.
+//! Chooses the endpoint of the next attempt, and refuses at once requests that cannot be answered in time.
 
 use core::sync::atomic::Ordering::Relaxed;
 use core::time::Duration;
@@ -18,30 +18,31 @@
 use crate::observe::Topic;
 use crate::view::Service;
 
-/// How much longer than the overload is expected to last a caller is told to wait, so that it finds room.
-const ROOM: Duration = Duration::from_millis(400);
+/// Time added to the expected duration of an overload in the retry time, so that a caller that retries finds capacity.
+const OVERLOAD_MARGIN: Duration = Duration::from_millis(400);
 
-/// The shortest time that a caller is told to wait until an endpoint takes more.
-const SOONEST: Duration = Duration::from_millis(100);
+/// Minimum retry time while all endpoints are closed or announced a rate.
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(100);
 
-/// The longest time that a caller is told to wait for room.
-const LONGEST_ROOM: Duration = Duration::from_secs(2);
+/// Maximum retry time in an overload.
+const MAX_OVERLOAD_RETRY_AFTER: Duration = Duration::from_secs(2);
 
-/// After how many refused permits a request leaves out the endpoints that name a rate.
-const PERMITS: usize = 4;
+/// Number of refused permits after which a request avoids the endpoints that announced a rate.
+const MAX_REFUSED_PERMITS: usize = 4;
 
-/// The part of its objective that a request waits at the most for an endpoint to take more.
-const WAITING_USED: u32 = 8;
+/// Divisor of the objective that gives the maximum time that a request waits for an endpoint to open.
+const WAIT_DIVISOR: u32 = 8;
 
-/// An endpoint that may get a request.
+/// Endpoint that may get a request.
 struct Candidate {
     choice: Choice,
-    /// Whether the request was granted already where the endpoint names a rate.
+    /// Whether the endpoint announced a rate and the request was already granted.
     is_granted: bool,
 }
 
-/// Returns the endpoint that the zone's keeper chose, for the first try and as long as this entry knows nothing against it.
-fn placed(job: &Job, service: &Service, history: &History, now: Instant) -> Option<Candidate> {
+/// Returns the endpoint that the zone's keeper chose, for the first attempt and unless this entry knows a reason
+/// against it.
+fn placed_candidate(job: &Job, service: &Service, history: &History, now: Instant) -> Option<Candidate> {
     let placement = job.placement.filter(|_| history.tried.is_empty())?;
     let endpoint = service
         .all_endpoints()
@@ -64,19 +65,19 @@
 }
 
 impl Forwarder {
-    /// Chooses an endpoint that takes the request now, and refuses at once what cannot be answered in time.
+    /// Chooses an endpoint that accepts the request now, and refuses at once a request that cannot be answered in time.
     ///
-    /// Every send goes to an endpoint that was chosen here, so none exceeds the rate that an endpoint names.
+    /// Every send goes to an endpoint that was chosen here, so none exceeds the rate that an endpoint announced.
     pub(super) async fn choose(&self, service: &Service, job: &Job, history: &History) -> Result<Choice, Refusal> {
-        let patience = job.route.objective / WAITING_USED;
-        let until = self.shared.clock.now() + patience;
+        let max_wait = job.route.objective / WAIT_DIVISOR;
+        let until = self.shared.clock.now() + max_wait;
         let mut refused = 0;
         let mut avoided = history.tried.clone();
         loop {
             let now = self.shared.clock.now();
             let candidate = match self.candidate(now, service, job, history, &avoided) {
                 Ok(candidate) => candidate,
-                Err(refusal) => match self.opens(now, service, history) {
+                Err(refusal) => match self.next_opening(now, service, history) {
                     Some(opens) if opens <= until => {
                         tokio::time::sleep(opens.since(now)).await;
                         refused = 0;
@@ -87,23 +88,23 @@
                 },
             };
             let Candidate { choice, is_granted } = candidate;
-            if is_granted || self.permits.acquire(&choice.endpoint, &job.ask.id).await {
+            if is_granted || self.permits.acquire(&choice.endpoint, &job.metadata.id).await {
                 if history.tried.is_empty() {
                     service.requested_tokens.fetch_add(choice.unread, Relaxed);
                 }
                 return Ok(choice);
             }
             refused += 1;
-            if refused == PERMITS {
-                let limited = self.staying(service);
+            if refused == MAX_REFUSED_PERMITS {
+                let limited = self.available_endpoints(service);
                 let limited = limited.filter(|endpoint| endpoint.signals.throttle.rate().is_some());
                 avoided.extend(limited.map(|endpoint| endpoint.hash));
             }
         }
     }
 
-    /// Returns the endpoints of a service that are reached and do not leave.
-    fn staying<'a>(&'a self, service: &'a Service) -> impl Iterator<Item = &'a Arc<Endpoint>> {
+    /// Returns the endpoints of a service that can be reached and are not leaving.
+    fn available_endpoints<'a>(&'a self, service: &'a Service) -> impl Iterator<Item = &'a Arc<Endpoint>> {
         let is_stranded = self.shared.is_stranded();
         let zone = &self.shared.settings.zone;
         let reached = service
@@ -112,32 +113,33 @@
         reached.filter(|endpoint| !endpoint.is_leaving())
     }
 
-    /// Returns when the first endpoint takes more that has not had the request; `None` when there is none.
-    fn opens(&self, now: Instant, service: &Service, history: &History) -> Option<Instant> {
+    /// Returns the earliest time at which a closed endpoint that was not tried opens; `None` if no such endpoint is
+    /// closed.
+    fn next_opening(&self, now: Instant, service: &Service, history: &History) -> Option<Instant> {
         let open = self
-            .staying(service)
+            .available_endpoints(service)
             .filter(|endpoint| !history.tried.contains(&endpoint.hash));
         open.filter_map(|endpoint| endpoint.closed_until(now)).min()
     }
 
-    /// Returns the refusal of a request that no endpoint takes; where all of them are closed or name rates, with the time at which
-    /// the first one may take more.
-    fn closed(&self, now: Instant, service: &Service, history: &History) -> Refusal {
+    /// Returns the refusal of a request that no endpoint accepts. If the request did not run and all endpoints are
+    /// closed or announced a rate, it contains the time until the first one may open.
+    fn closed_refusal(&self, now: Instant, service: &Service, history: &History) -> Refusal {
         let opens = |endpoint: &Arc<Endpoint>| {
             let is_limited = endpoint.signals.throttle.rate().is_some();
             endpoint.closed_until(now).or_else(|| is_limited.then_some(now))
         };
-        let all_closed: Option<Vec<Instant>> = self.staying(service).map(opens).collect();
+        let all_closed: Option<Vec<Instant>> = self.available_endpoints(service).map(opens).collect();
         match all_closed.and_then(|opens| opens.into_iter().min()) {
             Some(opens) if !history.may_have_run() => Refusal {
                 reason: Reason::Throttled,
-                retry_after: Some(opens.since(now).max(SOONEST)),
+                retry_after: Some(opens.since(now).max(MIN_RETRY_AFTER)),
             },
             _ => history.refusal(false),
         }
     }
 
-    /// Chooses an endpoint among those that take work, and refuses what cannot be answered in time.
+    /// Chooses an endpoint among those that accept requests, and refuses a request that cannot be answered in time.
     fn candidate(
         &self,
         now: Instant,
@@ -147,7 +149,7 @@
         avoided: &[u64],
     ) -> Result<Candidate, Refusal> {
         let request = choice::Request {
-            ask: &job.ask,
+            ask: &job.metadata,
             engine: service.engine,
             own_zone: &self.shared.settings.zone,
             preferred_zone: None,
@@ -155,34 +157,34 @@
             cache_sources: &[],
         };
         if self.shared.is_stranded() {
-            let choice = self.choose_here(now, service, &request, history)?;
+            let choice = self.choose_in_own_zone(now, service, &request, history)?;
             return Ok(Candidate {
                 choice,
                 is_granted: false,
             });
         }
-        let placed = placed(job, service, history, now);
-        // A repeat goes to the version in force.
+        let placed = placed_candidate(job, service, history, now);
+        // Retries go to the version in force.
         let canary = service.canary_for(job.is_canary && history.tried.is_empty());
         let candidate = placed.or_else(|| {
             let recall = self.shared.recall();
-            let choice = choice::choose_with_canary(&self.weights, now, service, canary, &request, &recall)?;
+            let choice = choice::choose_with_canary(&self.choice_settings, now, service, canary, &request, &recall)?;
             Some(Candidate {
                 choice,
                 is_granted: false,
             })
         });
-        let candidate = candidate.ok_or_else(|| self.closed(now, service, history))?;
+        let candidate = candidate.ok_or_else(|| self.closed_refusal(now, service, history))?;
         let choice = &candidate.choice;
-        let useful = (job.arrived + job.useful()).min(job.deadline);
-        let left = useful.since(now).as_secs_f64() * 1e3;
-        if service.engine.is_some() && choice.cost > left {
-            self.overloaded(now, job, choice, left);
+        let respond_by = (job.arrived + job.start_timeout()).min(job.deadline);
+        let time_left = respond_by.since(now).as_secs_f64() * 1e3;
+        if service.engine.is_some() && choice.cost > time_left {
+            self.log_overload(now, job, choice, time_left);
             return Err(if history.sends == 0 {
-                let late = Duration::from_secs_f64((choice.cost - left) / 1e3);
+                let late = Duration::from_secs_f64((choice.cost - time_left) / 1e3);
                 Refusal {
                     reason: Reason::Overloaded,
-                    retry_after: Some((late + ROOM).min(LONGEST_ROOM)),
+                    retry_after: Some((late + OVERLOAD_MARGIN).min(MAX_OVERLOAD_RETRY_AFTER)),
                 }
             } else {
                 history.refusal(false)
@@ -191,9 +193,8 @@
         Ok(candidate)
     }
 
-    /// Chooses an endpoint of the own zone: what lies in other zones is not reached, and connections to it are waited for in
-    /// vain.
-    fn choose_here(
+    /// Chooses an endpoint of the own zone, since other zones cannot be reached and connections to them would time out.
+    fn choose_in_own_zone(
         &self,
         now: Instant,
         service: &Service,
@@ -201,14 +202,14 @@
         history: &History,
     ) -> Result<Choice, Refusal> {
         let zone = &self.shared.settings.zone;
-        let here = service
+        let endpoints = service
             .endpoints
             .iter()
             .filter(|endpoint| endpoint.registration.zone == *zone);
-        let here: Vec<_> = here.cloned().collect();
-        let choice = choice::choose(&self.weights, now, &here, request, &self.shared.recall());
+        let endpoints: Vec<_> = endpoints.cloned().collect();
+        let choice = choice::choose(&self.choice_settings, now, &endpoints, request, &self.shared.recall());
         choice.ok_or_else(|| {
-            let refusal = self.closed(now, service, history);
+            let refusal = self.closed_refusal(now, service, history);
             if refusal.reason == Reason::NoEndpoint {
                 Reason::Stranded.into()
             } else {
@@ -217,17 +218,18 @@
         })
     }
 
-    /// Notes what decided that no endpoint is expected to answer in time.
-    fn overloaded(&self, now: Instant, job: &Job, choice: &Choice, left: f64) {
+    /// Logs why no endpoint is expected to respond in time.
+    fn log_overload(&self, now: Instant, job: &Job, choice: &Choice, time_left: f64) {
         if let Some((logger, left_out)) = self.shared.log.room(now, Topic::Limit) {
-            info!(logger, "no endpoint in time"; "request" => job.ask.id.as_str(),
+            info!(logger, "no endpoint in time"; "request" => job.metadata.id.as_str(),
                 "route" => job.route.name.as_str(), "best" => choice.endpoint.registration.id.as_str(),
-                "expected_ms" => choice.cost as u64, "useful_ms" => left as u64,
+                "expected_ms" => choice.cost as u64, "useful_ms" => time_left as u64,
                 "running" => choice.endpoint.running(), "unread" => choice.endpoint.unread(),
-                "to_read" => choice.unread, "document" => self.version(), "left_out" => left_out);
+                "to_read" => choice.unread, "document" => self.document_version(), "left_out" => left_out);
         }
     }
 
+    /// Returns whether the request goes to a model engine.
     pub(super) fn is_engine(&self, job: &Job) -> bool {
         self.shared.view.load().is_engine(&job.service)
     }
--- a/bergamotshift-forward/src/serve/cut.rs
+++ b/bergamotshift-forward/src/serve/cut.rs
@@ -1,21 +1,21 @@
-//! Breaks a caller's connection off so that a half answer cannot look whole.
+//! Terminates a caller's connection so that an incomplete response does not look complete.
 
 use ntex::io::IoRef;
 use ntex::time::Millis;
 
-/// Cuts a connection behind what was written to it.
+/// Terminates a connection after its written data was flushed, or after one second.
 ///
-/// Failure: the HTTP library answers a body that fails with an error message of its own, written into the middle of
-/// the body. Symptom: a caller that counts bytes takes the message for the rest of its answer. On a connection that is
-/// cut already the library writes nothing.
+/// When a response body fails, the HTTP library writes an error message of its own into the middle of the body. A
+/// caller that counts bytes would take the message for the rest of the response. The library writes nothing to a
+/// terminated connection.
 pub async fn flush_and_terminate(connection: IoRef) {
-    const LOOK: Millis = Millis(2);
-    const LOOKS: usize = 500;
-    for _ in 0..LOOKS {
+    const POLL_INTERVAL: Millis = Millis(2);
+    const MAX_POLLS: usize = 500;
+    for _ in 0..MAX_POLLS {
         if connection.is_closed() || connection.with_write_dst_buf(|buffer| buffer.is_empty()) {
             break;
         }
-        ntex::time::sleep(LOOK).await;
+        ntex::time::sleep(POLL_INTERVAL).await;
     }
     connection.terminate();
 }
--- a/bergamotshift-forward/src/serve/forwarder.rs
+++ b/bergamotshift-forward/src/serve/forwarder.rs
@@ -1,4 +1,4 @@
-//! One thread's way of a request from its head to its answer.
+//! Handles the requests of one thread, from the request head to the response.
 
 use core::cell::Cell;
 use core::cell::RefCell;
@@ -22,10 +22,10 @@
 use super::attempt::History;
 use super::callers::Callers;
 use super::job::Job;
-use super::keeper::Away;
+use super::keeper::Backoff;
 use super::refusal::Reason;
 use super::refusal::Refusal;
-use super::stream::Flow;
+use super::stream::Relay;
 use crate::choice;
 use crate::dialect::Metadata;
 use crate::document::Bounds;
@@ -40,29 +40,29 @@
 use crate::view::Shared;
 use crate::view::View;
 
-/// How long a caller may take for its body.
-const BODY_TIME: Duration = Duration::from_secs(3);
+/// Timeout for reading the body of a request.
+const BODY_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// The part of its time that a caller waits at the most until an entry that starts has read what it serves by, or one that
-/// is behind has got the newest document.
-const WAITING_USED: f64 = 0.2;
+/// Maximum share of its time that a caller waits until an entry that is starting has a complete view, or one that is
+/// behind has the newest document.
+const MAX_WAIT_SHARE: f64 = 0.2;
 
-/// How long a caller waits that does not say.
-const USUAL_TIME: Duration = Duration::from_secs(30);
+/// Time for which a caller waits if it does not say.
+const DEFAULT_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// A request that is refused before it is a job, with the route that it found.
-struct Rejected {
+/// Refusal of a request that has not become a job, with the name of the route that was found.
+struct Rejection {
     route: SmolStr,
     refusal: Refusal,
 }
 
-impl From<Reason> for Rejected {
+impl From<Reason> for Rejection {
     fn from(reason: Reason) -> Self {
         Refusal::from(reason).into()
     }
 }
 
-impl From<Refusal> for Rejected {
+impl From<Refusal> for Rejection {
     fn from(refusal: Refusal) -> Self {
         Self {
             route: SmolStr::new_static("none"),
@@ -71,46 +71,46 @@
     }
 }
 
-/// Serves callers on one thread.
+/// Forwarder of the requests that arrive on one thread.
 #[derive(Debug)]
 pub struct Forwarder {
     pub(super) shared: Arc<Shared>,
     pub(super) pool: RefCell<Pool>,
-    pub(super) weights: choice::Settings,
+    pub(super) choice_settings: choice::Settings,
     pub(super) permits: Permits,
     callers: Callers,
-    /// The keeper of the zone that did not answer lately.
-    pub(super) away: Cell<Away>,
-    /// When the keeper was last told what work is under way.
-    pub(super) told: Cell<Instant>,
+    /// Keeper of the zone that recently did not answer.
+    pub(super) keeper_backoff: Cell<Backoff>,
+    /// Time of the last report of in-flight requests to the keeper.
+    pub(super) last_report: Cell<Instant>,
 }
 
 impl Forwarder {
-    /// Makes the state of the current thread.
+    /// Creates the forwarder of the current thread.
     pub fn new(shared: Arc<Shared>) -> Self {
         Self {
             permits: Permits::new(Arc::clone(&shared)),
             shared,
             pool: RefCell::default(),
-            weights: choice::Settings::default(),
+            choice_settings: choice::Settings::default(),
             callers: Callers::default(),
-            away: Cell::default(),
-            told: Cell::default(),
+            keeper_backoff: Cell::default(),
+            last_report: Cell::default(),
         }
     }
 
-    /// Answers one request.
+    /// Handles one request.
     pub async fn serve(self: &Rc<Self>, mut request: Request) -> Response {
         let arrived = self.shared.clock.now();
-        let busy = request.io().map(|connection| self.callers.enter(connection));
-        let active = Active::new(&self.shared, busy);
-        let ask = Metadata::read(&self.shared.dialect, request.headers());
-        let id = ask.id.clone();
+        let connection = request.io().map(|connection| self.callers.track(connection));
+        let active = Active::new(&self.shared, connection);
+        let metadata = Metadata::read(&self.shared.dialect, request.headers());
+        let id = metadata.id.clone();
         let caller = request.io().cloned();
-        let mut response = match self.job(&mut request, ask, arrived).await {
-            Ok(job) => self.answer(Rc::new(job), caller, active).await,
-            Err(Rejected { route, refusal }) => {
-                self.refused(&route, &id, arrived, refusal);
+        let mut response = match self.read_job(&mut request, metadata, arrived).await {
+            Ok(job) => self.respond(Rc::new(job), caller, active).await,
+            Err(Rejection { route, refusal }) => {
+                self.record_refusal(&route, &id, arrived, refusal);
                 refusal.response(&self.shared.dialect, &id)
             }
         };
@@ -122,15 +122,15 @@
         response
     }
 
-    /// Reads a request whole and matches it to its route, its organisation and a service.
-    async fn job(&self, request: &mut Request, ask: Metadata, arrived: Instant) -> Result<Job, Rejected> {
-        let view = self.known(&ask).await;
-        let bound = view
+    /// Reads a complete request and matches it to its route, its organisation and a service.
+    async fn read_job(&self, request: &mut Request, metadata: Metadata, arrived: Instant) -> Result<Job, Rejection> {
+        let view = self.wait_for_view(&metadata).await;
+        let max_body = view
             .table
             .as_ref()
             .map_or(Bounds::default().body, |table| table.document().bounds.body);
-        let body = read_body(request, bound).await?;
-        // The document may have changed while the body came.
+        let body = read_body(request, max_body).await?;
+        // The document may have changed while the body arrived.
         let view = if body.is_empty() {
             view
         } else {
@@ -139,15 +139,15 @@
         if self.shared.is_closed() {
             return Err(Reason::Stopping.into());
         }
-        let view = self.caught_up(view, request, &ask).await;
+        let view = self.wait_for_newer_view(view, request, &metadata).await;
         let table = view.table.as_ref().ok_or(Reason::NoDocument)?;
         let (route, organisation) = self.admit(&view, table, request)?;
-        let rejected = |refusal: Refusal| Rejected {
+        let reject = |refusal: Refusal| Rejection {
             route: route.name.clone(),
             refusal,
         };
-        let service = route.service(xxh3_64(ask.id.as_bytes())).cloned();
-        let service = service.ok_or_else(|| rejected(Reason::NoEndpoint.into()))?;
+        let service = route.service(xxh3_64(metadata.id.as_bytes())).cloned();
+        let service = service.ok_or_else(|| reject(Reason::NoEndpoint.into()))?;
         let path = request
             .uri()
             .path_and_query()
@@ -156,23 +156,23 @@
         let caller = organisation.map_or("", |organisation| organisation.name.as_str());
         let fingerprint = Fingerprint::of(caller, request.method().as_str(), &path, &body);
         if let bergamotshift_limit::quarantine::Verdict::Refused { .. } = view.suspects.verdict(arrived, fingerprint) {
-            return Err(rejected(Reason::Suspect.into()));
+            return Err(reject(Reason::Suspect.into()));
         }
-        let prompt = ask.size.map(|size| size.prompt);
-        let picture = view.services.get(&service);
-        if let (Some(picture), Some(prompt)) = (picture, prompt) {
-            picture.record_prompt(prompt);
+        let prompt = metadata.size.map(|size| size.prompt);
+        let service_view = view.services.get(&service);
+        if let (Some(service_view), Some(prompt)) = (service_view, prompt) {
+            service_view.record_prompt(prompt);
         }
-        let canary = picture.and_then(|service| service.canary.as_ref());
-        let is_canary = canary.is_some_and(|canary| canary.accepts(&ask.id, prompt));
+        let canary = service_view.and_then(|service| service.canary.as_ref());
+        let is_canary = canary.is_some_and(|canary| canary.accepts(&metadata.id, prompt));
         let admission = self
-            .charge(&view, organisation, &service, &ask, is_canary, arrived)
+            .charge(&view, organisation, &service, &metadata, is_canary, arrived)
             .await
             .map_err(|refusal| {
-                self.over_limit(organisation, &ask, refusal, table.document().version);
-                rejected(refusal)
+                self.log_over_limit(organisation, &metadata, refusal, table.document().version);
+                reject(refusal)
             })?;
-        let patience = ask.time_left.unwrap_or(USUAL_TIME).min(route.timeout);
+        let max_wait = metadata.time_left.unwrap_or(DEFAULT_TIMEOUT).min(route.timeout);
         let urgency = organisation
             .and_then(|organisation| organisation.urgency)
             .unwrap_or(route.urgency);
@@ -186,87 +186,88 @@
             organisation: organisation.map(|organisation| organisation.name.clone()),
             urgency,
             arrived,
-            deadline: arrived + patience,
+            deadline: arrived + max_wait,
             charge: admission.charge,
             placement: admission.placement,
             is_canary,
             fingerprint,
-            ask,
+            metadata,
         })
     }
 
-    /// Returns what requests are served from; while the entry starts, it waits for what it has to read first.
+    /// Returns the view that a request is served from. While the entry starts, waits until the view is complete.
     ///
-    /// Failure: all entries are killed, and their callers, who came back at once, reach an entry that has started and not
-    /// read the document yet. Symptom: they are refused for the second time and do not come again, a quarter of all
-    /// callers in the first half second. The document is there some 30 ms after the start, so who waits for it is in
-    /// time. An entry that cannot read it refuses at once when the time to start is over. The same holds for the list of
-    /// entries, which says what organisations may use at once: until then all bursts count as used up.
-    async fn known(&self, ask: &Metadata) -> Arc<View> {
-        let wakes = self.shared.view_ready.notified();
+    /// If all entries are killed, their callers retry at once and reach an entry that has started but not read the
+    /// document yet. Without the wait, they are refused for the second time and do not retry again: a quarter of all
+    /// callers in the first half second. The document is read some 30 ms after the start, so a caller that waits is
+    /// served in time. An entry that cannot read it refuses at once when its time to start is over. The same holds for
+    /// the list of entries, which determines what organisations may use at once: until it is read, all bursts count as
+    /// used up.
+    async fn wait_for_view(&self, metadata: &Metadata) -> Arc<View> {
+        let notified = self.shared.view_ready.notified();
         let view = self.shared.view.load_full();
         if view.is_complete() {
             return view;
         }
-        let patience = Duration::from_millis(self.shared.settings.start.patience_ms);
-        let left = (self.shared.started + patience).since(self.shared.clock.now());
-        let bound = ask.time_left.unwrap_or(USUAL_TIME).mul_f64(WAITING_USED);
+        let start_timeout = Duration::from_millis(self.shared.settings.start.patience_ms);
+        let time_left = (self.shared.started + start_timeout).since(self.shared.clock.now());
+        let max_wait = metadata.time_left.unwrap_or(DEFAULT_TIMEOUT).mul_f64(MAX_WAIT_SHARE);
         let complete = async {
-            wakes.await;
+            notified.await;
             while !self.shared.view.load().is_complete() {
                 self.shared.view_ready.notified().await;
             }
         };
-        // Whatever comes first, what is known by then decides.
-        let _ = timeout(left.min(bound), complete).await;
+        // After the timeout, the request is handled by the view as it is.
+        let _ = timeout(time_left.min(max_wait), complete).await;
         self.shared.view.load_full()
     }
 
-    /// Returns what a request is judged by: where that would be refused for good, and another entry has a newer document, the
-    /// newer one if it comes in time.
+    /// Returns the view that a request is matched by. If the current view would refuse it permanently and another entry
+    /// has a newer document, waits for that document.
     ///
-    /// Failure: an entry is told of a new route or key a moment later than others. Symptom: its callers are refused for good,
-    /// and clients do not come again after that, although every other entry would have served them. A copy takes a tenth of
-    /// a second; who waits for it is in time, and once that part of a caller's time is over it may come again elsewhere.
-    async fn caught_up(&self, view: Arc<View>, request: &Request, ask: &Metadata) -> Arc<View> {
+    /// An entry may learn of a new route or key a moment later than others. Without the wait, its callers are refused
+    /// permanently and do not retry, although every other entry would serve them. Fetching a document takes a tenth of
+    /// a second, so a caller that waits is served in time. After the timeout, the caller may retry at another entry.
+    async fn wait_for_newer_view(&self, view: Arc<View>, request: &Request, metadata: &Metadata) -> Arc<View> {
         let is_refused = |view: &View| {
             let table = view.table.as_ref();
-            table.is_some_and(|table| self.is_behind(view, table, request))
+            table.is_some_and(|table| self.is_refused_by_outdated(view, table, request))
         };
         if !is_refused(&view) {
             return view;
         }
-        let bound = ask.time_left.unwrap_or(USUAL_TIME).mul_f64(WAITING_USED);
+        let max_wait = metadata.time_left.unwrap_or(DEFAULT_TIMEOUT).mul_f64(MAX_WAIT_SHARE);
         let newer = async {
             loop {
-                let wakes = self.shared.view_ready.notified();
+                let notified = self.shared.view_ready.notified();
                 let view = self.shared.view.load_full();
                 if !is_refused(&view) {
                     return view;
                 }
-                wakes.await;
+                notified.await;
             }
         };
-        timeout(bound, newer)
+        timeout(max_wait, newer)
             .await
             .unwrap_or_else(|_late| self.shared.view.load_full())
     }
 
-    /// Returns whether a request is refused for good by a document that is known not to be the newest.
-    fn is_behind(&self, view: &View, table: &Table, request: &Request) -> bool {
-        self.shared.is_behind(view) && self.find(table, request).is_err()
+    /// Returns whether a request is refused permanently by a document that is known to be outdated.
+    fn is_refused_by_outdated(&self, view: &View, table: &Table, request: &Request) -> bool {
+        self.shared.is_behind(view) && self.find_route(table, request).is_err()
     }
 
-    /// Finds a request's route and organisation, in the newest document that this entry could get.
+    /// Finds the route and the organisation of a request in the newest document that this entry could get.
     fn admit<'a>(
         &self,
         view: &View,
         table: &'a Table,
         request: &Request,
-    ) -> Result<(&'a Route, Option<&'a Organisation>), Rejected> {
-        self.find(table, request).map_err(|rejected| {
+    ) -> Result<(&'a Route, Option<&'a Organisation>), Rejection> {
+        self.find_route(table, request).map_err(|rejected| {
             if self.shared.is_behind(view) {
-                // What the newest document says of it is not known here.
+                // The newest document, which this entry does not have, may allow the request.
                 Reason::Behind.into()
             } else {
                 rejected
@@ -274,21 +275,27 @@
         })
     }
 
-    /// Finds a request's route and organisation.
-    fn find<'a>(&self, table: &'a Table, request: &Request) -> Result<(&'a Route, Option<&'a Organisation>), Rejected> {
+    /// Finds the route and the organisation of a request.
+    fn find_route<'a>(
+        &self,
+        table: &'a Table,
+        request: &Request,
+    ) -> Result<(&'a Route, Option<&'a Organisation>), Rejection> {
         let host = request.headers().get(header::HOST).and_then(|host| host.to_str().ok());
         let route = table
             .route(host.unwrap_or_default(), request.path())
             .ok_or(Reason::NoRoute)?;
-        let organisation = self.organisation(table, request, route.public);
-        let organisation = organisation.map_err(|refusal| Rejected {
+        let organisation = self.authenticate(table, request, route.public);
+        let organisation = organisation.map_err(|refusal| Rejection {
             route: route.name.clone(),
             refusal,
         })?;
         Ok((route, organisation))
     }
 
-    fn organisation<'a>(
+    /// Returns the organisation of a request's key; `None` without one on a public route, or if the document requires
+    /// no keys.
+    fn authenticate<'a>(
         &self,
         table: &'a Table,
         request: &Request,
@@ -305,45 +312,47 @@
         }
     }
 
-    async fn answer(self: &Rc<Self>, job: Rc<Job>, caller: Option<IoRef>, active: Active) -> Response {
+    /// Forwards a request and returns the response to its caller.
+    async fn respond(self: &Rc<Self>, job: Rc<Job>, caller: Option<IoRef>, active: Active) -> Response {
         let mut history = History::default();
         if let Some(service) = self.shared.view.load().services.get(&job.service) {
             service.budget.deposit();
         }
-        let ended = self.respond(&job, &mut history, caller, active).await;
-        ended.unwrap_or_else(|refusal| {
+        let result = self.forward(&job, &mut history, caller, active).await;
+        result.unwrap_or_else(|refusal| {
             if !history.may_have_run()
                 && let Some(charge) = &job.charge
             {
                 charge.refund();
             }
-            self.refused(&job.route.name, &job.ask.id, job.arrived, refusal);
-            refusal.response(&self.shared.dialect, &job.ask.id)
+            self.record_refusal(&job.route.name, &job.metadata.id, job.arrived, refusal);
+            refusal.response(&self.shared.dialect, &job.metadata.id)
         })
     }
 
-    async fn respond(
+    /// Forwards a request to endpoints until one responds.
+    async fn forward(
         self: &Rc<Self>,
         job: &Rc<Job>,
         history: &mut History,
         caller: Option<IoRef>,
         active: Active,
     ) -> Result<Response, Refusal> {
-        let open = self.open(job, history, job.ask.last_event).await?;
-        if open.answer.status.is_success() && open.answer.is_event_stream() {
-            let so_far = history.clone();
-            let (flow, first) = Flow::begin(Rc::clone(self), Rc::clone(job), so_far, open, active).await?;
-            self.began(job);
-            return Ok(flow.response(first, caller));
+        let exchange = self.send_with_retries(job, history, job.metadata.last_event).await?;
+        if exchange.head.status.is_success() && exchange.head.is_event_stream() {
+            let attempts = history.clone();
+            let (relay, first) = Relay::start(Rc::clone(self), Rc::clone(job), attempts, exchange, active).await?;
+            self.record_start(job);
+            return Ok(relay.response(first, caller));
         }
-        self.began(job);
-        let whole = self.finish(job, history, open).await?;
-        self.served(job, history, whole.status());
-        Ok(whole.response(&job.method))
+        self.record_start(job);
+        let reply = self.read_with_retries(job, history, exchange).await?;
+        self.record_served(job, history, reply.status());
+        Ok(reply.response(&job.method))
     }
 
-    /// Notes that an endpoint began to run a request.
-    fn began(&self, job: &Job) {
+    /// Records that the response to a request began.
+    fn record_start(&self, job: &Job) {
         let now = self.shared.clock.now();
         self.shared
             .metrics
@@ -354,8 +363,8 @@
         }
     }
 
-    /// Notes a request that its caller got an endpoint's whole answer to.
-    pub(super) fn served(&self, job: &Job, history: &History, status: StatusCode) {
+    /// Records a request whose caller gets an endpoint's complete response.
+    pub(super) fn record_served(&self, job: &Job, history: &History, status: StatusCode) {
         let outcome = if status.is_success() {
             "served"
         } else {
@@ -364,46 +373,47 @@
         self.shared.metrics.ended(&job.route.name, outcome);
         let now = self.shared.clock.now();
         if let Some((logger, left_out)) = self.shared.log.room(now, Topic::Served) {
-            info!(logger, "request ended"; "request" => job.ask.id.as_str(), "route" => job.route.name.as_str(),
+            info!(logger, "request ended"; "request" => job.metadata.id.as_str(), "route" => job.route.name.as_str(),
                 "service" => job.service.as_str(), "status" => status.as_u16(), "outcome" => outcome,
                 "sends" => history.sends, "ms" => now.since(job.arrived).as_millis() as u64,
                 "first_ms" => history.pace.first_ms(job.arrived), "pause_ms" => history.pace.pause_ms(),
-                "endpoint" => history.sent.as_ref().map(|sent| sent.endpoint.as_str()),
-                "expected_ms" => history.sent.as_ref().map(|sent| sent.expected_ms),
-                "running" => history.sent.as_ref().map(|sent| sent.running),
-                "unread" => history.sent.as_ref().map(|sent| sent.unread),
-                "to_read" => history.sent.as_ref().map(|sent| sent.to_read),
-                "document" => self.version(), "left_out" => left_out);
+                "endpoint" => history.estimate.as_ref().map(|estimate| estimate.endpoint.as_str()),
+                "expected_ms" => history.estimate.as_ref().map(|estimate| estimate.expected_ms),
+                "running" => history.estimate.as_ref().map(|estimate| estimate.running),
+                "unread" => history.estimate.as_ref().map(|estimate| estimate.unread),
+                "to_read" => history.estimate.as_ref().map(|estimate| estimate.to_read),
+                "document" => self.document_version(), "left_out" => left_out);
         }
     }
 
-    /// Notes a stream that its caller did not get whole.
-    pub(super) fn broken(&self, job: &Job, history: &History, failure: &Failure) {
+    /// Records a stream that its caller does not get completely.
+    pub(super) fn record_cut(&self, job: &Job, history: &History, failure: &Failure) {
         self.shared.metrics.ended(&job.route.name, "cut");
         let now = self.shared.clock.now();
         if let Some((logger, left_out)) = self.shared.log.room(now, Topic::Failed) {
-            info!(logger, "request ended"; "request" => job.ask.id.as_str(), "route" => job.route.name.as_str(),
+            info!(logger, "request ended"; "request" => job.metadata.id.as_str(), "route" => job.route.name.as_str(),
                 "service" => job.service.as_str(), "outcome" => "cut", "cause" => %failure,
                 "sends" => history.sends, "ms" => now.since(job.arrived).as_millis() as u64,
-                "document" => self.version(), "left_out" => left_out);
+                "document" => self.document_version(), "left_out" => left_out);
         }
     }
 
-    /// Notes what decided that an organisation is over this entry's share of its limit.
-    fn over_limit(&self, organisation: Option<&Organisation>, ask: &Metadata, refusal: Refusal, version: u64) {
+    /// Logs why an organisation exceeds this entry's share of its limit.
+    fn log_over_limit(&self, organisation: Option<&Organisation>, metadata: &Metadata, refusal: Refusal, version: u64) {
         let now = self.shared.clock.now();
         let limit = organisation.and_then(|organisation| organisation.limit);
         if let Some((logger, left_out)) = self.shared.log.room(now, Topic::Limit) {
-            info!(logger, "over the limit"; "request" => ask.id.as_str(),
+            info!(logger, "over the limit"; "request" => metadata.id.as_str(),
                 "organisation" => organisation.map(|organisation| organisation.name.as_str()),
-                "units" => limit.map(|limit| limit.units(ask.size.map(crate::dialect::Size::total))),
+                "units" => limit.map(|limit| limit.units(metadata.size.map(crate::dialect::Size::total))),
                 "rate" => limit.map(|limit| limit.rate),
                 "owed_beyond_share_ms" => refusal.retry_after.map(|after| after.as_millis() as u64),
                 "document" => version, "left_out" => left_out);
         }
     }
 
-    fn refused(&self, route: &str, id: &SmolStr, arrived: Instant, refusal: Refusal) {
+    /// Records a refused request.
+    fn record_refusal(&self, route: &str, id: &SmolStr, arrived: Instant, refusal: Refusal) {
         self.shared.metrics.ended(route, refusal.reason.as_str());
         let now = self.shared.clock.now();
         self.shared.metrics.refusal.observe(now.since(arrived).as_secs_f64());
@@ -411,11 +421,12 @@
             info!(logger, "request ended"; "request" => id.as_str(), "route" => route,
                 "status" => refusal.reason.status().as_u16(), "outcome" => refusal.reason.as_str(),
                 "retry_after_ms" => refusal.retry_after.map(|after| after.as_millis() as u64),
-                "ms" => now.since(arrived).as_millis() as u64, "document" => self.version(), "left_out" => left_out);
+                "ms" => now.since(arrived).as_millis() as u64, "document" => self.document_version(),
+                "left_out" => left_out);
         }
     }
 
-    /// Waits for the request to stop.
+    /// Waits until the entry begins to stop.
     pub async fn stopped(&self) {
         self.shared.stop.notified().await;
     }
@@ -425,12 +436,12 @@
         self.callers.close_idle();
     }
 
-    /// Closes idle connections, and forgets caches, that are of no more use.
+    /// Closes idle connections and removes cache entries that are no longer of use.
     pub fn sweep(&self) {
         self.callers.forget_closed();
         let view = self.shared.view.load();
-        let is_there = |hash| view.endpoint(hash).is_some();
-        self.shared.recall().expire(self.shared.clock.now(), is_there);
+        let is_known = |hash| view.endpoint(hash).is_some();
+        self.shared.recall().expire(self.shared.clock.now(), is_known);
         let endpoints = view.by_hash.values();
         let mut addresses: Vec<_> = endpoints
             .filter(|endpoint| !endpoint.is_leaving())
@@ -447,19 +458,20 @@
     }
 }
 
-async fn read_body(request: &mut Request, bound: usize) -> Result<BytesMut, Refusal> {
+/// Reads the body of a request, up to `max_body` bytes.
+async fn read_body(request: &mut Request, max_body: usize) -> Result<BytesMut, Refusal> {
     let mut body = BytesMut::new();
     let mut payload = request.take_payload();
     let reading = async {
         while let Some(piece) = payload.recv().await {
             let piece = piece.map_err(|_broken| Reason::BadBody)?;
-            if body.len() + piece.len() > bound {
+            if body.len() + piece.len() > max_body {
                 return Err(Reason::TooLarge);
             }
             body.extend_from_slice(&piece);
         }
         Ok(())
     };
-    timeout(BODY_TIME, reading).await.unwrap_or(Err(Reason::BadBody))?;
+    timeout(BODY_TIMEOUT, reading).await.unwrap_or(Err(Reason::BadBody))?;
     Ok(body)
 }
--- a/bergamotshift-forward/src/serve/job.rs
+++ b/bergamotshift-forward/src/serve/job.rs
@@ -1,4 +1,4 @@
-//! A request that was read whole and matched to its route.
+//! Request that was read completely and matched to its route.
 
 use core::time::Duration;
 use std::sync::Arc;
@@ -14,59 +14,59 @@
 use crate::limits::Account;
 use crate::limits::keeper::Placement;
 
-/// How much longer than its objective an idempotent request may take until another endpoint is tried.
-const PATIENCE: f64 = 1.5;
+/// Multiple of its objective after which an idempotent request is sent to another endpoint.
+const RESPONSE_TIMEOUT_FACTOR: f64 = 1.5;
 
-/// The least of that time: below it, the way there and back and a busy endpoint look like silence.
-const PATIENCE_FLOOR: Duration = Duration::from_millis(120);
+/// Minimum of that timeout; in less, a round trip and a busy endpoint cannot be told from silence.
+const MIN_RESPONSE_TIMEOUT: Duration = Duration::from_millis(120);
 
-/// The longest time that a stream may stand still until it goes on elsewhere, in pauses that are still on time.
-const STALL: u32 = 5;
+/// Timeout for the next event of a resumable stream, in multiples of the longest pause that is still on time.
+const STALL_TIMEOUT_PAUSES: u32 = 5;
 
-/// How long callers wait for a stream's beginning, in objectives.
-const OBJECTIVES: u32 = 4;
+/// Time that callers wait for the beginning of a stream, in multiples of the objective.
+const START_TIMEOUT_OBJECTIVES: u32 = 4;
 
-/// How long callers wait for a stream's next event, in pauses that are still on time.
-const PAUSES: u32 = 8;
+/// Time that callers wait for the next event of a stream, in multiples of the longest pause that is still on time.
+const START_TIMEOUT_PAUSES: u32 = 8;
 
-/// How long callers wait for a stream's beginning at the least.
-const PATIENCE_LEAST: Duration = Duration::from_secs(2);
+/// Minimum time that callers wait for the beginning of a stream.
+const MIN_START_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The part of that time up to which a beginning may be expected: the expectation is off by a quarter at times.
-const PATIENCE_USED: f64 = 0.75;
+/// Share of that time within which the beginning must be expected, since the expectation is sometimes off by a quarter.
+const START_TIMEOUT_SHARE: f64 = 0.75;
 
-/// A request that was read whole and matched to its route.
+/// Request that was read completely and matched to its route.
 #[derive(Debug)]
 pub(super) struct Job {
-    /// What its head says.
-    pub(super) ask: Metadata,
-    /// Its method.
+    /// Metadata from its headers.
+    pub(super) metadata: Metadata,
+    /// HTTP method.
     pub(super) method: Method,
-    /// Its path and query, as the caller sent them.
+    /// Path and query, as the caller sent them.
     pub(super) path: String,
-    /// Its headers.
+    /// Headers.
     pub(super) headers: HeaderMap,
-    /// Its body.
+    /// Body.
     pub(super) body: Bytes,
-    /// Its route.
+    /// Matching route.
     pub(super) route: Arc<Route>,
-    /// The service that its route chose.
+    /// Service that the route selected.
     pub(super) service: name::Service,
-    /// Whose it is; `None` on public routes.
+    /// Organisation of the caller; `None` if it was not authenticated.
     pub(super) organisation: Option<name::Organisation>,
-    /// Its rank, 0 first.
+    /// Urgency, where 0 comes first.
     pub(super) urgency: u8,
-    /// When its head was read.
+    /// Time at which its head was read.
     pub(super) arrived: Instant,
-    /// When its caller or its route waits no longer.
+    /// Time at which its caller or its route stops waiting.
     pub(super) deadline: Instant,
-    /// What it counts against its organisation's limit, and where.
+    /// Charge that this entry made against the organisation's limit.
     pub(super) charge: Option<Charge>,
-    /// The endpoint that the zone's keeper chose for it.
+    /// Endpoint that the zone's keeper chose.
     pub(super) placement: Option<Placement>,
-    /// Whether it belongs to the share of a new version.
+    /// Whether it belongs to the share of requests that a new version gets.
     pub(super) is_canary: bool,
-    /// Its content, by which a caller's repeat is recognised.
+    /// Fingerprint of its content, by which a repetition by the caller is recognised.
     pub(super) fingerprint: Fingerprint,
 }
 
@@ -78,38 +78,45 @@
 }
 
 impl Charge {
-    /// Gives the units back: the request did not run.
+    /// Refunds the units of a request that did not run.
     pub(super) fn refund(&self) {
         self.account.refund(self.units);
     }
 }
 
 impl Job {
-    /// Returns how long one endpoint may be silent before another is tried; `None` waits to the end.
-    pub(super) fn patience(&self) -> Option<Duration> {
-        (self.route.kind == Kind::Idempotent).then(|| self.route.objective.mul_f64(PATIENCE).max(PATIENCE_FLOOR))
+    /// Returns the timeout for an endpoint's response before another endpoint is tried; `None` to wait until the
+    /// deadline.
+    pub(super) fn response_timeout(&self) -> Option<Duration> {
+        (self.route.kind == Kind::Idempotent).then(|| {
+            self.route
+                .objective
+                .mul_f64(RESPONSE_TIMEOUT_FACTOR)
+                .max(MIN_RESPONSE_TIMEOUT)
+        })
     }
 
-    /// Returns how long a stream may stand still before it goes on elsewhere; `None` waits to the end.
-    pub(super) fn stall(&self) -> Option<Duration> {
-        self.route.resumable.then(|| self.route.pause * STALL)
+    /// Returns the timeout for the next event of a stream before it is resumed elsewhere; `None` to wait until the
+    /// deadline.
+    pub(super) fn stall_timeout(&self) -> Option<Duration> {
+        self.route.resumable.then(|| self.route.pause * STALL_TIMEOUT_PAUSES)
     }
 
-    /// Returns how long the answer's beginning is of use.
+    /// Returns the time after arrival within which the response has to begin.
     ///
-    /// Failure: in an overload every stream begins after its caller has left. Symptom: endpoints read prompts for
-    /// nobody, and nobody is served. Callers leave a stream that does not begin within a few objectives; what cannot
-    /// begin by then is refused at once, and its caller may come back when there is room.
-    pub(super) fn useful(&self) -> Duration {
+    /// Callers leave a stream that does not begin within a few objectives. Without this limit, every stream in an
+    /// overload would begin after its caller has left: endpoints would read prompts for nobody, and nobody would be
+    /// served. A request that cannot begin in time is refused at once, and its caller may retry when there is capacity.
+    pub(super) fn start_timeout(&self) -> Duration {
         if self.route.kind != Kind::Stream {
             return self.route.timeout;
         }
-        let patience = (self.route.objective * OBJECTIVES).max(self.route.pause * PAUSES);
-        patience.max(PATIENCE_LEAST).mul_f64(PATIENCE_USED)
+        let timeout = (self.route.objective * START_TIMEOUT_OBJECTIVES).max(self.route.pause * START_TIMEOUT_PAUSES);
+        timeout.max(MIN_START_TIMEOUT).mul_f64(START_TIMEOUT_SHARE)
     }
 
-    /// Returns the time that is left, in milliseconds.
-    pub(super) fn time_left(&self, now: Instant) -> u64 {
+    /// Returns the time until the deadline, in milliseconds.
+    pub(super) fn time_left_ms(&self, now: Instant) -> u64 {
         u64::try_from(self.deadline.since(now).as_millis()).unwrap_or(u64::MAX)
     }
 }
--- a/bergamotshift-forward/src/serve/keeper.rs
+++ b/bergamotshift-forward/src/serve/keeper.rs
@@ -1,4 +1,4 @@
-//! Asks the entry that keeps the zone, and tells it what work is under way.
+//! Asks the keeper of the zone for decisions, and reports in-flight requests to it.
 
 use core::net::SocketAddr;
 use core::time::Duration;
@@ -22,41 +22,43 @@
 use crate::observe::Topic;
 use crate::peers;
 
-/// When a caller may come back while neither the keeper nor its deputy is reached.
-const UNREACHED: Duration = Duration::from_millis(500);
+/// Retry time for callers while neither the keeper nor its deputy can be reached.
+const RETRY_AFTER: Duration = Duration::from_millis(500);
 
-/// How long a request waits for somebody to decide; a caller that is told to come back does so after more than that.
-const WAIT: Duration = Duration::from_millis(300);
+/// Maximum time that a request waits for a decision; shorter than the retry time that a refused caller gets.
+const DECISION_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// The time between two such tries.
-const LOOK: Duration = Duration::from_millis(20);
+/// Interval between attempts to get a decision.
+const RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
-/// How long changes of the work under way are gathered before the keeper is told. Engines read some thousand tokens in
-/// this time, a fraction of a prompt, and where requests are many the next question tells it anyway.
-const GATHER: Duration = Duration::from_millis(60);
+/// Time for which changes of in-flight requests are collected before they are reported to the keeper. Engines read a
+/// few thousand tokens in this time, a fraction of a prompt. Under a high rate of requests, the next question reports
+/// the changes anyway.
+const REPORT_DELAY: Duration = Duration::from_millis(60);
 
-/// A keeper that did not answer, and until when it is left alone.
-pub(super) type Away = Option<(SocketAddr, Instant)>;
+/// Keeper that did not answer, and the time until which it is not asked.
+pub(super) type Backoff = Option<(SocketAddr, Instant)>;
 
-/// Why a keeper decided nothing.
+/// Error of a question to a keeper.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Missed {
-    /// It did not answer.
-    Unreached,
-    /// It answered that it is not the keeper.
-    Disagrees,
+enum Error {
+    /// The keeper did not answer.
+    Unreachable,
+    /// The answer contains no decision, such as that of an entry which is not the keeper.
+    NoDecision,
 }
 
 impl Forwarder {
-    /// Asks the keeper, or its deputy when it is not reached, for units and for an endpoint.
+    /// Asks the keeper, or its deputy if the keeper cannot be reached, for units and for an endpoint.
     ///
-    /// Failure: a process starts and has callers before it has heard who keeps its zone, or asks one that does not know yet
-    /// that it does. Symptom: they are refused, and come back after their objective. All entries that start at once hear
-    /// each other within some hundred milliseconds, so a request that has a limit waits for that long.
+    /// An entry that starts may have callers before it knows the keeper of its zone, and may ask one that does not know
+    /// yet that it is the keeper. Without a wait, these callers would be refused and would retry only after their
+    /// objective. Entries that start at the same time discover each other within some hundred milliseconds, so a
+    /// request that has a limit waits for that long.
     ///
     /// # Errors
     ///
-    /// Returns when there is room for the units, or when to ask again if nobody was reached.
+    /// Returns the time until units are available, or the retry time if neither could be reached.
     pub(super) async fn ask_keeper(
         &self,
         units: Option<Units>,
@@ -77,37 +79,39 @@
                 };
             }
             if question.units.is_none() {
-                // Without a limit the request may go on; this entry chooses for itself.
+                // Without a limit, this entry chooses an endpoint itself.
                 return Ok(None);
             }
-            if self.shared.clock.now().since(began) >= WAIT {
-                self.take_back(question.units.as_ref());
-                return Err(Refused { retry_after: UNREACHED });
+            if self.shared.clock.now().since(began) >= DECISION_TIMEOUT {
+                self.restore_unreported(question.units.as_ref());
+                return Err(Refused {
+                    retry_after: RETRY_AFTER,
+                });
             }
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(RETRY_INTERVAL).await;
         }
     }
 
-    /// Keeps what this entry let in by itself for the next question, since nobody heard it.
-    fn take_back(&self, units: Option<&Units>) {
+    /// Restores the units that were not reported to a keeper, so that the next question reports them.
+    fn restore_unreported(&self, units: Option<&Units>) {
         let view = self.shared.view.load();
         let accounts = units.and_then(|units| Some((view.accounts.get(&units.organisation)?, units.unreported)));
-        if let Some((accounts, before)) = accounts {
-            accounts.own.restore_unreported(before);
+        if let Some((accounts, unreported)) = accounts {
+            accounts.own.restore_unreported(unreported);
         }
     }
 
-    /// Asks whoever keeps the zone by now; `None` when nobody decides.
+    /// Asks the current keeper or its deputy; returns `None` without a decision.
     async fn ask_once(&self, question: &mut Question) -> Option<Answer> {
         let view = self.shared.view.load_full();
         match view.keeping.keeper {
             Keeper::Own => return Some(peers::keep::decide(&self.permits, &view, question).await),
-            Keeper::Other(address) if !self.is_away(address) => {
+            Keeper::Other(address) if !self.is_backing_off(address) => {
                 question.deputy = false;
                 match self.ask(address, question).await {
                     Ok(answer) => return Some(answer),
-                    Err(Missed::Unreached) => self.note_away(address),
-                    Err(Missed::Disagrees) => {}
+                    Err(Error::Unreachable) => self.record_unreachable(address),
+                    Err(Error::NoDecision) => {}
                 }
             }
             Keeper::Other(_) | Keeper::Nobody | Keeper::Unknown => {}
@@ -116,55 +120,57 @@
         self.ask(view.keeping.deputy?, question).await.ok()
     }
 
-    /// Tells the keeper what work is under way, soon after it changed, for as long as the process lives.
+    /// Reports the in-flight requests to the keeper shortly after they change, for the lifetime of the process.
     pub async fn report_in_flight(self: Rc<Self>) {
         loop {
             self.shared.in_flight_changed.notified().await;
             let changed = self.shared.clock.now();
-            tokio::time::sleep(GATHER).await;
-            // A question that was asked meanwhile told it.
-            if self.told.get() > changed {
+            tokio::time::sleep(REPORT_DELAY).await;
+            // A question in the meantime has reported the change.
+            if self.last_report.get() > changed {
                 continue;
             }
             let keeping = self.shared.view.load().keeping;
             let Keeper::Other(address) = keeping.keeper else {
                 continue;
             };
-            if self.is_away(address) {
+            if self.is_backing_off(address) {
                 continue;
             }
             let question = self.question(None, None);
-            // What was not told now is told with the next question.
+            // If this report fails, the next question contains the same information.
             let _ = self.ask(address, &question).await;
         }
     }
 
-    /// Returns a question to the keeper, which tells it what work is under way by now.
+    /// Returns a question to the keeper, including the requests that are in flight now.
     fn question(&self, units: Option<Units>, generation: Option<Generation>) -> Question {
         Question {
             entry: self.shared.settings.name.clone(),
             deputy: false,
             units,
             generation,
-            in_flight: self.flown(),
+            in_flight: self.in_flight(),
         }
     }
 
-    /// Returns this entry's own work under way.
-    fn flown(&self) -> Vec<peers::InFlight> {
+    /// Returns the requests that this entry itself has in flight, by endpoint.
+    fn in_flight(&self) -> Vec<peers::InFlight> {
         let view = self.shared.view.load();
-        let flown = view.by_hash.values().map(|endpoint| endpoint.in_flight(false));
-        flown.filter(|flown| flown.running > 0).collect()
+        let in_flight = view.by_hash.values().map(|endpoint| endpoint.in_flight(false));
+        in_flight.filter(|in_flight| in_flight.running > 0).collect()
     }
 
-    async fn ask(&self, address: SocketAddr, question: &Question) -> Result<Answer, Missed> {
-        self.told.set(self.shared.clock.now());
-        let asked = timeout(keeper::ANSWER_TIMEOUT, self.exchange(address, question)).await;
-        asked.unwrap_or(Err(Missed::Unreached))
+    /// Sends a question, and waits for the answer at most [`keeper::ANSWER_TIMEOUT`].
+    async fn ask(&self, address: SocketAddr, question: &Question) -> Result<Answer, Error> {
+        self.last_report.set(self.shared.clock.now());
+        let asked = timeout(keeper::ANSWER_TIMEOUT, self.call(address, question)).await;
+        asked.unwrap_or(Err(Error::Unreachable))
     }
 
-    async fn exchange(&self, address: SocketAddr, question: &Question) -> Result<Answer, Missed> {
-        let question = postcard::to_stdvec(question).or(Err(Missed::Disagrees))?;
+    /// Sends a question and decodes the answer.
+    async fn call(&self, address: SocketAddr, question: &Question) -> Result<Answer, Error> {
+        let question = postcard::to_stdvec(question).or(Err(Error::NoDecision))?;
         let clock = self.shared.clock;
         let asked = exchange::call_pooled(
             &self.pool,
@@ -174,24 +180,25 @@
             peers::KEEP_PATH,
             &question,
         );
-        let answer = asked.await.or(Err(Missed::Unreached))?;
+        let answer = asked.await.or(Err(Error::Unreachable))?;
         if answer.status != StatusCode::OK {
-            return Err(Missed::Disagrees);
+            return Err(Error::NoDecision);
         }
-        postcard::from_bytes(&answer.body).or(Err(Missed::Disagrees))
+        postcard::from_bytes(&answer.body).or(Err(Error::NoDecision))
     }
 
-    fn is_away(&self, address: SocketAddr) -> bool {
+    /// Returns whether a keeper recently did not answer and is not asked for now.
+    fn is_backing_off(&self, address: SocketAddr) -> bool {
         let now = self.shared.clock.now();
-        self.away
+        self.keeper_backoff
             .get()
-            .is_some_and(|(away, until)| away == address && now < until)
+            .is_some_and(|(keeper, until)| keeper == address && now < until)
     }
 
-    /// Notes that a keeper did not answer, so that the next requests do not wait for it too.
-    fn note_away(&self, address: SocketAddr) {
+    /// Records that a keeper did not answer, so that the next requests do not wait for it too.
+    fn record_unreachable(&self, address: SocketAddr) {
         let now = self.shared.clock.now();
-        self.away.set(Some((address, now + keeper::BACKOFF)));
+        self.keeper_backoff.set(Some((address, now + keeper::BACKOFF)));
         self.shared.metrics.unanswered.inc();
         if let Some((logger, left_out)) = self.shared.log.room(now, Topic::Belief) {
             info!(logger, "keeper not reached"; "keeper" => %address,
--- a/bergamotshift-forward/src/serve/mod.rs
+++ b/bergamotshift-forward/src/serve/mod.rs
@@ -1,4 +1,4 @@
-//! Serves callers: one request goes from its head to a route, an organisation, an endpoint and back.
+//! Handles callers' requests: matches each one to a route, an organisation and an endpoint, and returns the response.
 
 mod active;
 mod attempt;
@@ -7,9 +7,9 @@
 mod choose;
 mod cut;
 mod forwarder;
-mod hear;
 mod job;
 mod keeper;
+mod notice;
 mod pace;
 mod refusal;
 mod stream;
--- a/bergamotshift-forward/src/serve/pace.rs
+++ b/bergamotshift-forward/src/serve/pace.rs
@@ -1,4 +1,4 @@
-//! How an answer came: what its caller felt of it, and what was expected of the endpoint that gave it.
+//! Timing of a response as perceived by its caller, and the estimate for the endpoint that sent it.
 
 use core::time::Duration;
 
@@ -7,53 +7,53 @@
 
 use crate::choice::Choice;
 
-/// When a stream's events came.
+/// Timing of the events of a stream.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) struct Pace {
-    first: Option<Instant>,
-    last: Instant,
-    longest: Duration,
+    first_event: Option<Instant>,
+    last_event: Instant,
+    longest_pause: Duration,
 }
 
 impl Pace {
-    /// Notes that events came.
-    pub(super) fn note(&mut self, now: Instant) {
-        if self.first.is_none() {
-            self.first = Some(now);
+    /// Records that events arrived.
+    pub(super) fn record(&mut self, now: Instant) {
+        if self.first_event.is_none() {
+            self.first_event = Some(now);
         } else {
-            self.longest = self.longest.max(now.since(self.last));
+            self.longest_pause = self.longest_pause.max(now.since(self.last_event));
         }
-        self.last = now;
+        self.last_event = now;
     }
 
-    /// Returns how long after its arrival a request's first events came, in milliseconds; `None` without any.
+    /// Returns the time from the arrival of the request to its first events, in milliseconds; `None` without any.
     pub(super) fn first_ms(&self, arrived: Instant) -> Option<u64> {
-        self.first.map(|first| first.since(arrived).as_millis() as u64)
+        self.first_event.map(|first| first.since(arrived).as_millis() as u64)
     }
 
     /// Returns the longest time between events, in milliseconds; `None` without any.
     pub(super) fn pause_ms(&self) -> Option<u64> {
-        self.first.map(|_| self.longest.as_millis() as u64)
+        self.first_event.map(|_| self.longest_pause.as_millis() as u64)
     }
 }
 
-/// The last send of a request, and what was expected of it.
+/// Estimate for the last send of a request.
 #[derive(Clone, Debug, PartialEq)]
-pub(super) struct Sent {
-    /// The endpoint.
+pub(super) struct Estimate {
+    /// Identifier of the endpoint.
     pub(super) endpoint: SmolStr,
-    /// The expected time to the answer's beginning, in milliseconds.
+    /// Expected time to the beginning of the response, in milliseconds.
     pub(super) expected_ms: u64,
-    /// Requests that were under way there.
+    /// Number of other requests in flight there.
     pub(super) running: u32,
-    /// Prompt tokens that were still to be read there for other requests.
+    /// Prompt tokens of other requests that were not read there yet.
     pub(super) unread: u64,
-    /// Prompt tokens that the endpoint was expected to read for this request.
+    /// Prompt tokens of this request that the endpoint was expected to read.
     pub(super) to_read: u64,
 }
 
-impl Sent {
-    /// Notes a choice before the request counts as under way there.
+impl Estimate {
+    /// Creates the estimate of a choice, before the request counts as in flight there.
     pub(super) fn new(choice: &Choice) -> Self {
         Self {
             endpoint: choice.endpoint.registration.id.clone(),
--- a/bergamotshift-forward/src/serve/refusal.rs
+++ b/bergamotshift-forward/src/serve/refusal.rs
@@ -1,4 +1,4 @@
-//! Answers that the system makes itself, and what each of them promises.
+//! Responses that the system creates itself, and what each of them guarantees.
 
 use core::time::Duration;
 
@@ -10,20 +10,20 @@
 
 use crate::dialect::Dialect;
 
-/// When a caller may come back after a refusal that passes by itself within a second.
-const SOON: Duration = Duration::from_millis(300);
+/// Retry time after a refusal whose cause disappears within a second.
+const RETRY_SOON: Duration = Duration::from_millis(300);
 
-/// When a caller may come back while no endpoint takes work; new ones take seconds.
-const LATER: Duration = Duration::from_secs(1);
+/// Retry time while no endpoint accepts requests; starting new ones takes seconds.
+const RETRY_LATER: Duration = Duration::from_secs(1);
 
-/// Why a request has no answer of an endpoint.
+/// Reason why a request gets no response of an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Error)]
 pub enum Reason {
     /// No document is known yet.
     #[error("no document is known yet")]
     NoDocument,
-    /// No route matches, or the key is unknown, by a document that is older than another entry's.
+    /// No route matches or the key is unknown, according to a document that is older than another entry's.
     #[error("this entry does not have the newest document yet")]
     Behind,
     /// No route matches.
@@ -35,46 +35,46 @@
     /// The body is larger than allowed.
     #[error("the body is too large")]
     TooLarge,
-    /// The body broke off or came too slowly.
+    /// The body was cut off or arrived too slowly.
     #[error("the body did not arrive whole")]
     BadBody,
     /// The organisation is over its limit.
     #[error("the organisation is over its limit")]
     OverLimit,
-    /// No endpoint of the service takes work.
+    /// No endpoint of the service accepts requests.
     #[error("no endpoint takes work")]
     NoEndpoint,
-    /// The zone is cut off from the others, and has no endpoint that takes work.
+    /// The zone is cut off from the others, and has no endpoint that accepts requests.
     #[error("no endpoint is reached from this availability zone")]
     Stranded,
-    /// No endpoint is expected to answer in time.
+    /// No endpoint is expected to respond in time.
     #[error("no endpoint is expected to answer in time")]
     Overloaded,
-    /// All endpoints that could take the request take no more for now.
+    /// All endpoints that could take the request are closed or announced a rate.
     #[error("no endpoint takes more for now")]
     Throttled,
-    /// Endpoints refused the request before they ran it.
+    /// Endpoints refused the request without running it.
     #[error("the endpoints refused the request unrun")]
     Unrun,
-    /// The request is suspected of ending endpoints.
+    /// The request is suspected of crashing endpoints.
     #[error("the request is suspected of ending endpoints")]
     Suspect,
-    /// The entry ends before the request could.
+    /// The entry would stop before the request ends.
     #[error("the entry ends before the request could")]
     Stopping,
-    /// The time was over before the request was sent.
+    /// The request timed out before it was sent.
     #[error("the time was over before the request was sent")]
     Unsent,
-    /// The time was over while an endpoint had the request.
+    /// The request timed out while an endpoint had it.
     #[error("the time was over before an answer came")]
     TimedOut,
-    /// The endpoint's answer broke off or made no sense.
+    /// The endpoint's response was cut off or invalid.
     #[error("the endpoint gave no whole answer")]
     Broken,
 }
 
 impl Reason {
-    /// Returns the reason's name in logs and metrics.
+    /// Returns the name of the reason in logs and metrics.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::NoDocument => "no_document",
@@ -97,7 +97,7 @@
         }
     }
 
-    /// Returns the status. 429 and 503 promise that the request has not run and never will.
+    /// Returns the HTTP status. The statuses 429 and 503 promise that the request has not run and never will.
     pub const fn status(self) -> StatusCode {
         match self {
             Self::NoRoute => StatusCode::NOT_FOUND,
@@ -121,12 +121,12 @@
     }
 }
 
-/// A request that gets no answer of an endpoint.
+/// Refusal of a request that gets no response of an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Refusal {
-    /// Why.
+    /// Reason for the refusal.
     pub reason: Reason,
-    /// When the caller may come back.
+    /// Time after which the caller may retry; `None` to state no time.
     pub retry_after: Option<Duration>,
 }
 
@@ -139,10 +139,10 @@
             | Reason::Overloaded
             | Reason::Throttled
             | Reason::Unrun
-            | Reason::Unsent => Some(SOON),
-            // Another entry takes it at once.
+            | Reason::Unsent => Some(RETRY_SOON),
+            // Another entry accepts the request at once.
             Reason::Stopping => Some(Duration::ZERO),
-            Reason::NoEndpoint | Reason::Suspect => Some(LATER),
+            Reason::NoEndpoint | Reason::Suspect => Some(RETRY_LATER),
             _ => None,
         };
         Self { reason, retry_after }
@@ -150,7 +150,7 @@
 }
 
 impl Refusal {
-    /// Returns the answer that the caller gets.
+    /// Returns the response to the caller.
     pub fn response(self, dialect: &Dialect, id: &str) -> Response {
         let mut response = Response::build(self.reason.status())
             .content_type("text/plain; charset=utf-8")
--- a/bergamotshift-forward/src/serve/stream.rs
+++ b/bergamotshift-forward/src/serve/stream.rs
@@ -1,4 +1,4 @@
-//! Event streams, passed on event by event; one that breaks off goes on elsewhere where its route allows it.
+//! Event streams, forwarded event by event; a stream that breaks off is resumed elsewhere if its route allows it.
 
 use core::error::Error as StdError;
 use std::rc::Rc;
@@ -20,8 +20,8 @@
 
 use super::Forwarder;
 use super::active::Active;
+use super::attempt::Exchange;
 use super::attempt::History;
-use super::attempt::Open;
 use super::cut::flush_and_terminate;
 use super::job::Job;
 use super::refusal::Reason;
@@ -33,127 +33,130 @@
 use crate::exchange::Failure;
 use crate::observe::Topic;
 
-/// A stream that its caller does not get whole.
+/// Error of a stream that its caller does not get completely.
 #[derive(Clone, Debug)]
 #[derive(Error)]
-#[error("the stream broke off: {0}")]
-pub(super) struct Cut(String);
+#[error("the stream was cut off: {0}")]
+pub(super) struct Truncation(String);
 
-/// A stream on its way from an endpoint to a caller.
+/// Relay of a stream from an endpoint to a caller.
 #[derive(Debug)]
-pub(super) struct Flow {
+pub(super) struct Relay {
     forwarder: Rc<Forwarder>,
     job: Rc<Job>,
     history: History,
     connection: Option<Connection>,
-    framing: exchange::Body,
-    answer: HeaderMap,
-    seat: RequestGuard,
+    framing: exchange::Framing,
+    headers: HeaderMap,
+    guard: RequestGuard,
     events: Events,
-    /// Counts the request as under way until the flow ends.
+    /// Counts the request as in flight until the relay is dropped.
     _active: Active,
     status: StatusCode,
 }
 
-impl Flow {
-    /// Waits for a stream's first whole events; only then is the caller told that it began.
+impl Relay {
+    /// Waits for the first complete events of a stream, before the caller is told that it began.
     ///
     /// # Errors
     ///
     /// Returns the refusal when no endpoint's stream began.
-    pub(super) async fn begin(
+    pub(super) async fn start(
         forwarder: Rc<Forwarder>,
         job: Rc<Job>,
         history: History,
-        open: Open,
+        exchange: Exchange,
         active: Active,
     ) -> Result<(Self, Option<Bytes>), Refusal> {
-        let Open {
-            answer,
+        let Exchange {
+            head,
             connection,
-            seat,
-        } = open;
-        let events = Events::after(job.ask.last_event);
-        let mut flow = Self {
+            guard,
+        } = exchange;
+        let events = Events::after(job.metadata.last_event);
+        let mut relay = Self {
             forwarder,
             job,
             history,
             connection: Some(connection),
-            framing: answer.body,
-            answer: answer.headers,
-            seat,
+            framing: head.framing,
+            headers: head.headers,
+            guard,
             events,
             _active: active,
-            status: answer.status,
+            status: head.status,
         };
-        match flow.next().await {
-            Ok(first) => Ok((flow, first)),
+        match relay.next().await {
+            Ok(first) => Ok((relay, first)),
             Err(Failure::Silent) => Err(Reason::TimedOut.into()),
             Err(_) => Err(Reason::Broken.into()),
         }
     }
 
-    /// Returns the answer that the caller gets, with a body that passes the events on.
+    /// Returns the response to the caller, with a body that relays the events.
     pub(super) fn response(self, first: Option<Bytes>, caller: Option<IoRef>) -> Response {
         let mut response = Response::new(self.status);
-        let mut headers = bergamotshift_endpoint::header::towards_caller(&self.answer);
+        let mut headers = bergamotshift_endpoint::header::towards_caller(&self.headers);
         headers.remove(header::CONTENT_LENGTH);
         *response.headers_mut() = headers;
-        response.set_body(Body::from_message(BoxedBodyStream::new(Box::pin(pass(
+        response.set_body(Body::from_message(BoxedBodyStream::new(Box::pin(relay_events(
             self, first, caller,
         )))))
     }
 
-    /// Returns the next whole events, or `None` at the stream's end.
+    /// Returns the next complete events, or `None` at the end of the stream.
     async fn next(&mut self) -> Result<Option<Bytes>, Failure> {
         loop {
-            let failure = match self.receive().await {
+            let failure = match self.read_events().await {
                 Ok(Some(events)) => {
-                    if self.seat.mark_prompt_read() {
+                    if self.guard.mark_prompt_read() {
                         self.forwarder.shared.in_flight_changed.notify_one();
                     }
-                    self.history.pace.note(self.forwarder.shared.clock.now());
+                    self.history.pace.record(self.forwarder.shared.clock.now());
                     return Ok(Some(events));
                 }
-                Ok(None) if self.events.is_between() => {
-                    self.ended();
+                Ok(None) if self.events.is_at_boundary() => {
+                    self.finish();
                     return Ok(None);
                 }
                 Ok(None) => Failure::Broken("it ended within an event".to_owned()),
                 Err(failure) => failure,
             };
-            self.seat.record_failure();
+            self.guard.record_failure();
             self.resume(failure).await?;
         }
     }
 
-    /// Reads until whole events are there.
-    async fn receive(&mut self) -> Result<Option<Bytes>, Failure> {
+    /// Reads until at least one event is complete; returns `None` at the end of the stream.
+    async fn read_events(&mut self) -> Result<Option<Bytes>, Failure> {
         let Some(connection) = &mut self.connection else {
             return Ok(None);
         };
         loop {
-            let left = self.job.deadline.since(self.forwarder.shared.clock.now());
-            let repeats = self.history.sends < self.job.route.attempts;
-            let stall = self.job.stall().filter(|_| repeats && self.events.last().is_some());
-            let patience = stall.map_or(left, |stall| stall.min(left));
-            let piece = match timeout(patience, connection.body(&mut self.framing)).await {
+            let time_left = self.job.deadline.since(self.forwarder.shared.clock.now());
+            let can_repeat = self.history.sends < self.job.route.attempts;
+            let stall_timeout = self
+                .job
+                .stall_timeout()
+                .filter(|_| can_repeat && self.events.last_id().is_some());
+            let read_timeout = stall_timeout.map_or(time_left, |limit| limit.min(time_left));
+            let piece = match timeout(read_timeout, connection.body(&mut self.framing)).await {
                 Ok(piece) => piece?,
                 Err(_) => return Err(Failure::Silent),
             };
             let Some(piece) = piece else {
                 return Ok(None);
             };
-            if let Some(events) = self.events.take(&piece) {
+            if let Some(events) = self.events.push(&piece) {
                 return Ok(Some(events));
             }
-            if self.events.is_overfull() {
-                return Err(Failure::Malformed("an event is larger than any that is meant"));
+            if self.events.is_oversized() {
+                return Err(Failure::Malformed("an event is too large"));
             }
         }
     }
 
-    /// Goes on at another endpoint behind the last whole event.
+    /// Resumes the stream at another endpoint after the last complete event.
     ///
     /// The broken connection is closed first: an endpoint stops its work when its connection closes, and two of them
     /// must not work on one stream.
@@ -168,50 +171,53 @@
         self.events.drop_partial();
         let forwarder = Rc::clone(&self.forwarder);
         let job = Rc::clone(&self.job);
-        let open = forwarder.open(&job, &mut self.history, self.events.last()).await;
-        let open = open.map_err(|refusal| Failure::Broken(refusal.reason.to_string()))?;
-        if !open.answer.status.is_success() || !open.answer.is_event_stream() {
+        let exchange = forwarder
+            .send_with_retries(&job, &mut self.history, self.events.last_id())
+            .await;
+        let exchange = exchange.map_err(|refusal| Failure::Broken(refusal.reason.to_string()))?;
+        if !exchange.head.status.is_success() || !exchange.head.is_event_stream() {
             return Err(failure);
         }
         forwarder.shared.metrics.resumed.inc();
-        self.framing = open.answer.body;
-        self.connection = Some(open.connection);
-        self.seat = open.seat;
+        self.framing = exchange.head.framing;
+        self.connection = Some(exchange.connection);
+        self.guard = exchange.guard;
         Ok(())
     }
 
-    /// Gives the connection back after a whole stream.
-    fn ended(&mut self) {
-        self.seat.record_success();
-        let endpoint = self.seat.endpoint();
+    /// Records a complete stream and returns the connection to the pool.
+    fn finish(&mut self) {
+        self.guard.record_success();
+        let endpoint = self.guard.endpoint();
         if let Some(connection) = self.connection.take() {
             let address = endpoint.registration.address;
             let now = self.forwarder.shared.clock.now();
             self.forwarder
                 .pool
                 .borrow_mut()
-                .put(now, address, connection, &self.answer);
+                .put(now, address, connection, &self.headers);
         }
     }
 
+    /// Logs that a stream broke off.
     fn log_break(&self, now: Instant, failure: &Failure) {
         let shared = &self.forwarder.shared;
         if let Some((logger, left_out)) = shared.log.room(now, Topic::Attempt) {
-            info!(logger, "stream broke"; "request" => self.job.ask.id.as_str(),
+            info!(logger, "stream broke"; "request" => self.job.metadata.id.as_str(),
                 "route" => self.job.route.name.as_str(),
-                "endpoint" => self.seat.endpoint().registration.id.as_str(), "cause" => %failure,
-                "last_event" => self.events.last(), "sends" => self.history.sends,
-                "resumable" => self.job.route.resumable, "document" => self.forwarder.version(),
+                "endpoint" => self.guard.endpoint().registration.id.as_str(), "cause" => %failure,
+                "last_event" => self.events.last_id(), "sends" => self.history.sends,
+                "resumable" => self.job.route.resumable, "document" => self.forwarder.document_version(),
                 "left_out" => left_out);
         }
     }
 }
 
-/// Passes a stream's events on to its caller.
-fn pass(flow: Flow, first: Option<Bytes>, caller: Option<IoRef>) -> impl Stream<Item = Item> {
+/// Returns a body that relays the events of a stream to its caller.
+fn relay_events(relay: Relay, first: Option<Bytes>, caller: Option<IoRef>) -> impl Stream<Item = Item> {
     let ended = first.is_none();
     let state = State {
-        flow,
+        relay,
         first,
         caller,
         ended,
@@ -223,35 +229,37 @@
         if state.ended {
             return None;
         }
-        match state.flow.next().await {
+        match state.relay.next().await {
             Ok(Some(events)) => Some((Ok(ntex::util::Bytes::copy_from_slice(&events)), state)),
             Ok(None) => {
                 state
-                    .flow
+                    .relay
                     .forwarder
-                    .served(&state.flow.job, &state.flow.history, StatusCode::OK);
+                    .record_served(&state.relay.job, &state.relay.history, StatusCode::OK);
                 None
             }
             Err(failure) => {
                 state
-                    .flow
+                    .relay
                     .forwarder
-                    .broken(&state.flow.job, &state.flow.history, &failure);
+                    .record_cut(&state.relay.job, &state.relay.history, &failure);
                 if let Some(caller) = state.caller.take() {
                     flush_and_terminate(caller).await;
                 }
                 state.ended = true;
-                let error: Rc<dyn StdError> = Rc::new(Cut(failure.to_string()));
+                let error: Rc<dyn StdError> = Rc::new(Truncation(failure.to_string()));
                 Some((Err(error), state))
             }
         }
     })
 }
 
+/// Item of the body: complete events, or the error that ends it.
 type Item = Result<ntex::util::Bytes, Rc<dyn StdError>>;
 
+/// State of the body between two items.
 struct State {
-    flow: Flow,
+    relay: Relay,
     first: Option<Bytes>,
     caller: Option<IoRef>,
     ended: bool,
--- a/bergamotshift-forward/src/serve/whole.rs
+++ b/bergamotshift-forward/src/serve/whole.rs
@@ -1,4 +1,4 @@
-//! Answers that are read whole before the caller gets them.
+//! Responses that are read completely before they are returned to the caller.
 
 use bytes::BytesMut;
 use ntex::http::HeaderMap;
@@ -9,31 +9,31 @@
 use tokio::time::timeout;
 
 use super::Forwarder;
+use super::attempt::Exchange;
 use super::attempt::History;
-use super::attempt::Open;
 use super::job::Job;
 use super::refusal::Reason;
 use super::refusal::Refusal;
 use crate::exchange::Failure;
 
-/// The largest answer that is held, in bytes; plain services answer with some kilobytes.
-const LARGEST: usize = 8 << 20;
+/// Maximum size of a response body, in bytes; plain services respond with a few kilobytes.
+const MAX_BODY: usize = 8 << 20;
 
-/// A complete answer of an endpoint.
+/// Complete response of an endpoint.
 #[derive(Debug)]
-pub(super) struct Whole {
+pub(super) struct Reply {
     status: StatusCode,
     headers: HeaderMap,
     body: bytes::Bytes,
 }
 
-impl Whole {
-    /// Returns the status.
+impl Reply {
+    /// Returns the HTTP status.
     pub(super) const fn status(&self) -> StatusCode {
         self.status
     }
 
-    /// Returns the answer that the caller gets.
+    /// Returns the response to the caller.
     pub(super) fn response(self, method: &Method) -> Response {
         let mut response = Response::new(self.status);
         let mut headers = bergamotshift_endpoint::header::towards_caller(&self.headers);
@@ -51,58 +51,68 @@
 }
 
 impl Forwarder {
-    /// Reads an answer to its end; asks again elsewhere when it breaks off and the request may be repeated.
-    pub(super) async fn finish(&self, job: &Job, history: &mut History, open: Open) -> Result<Whole, Refusal> {
-        let mut open = open;
+    /// Reads a response completely; if it is cut off and the request may be repeated, asks another endpoint.
+    ///
+    /// # Errors
+    ///
+    /// Returns the refusal when the response is cut off and the request cannot be repeated.
+    pub(super) async fn read_with_retries(
+        &self,
+        job: &Job,
+        history: &mut History,
+        exchange: Exchange,
+    ) -> Result<Reply, Refusal> {
+        let mut exchange = exchange;
         loop {
-            let failure = match self.read(job, open).await {
-                Ok(whole) => return Ok(whole),
+            let failure = match self.read_reply(job, exchange).await {
+                Ok(reply) => return Ok(reply),
                 Err(failure) => failure,
             };
             let timed_out = failure == Failure::Silent;
             if timed_out || !job.route.is_repeatable() || history.sends >= job.route.attempts {
                 return Err(if timed_out { Reason::TimedOut } else { Reason::Broken }.into());
             }
-            open = self.open(job, history, None).await?;
+            exchange = self.send_with_retries(job, history, None).await?;
         }
     }
 
-    async fn read(&self, job: &Job, open: Open) -> Result<Whole, Failure> {
-        let Open {
-            answer,
+    /// Reads the body of a response, and returns the connection to the pool.
+    async fn read_reply(&self, job: &Job, exchange: Exchange) -> Result<Reply, Failure> {
+        let Exchange {
+            head,
             mut connection,
-            mut seat,
-        } = open;
-        let mut framing = answer.body;
+            mut guard,
+        } = exchange;
+        let mut framing = head.framing;
         let mut body = BytesMut::new();
-        let left = job.deadline.since(self.shared.clock.now());
+        let time_left = job.deadline.since(self.shared.clock.now());
         let reading = async {
             while let Some(piece) = connection.body(&mut framing).await? {
                 body.extend_from_slice(&piece);
-                if body.len() > LARGEST {
-                    return Err(Failure::Malformed("it is larger than any that is held"));
+                if body.len() > MAX_BODY {
+                    return Err(Failure::Malformed("its body is too large"));
                 }
             }
             Ok(())
         };
-        let read = timeout(left, reading).await.unwrap_or(Err(Failure::Silent));
+        let read = timeout(time_left, reading).await.unwrap_or(Err(Failure::Silent));
         match read {
             Ok(()) => {
-                seat.record_start();
-                if !answer.status.is_server_error() {
-                    seat.record_success();
+                guard.record_start();
+                if !head.status.is_server_error() {
+                    guard.record_success();
                 }
-                let address = seat.endpoint().registration.address;
+                let address = guard.endpoint().registration.address;
                 let now = self.shared.clock.now();
-                self.pool.borrow_mut().put(now, address, connection, &answer.headers);
-                Ok(Whole {
-                    status: answer.status,
-                    headers: answer.headers,
+                self.pool.borrow_mut().put(now, address, connection, &head.headers);
+                Ok(Reply {
+                    status: head.status,
+                    headers: head.headers,
                     body: body.freeze(),
                 })
             }
             Err(failure) => {
-                seat.record_failure();
+                guard.record_failure();
                 Err(failure)
             }
         }
--- a/bergamotshift-forward/tests/kernel/events.rs
+++ b/bergamotshift-forward/tests/kernel/events.rs
@@ -15,10 +15,10 @@
         for cut in cuts {
             let (piece, more) = rest.split_at(usize::from(cut % 7).min(rest.len()));
             rest = more;
-            passed.extend(events.take(piece).into_iter().flatten());
+            passed.extend(events.push(piece).into_iter().flatten());
         }
-        passed.extend(events.take(rest).into_iter().flatten());
-        passed == STREAM && events.last() == Some(3) && events.is_between()
+        passed.extend(events.push(rest).into_iter().flatten());
+        passed == STREAM && events.last_id() == Some(3) && events.is_at_boundary()
     }
     let random = Gen::from_size_and_seed(60, 7);
     QuickCheck::new()
@@ -30,10 +30,10 @@
 #[test]
 fn half_an_event_is_held_back() {
     let mut events = Events::default();
-    let whole = events.take(b"id: 1\ndata: a\n\nid: 2\nda").expect("one is whole");
+    let whole = events.push(b"id: 1\ndata: a\n\nid: 2\nda").expect("one is whole");
     assert_eq!(&*whole, b"id: 1\ndata: a\n\n");
-    assert_eq!(events.last(), Some(1));
-    assert!(!events.is_between());
+    assert_eq!(events.last_id(), Some(1));
+    assert!(!events.is_at_boundary());
 }
 
 /// An endpoint dies in the middle of an event and the stream goes on at another one, which sends that event anew. The
@@ -41,8 +41,8 @@
 #[test]
 fn an_event_that_broke_off_is_not_joined_with_the_next_endpoints() {
     let mut events = Events::after(Some(4));
-    assert!(events.take(b"id: 5\ndata: ha").is_none());
+    assert!(events.push(b"id: 5\ndata: ha").is_none());
     events.drop_partial();
-    let whole = events.take(b"id: 5\ndata: half\n\n").expect("it is whole");
+    let whole = events.push(b"id: 5\ndata: half\n\n").expect("it is whole");
     assert_eq!(&*whole, b"id: 5\ndata: half\n\n");
 }
