--- a/bergamotshift-forward/src/control/mod.rs
+++ b/bergamotshift-forward/src/control/mod.rs
@@ -293,7 +293,7 @@
     }
 
     /// Returns the keeper and the deputy of the zone.
-    pub fn keeping(&self) -> Keepers {
+    pub fn keepers(&self) -> Keepers {
         self.inner.borrow().keepers
     }
 
--- a/bergamotshift-forward/src/control/publish.rs
+++ b/bergamotshift-forward/src/control/publish.rs
@@ -69,7 +69,7 @@
         }
         let memories = document.services.iter().filter_map(|service| service.engine);
         if let Some(memory) = memories.map(|engine| engine.memory).min() {
-            shared.recall().set_memory(memory);
+            shared.cache_index().set_memory(memory);
         }
         let accounts = self.organisations.iter();
         let view = View {
@@ -78,7 +78,7 @@
             by_hash,
             accounts: accounts.map(|(name, one)| (name.clone(), one.accounts())).collect(),
             suspects: self.quarantine.table(),
-            keeping: self.keepers,
+            keepers: self.keepers,
             granters: Arc::clone(&self.granters),
             knows_endpoints: self.directory.endpoints().next().is_some(),
             knows_entries: self.entries_listed,
--- a/bergamotshift-forward/src/control/talk.rs
+++ b/bergamotshift-forward/src/control/talk.rs
@@ -85,7 +85,7 @@
             limit_usage: limit_usage.collect(),
             in_flight: in_flight.filter(|load| load.running > 0).collect(),
             prompt_rates: prompt_demand.filter(|(_, rate)| *rate > 0.0).collect(),
-            cached_parts: shared.recall().announced(now),
+            cached_parts: shared.cache_index().announced(now),
             windows: shared.tally.windows(),
             suspicions: self.quarantine.suspicions(now),
             rates: self.announced_rates(now),
@@ -204,7 +204,7 @@
             self.quarantine.merge(now, &state.suspicions);
             self.publish(shared);
         }
-        let mut cache_index = shared.recall();
+        let mut cache_index = shared.cache_index();
         for part in &state.cached_parts {
             cache_index.record(now, *part);
         }
--- a/bergamotshift-forward/src/daemon/mod.rs
+++ b/bergamotshift-forward/src/daemon/mod.rs
@@ -118,7 +118,7 @@
         log: Log::new(logger),
         metrics: Metrics::new(),
         tally: Tally::new(clock, Duration::from_secs_f64(settings.duty.usage_window_s.max(0.0))),
-        recall: Mutex::default(),
+        cache_index: Mutex::default(),
         ledger: Mutex::default(),
         rollout_evidence: Arc::default(),
         in_flight_changed: Notify::new(),
--- a/bergamotshift-forward/src/endpoint/mod.rs
+++ b/bergamotshift-forward/src/endpoint/mod.rs
@@ -201,7 +201,7 @@
 
     /// Adds an observer that records the outcome of the request.
     #[must_use]
-    pub fn with_witness(mut self, observer: Option<Observer>) -> Self {
+    pub fn with_observer(mut self, observer: Option<Observer>) -> Self {
         self.observer = observer;
         self
     }
--- a/bergamotshift-forward/src/peers/keep.rs
+++ b/bergamotshift-forward/src/peers/keep.rs
@@ -43,7 +43,7 @@
         Err(status) => return Response::new(status),
     };
     let view = shared.view.load_full();
-    let keeping = view.keeping;
+    let keeping = view.keepers;
     if keeping.keeper != Keeper::Own && !(keeping.is_deputy && question.deputy) {
         return Response::new(StatusCode::CONFLICT);
     }
@@ -117,7 +117,7 @@
         let shared = permits.shared();
         let endpoint = choice.endpoint.hash;
         shared
-            .recall()
+            .cache_index()
             .record_choice(shared.clock.now(), endpoint, &generation.parts);
         return Some(Placement {
             endpoint,
@@ -149,7 +149,7 @@
         cache_sources: &[],
     };
     let canary = service.canary_for(generation.is_canary);
-    let recall = shared.recall();
+    let recall = shared.cache_index();
     let weights = choice::Settings::default();
     choice::choose_with_canary(&weights, shared.clock.now(), service, canary, &request, &recall)
 }
--- a/bergamotshift-forward/src/peers/task.rs
+++ b/bergamotshift-forward/src/peers/task.rs
@@ -75,7 +75,7 @@
     });
     let mut rounds = Rounds::default();
     loop {
-        let is_discovering = control.keeping().keeper == Keeper::Unknown;
+        let is_discovering = control.keepers().keeper == Keeper::Unknown;
         let round = rounds.next(is_discovering || control.is_alone());
         tokio::time::sleep(round.delay).await;
         control.tick();
--- a/bergamotshift-forward/src/serve/attempt.rs
+++ b/bergamotshift-forward/src/serve/attempt.rs
@@ -212,8 +212,10 @@
         history.sends += 1;
         history.sent = Some(expected);
         self.shared.metrics.sends.inc();
-        self.shared.recall().record_choice(now, endpoint.hash, &job.ask.parts);
-        seat = seat.with_witness(self.witness(job, choice));
+        self.shared
+            .cache_index()
+            .record_choice(now, endpoint.hash, &job.ask.parts);
+        seat = seat.with_observer(self.witness(job, choice));
         let envelope = Envelope {
             expected: &endpoint.registration.id,
             organisation: job.organisation.as_ref(),
--- a/bergamotshift-forward/src/serve/charge.rs
+++ b/bergamotshift-forward/src/serve/charge.rs
@@ -47,7 +47,7 @@
             let units = Units {
                 organisation: organisation.name.clone(),
                 count,
-                unreported: match view.keeping.keeper {
+                unreported: match view.keepers.keeper {
                     Keeper::Nobody => 0,
                     Keeper::Own | Keeper::Other(_) | Keeper::Unknown => accounts.own.take_unreported(now),
                 },
@@ -64,7 +64,7 @@
                 avoided: avoided(view, service, now),
             })
         };
-        let admission = match (view.keeping.keeper, accounts) {
+        let admission = match (view.keepers.keeper, accounts) {
             (Keeper::Nobody, None) => Ok(Admission::default()),
             (Keeper::Nobody, Some((accounts, units))) => accounts
                 .own
--- a/bergamotshift-forward/src/serve/choose.rs
+++ b/bergamotshift-forward/src/serve/choose.rs
@@ -165,7 +165,7 @@
         // A repeat goes to the version in force.
         let canary = service.canary_for(job.is_canary && history.tried.is_empty());
         let candidate = placed.or_else(|| {
-            let recall = self.shared.recall();
+            let recall = self.shared.cache_index();
             let choice = choice::choose_with_canary(&self.weights, now, service, canary, &request, &recall)?;
             Some(Candidate {
                 choice,
@@ -206,7 +206,7 @@
             .iter()
             .filter(|endpoint| endpoint.registration.zone == *zone);
         let here: Vec<_> = here.cloned().collect();
-        let choice = choice::choose(&self.weights, now, &here, request, &self.shared.recall());
+        let choice = choice::choose(&self.weights, now, &here, request, &self.shared.cache_index());
         choice.ok_or_else(|| {
             let refusal = self.closed(now, service, history);
             if refusal.reason == Reason::NoEndpoint {
--- a/bergamotshift-forward/src/serve/forwarder.rs
+++ b/bergamotshift-forward/src/serve/forwarder.rs
@@ -430,14 +430,14 @@
         self.callers.forget_closed();
         let view = self.shared.view.load();
         let is_there = |hash| view.endpoint(hash).is_some();
-        self.shared.recall().expire(self.shared.clock.now(), is_there);
+        self.shared.cache_index().expire(self.shared.clock.now(), is_there);
         let endpoints = view.by_hash.values();
         let mut addresses: Vec<_> = endpoints
             .filter(|endpoint| !endpoint.is_leaving())
             .map(|endpoint| endpoint.registration.address)
             .collect();
-        addresses.extend(view.keeping.deputy);
-        if let Keeper::Other(address) = view.keeping.keeper {
+        addresses.extend(view.keepers.deputy);
+        if let Keeper::Other(address) = view.keepers.keeper {
             addresses.push(address);
         }
         let now = self.shared.clock.now();
--- a/bergamotshift-forward/src/serve/keeper.rs
+++ b/bergamotshift-forward/src/serve/keeper.rs
@@ -100,7 +100,7 @@
     /// Asks whoever keeps the zone by now; `None` when nobody decides.
     async fn ask_once(&self, question: &mut Question) -> Option<Answer> {
         let view = self.shared.view.load_full();
-        match view.keeping.keeper {
+        match view.keepers.keeper {
             Keeper::Own => return Some(peers::keep::decide(&self.permits, &view, question).await),
             Keeper::Other(address) if !self.is_away(address) => {
                 question.deputy = false;
@@ -113,7 +113,7 @@
             Keeper::Other(_) | Keeper::Nobody | Keeper::Unknown => {}
         }
         question.deputy = true;
-        self.ask(view.keeping.deputy?, question).await.ok()
+        self.ask(view.keepers.deputy?, question).await.ok()
     }
 
     /// Tells the keeper what work is under way, soon after it changed, for as long as the process lives.
@@ -126,7 +126,7 @@
             if self.told.get() > changed {
                 continue;
             }
-            let keeping = self.shared.view.load().keeping;
+            let keeping = self.shared.view.load().keepers;
             let Keeper::Other(address) = keeping.keeper else {
                 continue;
             };
--- a/bergamotshift-forward/src/view/mod.rs
+++ b/bergamotshift-forward/src/view/mod.rs
@@ -135,7 +135,7 @@
     /// Requests suspected of crashing endpoints.
     pub suspects: quarantine::Table,
     /// Keeper and deputy of the zone.
-    pub keeping: Keepers,
+    pub keepers: Keepers,
     /// Entries that grant requests to endpoints with an announced rate.
     pub granters: Arc<[granter::Candidate]>,
     /// Whether any endpoint is known.
@@ -190,7 +190,7 @@
     pub tally: Tally,
     /// Parts of prompts that endpoints have cached. Worker threads and the control thread hold the lock for
     /// microseconds.
-    pub recall: Mutex<CacheIndex>,
+    pub cache_index: Mutex<CacheIndex>,
     /// In-flight reports that the entries of the zone sent to this one as their keeper. Threads hold the lock for
     /// microseconds.
     pub ledger: Mutex<Ledger>,
@@ -218,8 +218,8 @@
 
 impl Shared {
     /// Locks the index of cached prompt parts.
-    pub fn recall(&self) -> MutexGuard<'_, CacheIndex> {
-        self.recall.lock().unwrap_or_else(PoisonError::into_inner)
+    pub fn cache_index(&self) -> MutexGuard<'_, CacheIndex> {
+        self.cache_index.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Locks the in-flight reports of the zone's entries.
