--- a/bergamotshift-claim/src/batch.rs
+++ b/bergamotshift-claim/src/batch.rs
@@ -20,28 +20,28 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Settings {
     /// The most writes in one transaction; the table's own limit is 100.
-    pub items: usize,
+    pub max_items: usize,
     /// The most bytes of bodies in one transaction.
-    pub bytes: usize,
+    pub max_bytes: usize,
     /// The most transactions without an answer.
-    pub flying: usize,
+    pub max_in_flight: usize,
     /// The time that each transaction takes from this entry's share of the table's rate.
     pub per_transaction: Duration,
     /// The time that each write takes from this entry's share of the table's rate.
     pub per_item: Duration,
     /// The most writes that wait; more are refused at once.
-    pub queue: usize,
+    pub max_queued: usize,
 }
 
 impl Default for Settings {
     fn default() -> Self {
         Self {
-            items: 100,
-            bytes: 2 << 20,
-            flying: 2,
+            max_items: 100,
+            max_bytes: 2 << 20,
+            max_in_flight: 2,
             per_transaction: Duration::from_millis(20),
             per_item: Duration::ZERO,
-            queue: 4_096,
+            max_queued: 4_096,
         }
     }
 }
@@ -56,7 +56,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Id(u64);
 
-/// A transaction to carry out; its ending goes to [`Batch::ended`].
+/// A transaction to carry out; its ending goes to [`Batch::complete`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Transaction {
     /// Comes back with the ending.
@@ -70,7 +70,7 @@
 pub struct Batch<T> {
     settings: Settings,
     waiting: VecDeque<(T, Write)>,
-    flying: BTreeMap<Id, Vec<(T, Write)>>,
+    in_flight: BTreeMap<Id, Vec<(T, Write)>>,
     next_id: u64,
     /// When the next transaction may start.
     next_at: Instant,
@@ -82,7 +82,7 @@
         Self {
             settings,
             waiting: VecDeque::new(),
-            flying: BTreeMap::new(),
+            in_flight: BTreeMap::new(),
             next_id: 0,
             next_at: Instant::ZERO,
         }
@@ -105,7 +105,7 @@
     /// Returns [`Full`] when too many writes wait.
     pub fn push(&mut self, ticket: T, write: Write) -> Result<(), Full> {
         // Without a bound an outage of the table would pile up writes until callers had long given up.
-        if self.waiting.len() >= self.settings.queue {
+        if self.waiting.len() >= self.settings.max_queued {
             return Err(Full);
         }
         self.waiting.push_back((ticket, write));
@@ -114,7 +114,7 @@
 
     /// Returns when [`Batch::next`] can have a transaction, if any write waits and a transaction may start.
     pub fn due(&self) -> Option<Instant> {
-        let ready = !self.waiting.is_empty() && self.flying.len() < self.settings.flying;
+        let ready = !self.waiting.is_empty() && self.in_flight.len() < self.settings.max_in_flight;
         ready.then_some(self.next_at)
     }
 
@@ -132,7 +132,7 @@
         self.next_at = now + self.settings.per_transaction + self.settings.per_item.saturating_mul(items);
         let id = Id(self.next_id);
         self.next_id += 1;
-        self.flying.insert(id, taken);
+        self.in_flight.insert(id, taken);
         Some(Transaction { id, writes })
     }
 
@@ -141,7 +141,7 @@
     /// The table refuses a transaction that names a row twice, and a row's writes keep their order.
     fn take(&mut self) -> Vec<(T, Write)> {
         let mut busy = self
-            .flying
+            .in_flight
             .values()
             .flatten()
             .map(|(_, write)| write.key.clone())
@@ -151,8 +151,8 @@
         let mut left = VecDeque::new();
         while let Some((ticket, write)) = self.waiting.pop_front() {
             let size = size(&write);
-            let fits = taken.is_empty() || bytes + size <= self.settings.bytes;
-            let room = taken.len() < self.settings.items && fits;
+            let fits = taken.is_empty() || bytes + size <= self.settings.max_bytes;
+            let room = taken.len() < self.settings.max_items && fits;
             if !room {
                 left.push_back((ticket, write));
                 break;
@@ -170,8 +170,8 @@
     }
 
     /// Takes a transaction's ending in and returns the endings of single writes that are settled by it.
-    pub fn ended(&mut self, id: Id, ending: &Ending) -> Vec<(T, Ending)> {
-        let Some(writes) = self.flying.remove(&id) else {
+    pub fn complete(&mut self, id: Id, ending: &Ending) -> Vec<(T, Ending)> {
+        let Some(writes) = self.in_flight.remove(&id) else {
             return Vec::new();
         };
         let Ending::Conflict(places) = ending else {
--- a/bergamotshift-claim/src/driver/claiming.rs
+++ b/bergamotshift-claim/src/driver/claiming.rs
@@ -92,7 +92,9 @@
             State::Withdrawn => self.claim_over(row.version),
             _ if !same => self.reply_and_close(Reply::Mismatch),
             State::Done(answer) => self.reply_and_close(Reply::Replay(answer)),
-            State::Sent if self.request.wall.millis(now) < record.until => self.reply_and_close(self.in_progress()),
+            State::Sent if self.request.wall_clock.millis(now) < record.until => {
+                self.reply_and_close(self.in_progress())
+            }
             // Still `sent` after the holder's own deadline: it died or lost the table. Whether it sent cannot be
             // told, so nobody sends again.
             State::Sent | State::Unknown => self.reply_and_close(Reply::Unknown),
--- a/bergamotshift-claim/src/driver/event.rs
+++ b/bergamotshift-claim/src/driver/event.rs
@@ -48,14 +48,14 @@
         row: Reading,
     },
     /// The object store took the answer's body, or did not.
-    Kept {
+    Stored {
         /// Which put.
         op: Op,
         /// Whether it is known to be kept.
-        kept: bool,
+        is_stored: bool,
     },
     /// The endpoint call that [`Action::Send`] started came to its end.
-    Endpoint(Verdict),
+    Completed(Completion),
     /// The caller went away.
     Cancel,
     /// The time of the last [`Action::Wake`] has come.
@@ -64,7 +64,7 @@
 
 /// How an endpoint call ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum Completion {
     /// A whole answer arrived.
     Answered(Answer),
     /// No byte of the request left, or the endpoint proved that it refused it before any work.
@@ -90,8 +90,8 @@
         /// The row.
         key: table::Key,
     },
-    /// Put a body into the object store; [`Event::Kept`] tells how it ended.
-    Keep {
+    /// Put a body into the object store; [`Event::Stored`] tells how it ended.
+    Store {
         /// Comes back with the result.
         op: Op,
         /// The object's key.
@@ -99,7 +99,7 @@
         /// The body.
         body: Vec<u8>,
     },
-    /// Send the request to one endpoint; [`Event::Endpoint`] tells how it ended.
+    /// Send the request to one endpoint; [`Event::Completed`] tells how it ended.
     ///
     /// The shell may go on to another endpoint only as long as no byte of the request has left.
     Send,
--- a/bergamotshift-claim/src/driver/mod.rs
+++ b/bergamotshift-claim/src/driver/mod.rs
@@ -19,19 +19,19 @@
 use bergamotshift_core::table::Ending;
 
 pub use self::event::Action;
+pub use self::event::Completion;
 pub use self::event::Event;
 pub use self::event::Op;
 pub use self::event::Reading;
 pub use self::event::Reason;
 pub use self::event::Reply;
 pub use self::event::Unreachable;
-pub use self::event::Verdict;
 use self::recording::Recording;
 use crate::digest::Digest;
 use crate::record::Record;
 use crate::record::State;
 use crate::scope::Scope;
-use crate::wall::Wall;
+use crate::wall::WallClock;
 
 /// What one caller's sending of a non-repeatable request is.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -47,7 +47,7 @@
     /// No byte leaves at or after this time.
     pub deadline: Instant,
     /// The wall clock.
-    pub wall: Wall,
+    pub wall_clock: WallClock,
 }
 
 /// How patient a driver is.
@@ -66,7 +66,7 @@
     /// What a refused caller is told to wait.
     pub retry_after: Duration,
     /// The longest body that is kept in the row, in bytes; longer ones go to the object store.
-    pub inline: usize,
+    pub max_inline_bytes: usize,
 }
 
 impl Default for Settings {
@@ -78,7 +78,7 @@
             backoff: Duration::from_millis(100),
             backoff_limit: Duration::from_secs(15),
             retry_after: Duration::from_secs(1),
-            inline: 4 << 10,
+            max_inline_bytes: 4 << 10,
         }
     }
 }
@@ -95,7 +95,7 @@
     /// The request was given out for sending; the row stands at `version`.
     Sending { version: u64 },
     /// The answer's body is on its way to the object store.
-    Keeping {
+    Storing {
         version: u64,
         answer: crate::answer::Answer,
     },
@@ -165,12 +165,12 @@
             Event::Ask => self.asked(now),
             Event::Written { op, ending } if op == self.op => self.written(now, &ending),
             Event::Rows { op, row } if op == self.op => self.rows(now, row),
-            Event::Kept { op, kept } if op == self.op => self.kept(kept),
-            Event::Endpoint(verdict) => self.endpoint(verdict),
+            Event::Stored { op, is_stored } if op == self.op => self.stored(is_stored),
+            Event::Completed(verdict) => self.endpoint(verdict),
             Event::Cancel => self.cancelled(now),
             Event::Woke if self.due.is_some_and(|due| now >= due) => self.woke(now),
             // A stale result, or a timer that was replaced.
-            Event::Written { .. } | Event::Rows { .. } | Event::Kept { .. } | Event::Woke => Vec::new(),
+            Event::Written { .. } | Event::Rows { .. } | Event::Stored { .. } | Event::Woke => Vec::new(),
         }
     }
 
@@ -180,7 +180,7 @@
             Phase::Claiming { .. } | Phase::Settling => self.give_up(now, Reason::Table),
             Phase::Recording(_) => self.write_final(),
             Phase::Clearing => self.read(),
-            Phase::Idle | Phase::Sending { .. } | Phase::Keeping { .. } | Phase::Closed => Vec::new(),
+            Phase::Idle | Phase::Sending { .. } | Phase::Storing { .. } | Phase::Closed => Vec::new(),
         }
     }
 
@@ -220,7 +220,7 @@
             digest: self.request.digest,
             attempt: self.request.attempt,
             holder: self.request.holder.clone(),
-            until: self.request.wall.millis(self.request.deadline),
+            until: self.request.wall_clock.millis(self.request.deadline),
             state,
         }
     }
--- a/bergamotshift-claim/src/driver/recording.rs
+++ b/bergamotshift-claim/src/driver/recording.rs
@@ -9,7 +9,7 @@
 use super::Phase;
 use super::Reason;
 use super::Reply;
-use super::event::Verdict;
+use super::event::Completion;
 use crate::answer::Answer;
 use crate::answer::Body;
 use crate::record::State;
@@ -25,24 +25,24 @@
 }
 
 impl Driver {
-    pub(super) fn endpoint(&mut self, verdict: Verdict) -> Vec<Action> {
+    pub(super) fn endpoint(&mut self, verdict: Completion) -> Vec<Action> {
         let Phase::Sending { version } = self.phase else {
             return Vec::new();
         };
         match verdict {
-            Verdict::Answered(answer) => {
+            Completion::Answered(answer) => {
                 let mut actions = vec![Action::Reply(Reply::Answer(answer.clone()))];
-                actions.extend(self.keep(version, answer));
+                actions.extend(self.store(version, answer));
                 actions
             }
-            Verdict::Refused => {
+            Completion::Refused => {
                 let retry_after = self.settings.retry_after;
                 let reason = Reason::Endpoint;
                 let mut actions = vec![Action::Reply(Reply::NotRun { reason, retry_after })];
                 actions.extend(self.finish(version, State::Withdrawn));
                 actions
             }
-            Verdict::Lost => {
+            Completion::Lost => {
                 let mut actions = vec![Action::Reply(Reply::Unknown)];
                 actions.extend(self.finish(version, State::Unknown));
                 actions
@@ -51,9 +51,9 @@
     }
 
     /// Records the answer, with a long body in the object store first.
-    fn keep(&mut self, version: u64, mut answer: Answer) -> Vec<Action> {
+    fn store(&mut self, version: u64, mut answer: Answer) -> Vec<Action> {
         let body = match &mut answer.body {
-            Body::Inline(bytes) if bytes.len() > self.settings.inline => core::mem::take(bytes),
+            Body::Inline(bytes) if bytes.len() > self.settings.max_inline_bytes => core::mem::take(bytes),
             _ => return self.finish(version, State::Done(answer)),
         };
         let key = format_smolstr!("answer/{}", self.request.attempt);
@@ -61,18 +61,18 @@
             key: key.clone(),
             length: body.len() as u64,
         };
-        self.phase = Phase::Keeping { version, answer };
+        self.phase = Phase::Storing { version, answer };
         let op = self.next_op();
-        vec![Action::Keep { op, key, body }]
+        vec![Action::Store { op, key, body }]
     }
 
-    pub(super) fn kept(&mut self, kept: bool) -> Vec<Action> {
-        let Phase::Keeping { version, answer } = &self.phase else {
+    pub(super) fn stored(&mut self, is_stored: bool) -> Vec<Action> {
+        let Phase::Storing { version, answer } = &self.phase else {
             return Vec::new();
         };
         let version = *version;
         let mut answer = answer.clone();
-        if !kept {
+        if !is_stored {
             answer.body = Body::Dropped;
         }
         self.finish(version, State::Done(answer))
--- a/bergamotshift-claim/src/job/runner.rs
+++ b/bergamotshift-claim/src/job/runner.rs
@@ -31,7 +31,7 @@
     /// How long a lease stands without renewal.
     pub lease: Duration,
     /// How many runs a job gets before it is given up; a run that certainly did not run is not counted.
-    pub runs: u64,
+    pub max_runs: u64,
     /// The wait between two tries of a write, and before a job that did not run is taken again.
     pub backoff: Duration,
 }
@@ -40,7 +40,7 @@
     fn default() -> Self {
         Self {
             lease: Duration::from_mins(1),
-            runs: 8,
+            max_runs: 8,
             backoff: Duration::from_secs(2),
         }
     }
@@ -48,7 +48,7 @@
 
 /// How a run ended.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub enum Ran {
+pub enum Completion {
     /// With a whole answer.
     Answered(Answer),
     /// Without one, and it certainly did not run.
@@ -69,7 +69,7 @@
     /// The last read brought the record and the open row.
     Rows(Result<[Option<Row>; 2], Unreachable>),
     /// The run that [`Action::Start`] began ended.
-    Ended(Ran),
+    Completed(Completion),
     /// The entry leaves: the job is to go elsewhere.
     Leave,
     /// The time of the last [`Action::Wake`] has come.
@@ -85,7 +85,7 @@
     Read([Key; 2]),
     /// Run the request; through a claim under the job's own id if it is not repeatable.
     Start(Box<Record>),
-    /// Break the run off; [`Event::Ended`] does not matter any more.
+    /// Break the run off; [`Event::Completed`] does not matter any more.
     Stop,
     /// Wake the runner after this time; replaces the earlier one.
     Wake(Instant),
@@ -176,7 +176,7 @@
             (Event::Take, Phase::Idle) => self.write(),
             (Event::Written(ending), Phase::Writing) => self.written(now, &ending),
             (Event::Rows(rows), Phase::Reading) => self.rows(now, rows),
-            (Event::Ended(ran), _) if self.running => self.ended(ran),
+            (Event::Completed(ran), _) if self.running => self.ended(ran),
             (Event::Leave, _) if self.running => self.leave(),
             (Event::Woke, Phase::Waiting) if now >= self.due => self.write(),
             _ => Vec::new(),
@@ -289,21 +289,21 @@
         }
     }
 
-    fn ended(&mut self, ran: Ran) -> Vec<Action> {
+    fn ended(&mut self, ran: Completion) -> Vec<Action> {
         self.running = false;
         let repeatable = self.record.as_ref().is_some_and(|record| record.repeatable);
         let run = self.run;
-        let spent = self.open.fence >= self.settings.runs;
+        let spent = self.open.fence >= self.settings.max_runs;
         let goal = match ran {
-            Ran::Answered(answer) => Goal::Close(State::Done { run, answer }),
-            Ran::NotRun => Goal::Pause,
-            Ran::Unsendable if !spent => Goal::Release,
-            Ran::Unsendable => Goal::Close(State::Failed {
+            Completion::Answered(answer) => Goal::Close(State::Done { run, answer }),
+            Completion::NotRun => Goal::Pause,
+            Completion::Unsendable if !spent => Goal::Release,
+            Completion::Unsendable => Goal::Close(State::Failed {
                 run,
                 outcome: Outcome::NotRun,
             }),
-            Ran::Unknown if repeatable && !spent => Goal::Release,
-            Ran::Unknown => Goal::Close(State::Failed {
+            Completion::Unknown if repeatable && !spent => Goal::Release,
+            Completion::Unknown => Goal::Close(State::Failed {
                 run,
                 outcome: Outcome::Unknown,
             }),
--- a/bergamotshift-claim/src/job/watch.rs
+++ b/bergamotshift-claim/src/job/watch.rs
@@ -40,7 +40,7 @@
 
 impl Watch {
     /// Takes in all open rows of a shard and returns those that can be taken, most pressing first.
-    pub fn listed(&mut self, now: Instant, shard: u8, rows: &[(Id, Row)]) -> Vec<Candidate> {
+    pub fn update(&mut self, now: Instant, shard: u8, rows: &[(Id, Row)]) -> Vec<Candidate> {
         let listed = |id: &Id| rows.iter().any(|(listed, _)| listed == id);
         self.sights.retain(|id, _| id.shard() != shard || listed(id));
         let mut found = rows
@@ -52,7 +52,7 @@
     }
 
     /// Forgets the shards that another entry lists from now on.
-    pub fn keep(&mut self, shards: &[u8]) {
+    pub fn retain_shards(&mut self, shards: &[u8]) {
         self.sights.retain(|id, _| shards.contains(&id.shard()));
     }
 
--- a/bergamotshift-claim/src/lease/keeper.rs
+++ b/bergamotshift-claim/src/lease/keeper.rs
@@ -11,8 +11,8 @@
 use rand::Rng;
 use smol_str::SmolStr;
 
+use super::Notice;
 use super::Record;
-use super::Word;
 use super::record;
 use crate::driver::Reading;
 
@@ -22,35 +22,35 @@
     /// How long a lease stands without renewal.
     pub length: Duration,
     /// The time between two renewals.
-    pub renewal: Duration,
+    pub renewal_interval: Duration,
     /// How long before the lease's end no order is given any more; covers what clocks drift apart in a lease.
     pub margin: Duration,
     /// The longest pause of a process between the permission for an order and its last byte, and the longest way of
     /// that order to its endpoint.
-    pub pause: Duration,
+    pub max_order_delay: Duration,
     /// The time between two looks at a lease that somebody else holds.
-    pub watch: Duration,
+    pub poll_interval: Duration,
     /// The longest wait between two tries while the table does not answer.
     pub backoff_limit: Duration,
     /// The share of each wait that is drawn at random, in percent.
-    pub jitter: u32,
+    pub jitter_percent: u32,
     /// Until when a lease that was given back is taken only once it has lapsed. A process that gave it back and was
     /// started again would otherwise follow its own successor within a lease, and whoever takes orders without
     /// checking numbers could not tell the two apart.
-    pub young_until: Instant,
+    pub cooldown_until: Instant,
 }
 
 impl Default for Settings {
     fn default() -> Self {
         Self {
             length: Duration::from_secs(15),
-            renewal: Duration::from_secs(5),
+            renewal_interval: Duration::from_secs(5),
             margin: Duration::from_secs(1),
-            pause: Duration::from_secs(10),
-            watch: Duration::from_secs(5),
+            max_order_delay: Duration::from_secs(10),
+            poll_interval: Duration::from_secs(5),
             backoff_limit: Duration::from_secs(30),
-            jitter: 50,
-            young_until: Instant::ZERO,
+            jitter_percent: 50,
+            cooldown_until: Instant::ZERO,
         }
     }
 }
@@ -69,7 +69,7 @@
     /// The duty is to go to another entry though the table cannot be told; no order of this one is on its way any more.
     GiveUp,
     /// Another entry said something of the lease just now.
-    Heard(Word),
+    Received(Notice),
 }
 
 /// Something to do.
@@ -119,7 +119,7 @@
 /// What another entry said last of a lease, and when.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct Heard {
-    word: Word,
+    word: Notice,
     at: Instant,
 }
 
@@ -127,13 +127,13 @@
     /// Returns when the lease that was seen ends as its holder said; `None` when nothing was said of it.
     fn ends(self, found: u64, seen: u64) -> Option<Instant> {
         match self.word {
-            Word::Holds { number, version, left } if (number, version) == (found, seen) => Some(self.at + left),
+            Notice::Holds { number, version, left } if (number, version) == (found, seen) => Some(self.at + left),
             _ => None,
         }
     }
 
     fn is_given_up(self, found: u64) -> bool {
-        self.word == Word::GaveUp { number: found }
+        self.word == Notice::GaveUp { number: found }
     }
 }
 
@@ -198,14 +198,14 @@
     }
 
     /// Returns when the lease that is held ends by this entry's clock; an order that was not answered by then is given up.
-    pub fn ends(&self) -> Option<Instant> {
+    pub fn expires_at(&self) -> Option<Instant> {
         self.held.map(|held| held.until)
     }
 
     /// Returns what the other entries are to be told of the lease.
-    pub fn word(&self, now: Instant) -> Option<Word> {
-        let gave_up = self.gave_up.map(|number| Word::GaveUp { number });
-        let holds = self.held.map(|held| Word::Holds {
+    pub fn notice(&self, now: Instant) -> Option<Notice> {
+        let gave_up = self.gave_up.map(|number| Notice::GaveUp { number });
+        let holds = self.held.map(|held| Notice::Holds {
             number: held.number,
             version: held.version,
             left: held.until.since(now),
@@ -226,7 +226,7 @@
             (Event::Written(ending), Phase::Writing) => self.written(now, &ending, random),
             (Event::Resign, _) => self.resign(),
             (Event::GiveUp, _) => self.give_up(now),
-            (Event::Heard(word), _) => self.hear(now, word),
+            (Event::Received(word), _) => self.hear(now, word),
             _ => Vec::new(),
         }
     }
@@ -286,11 +286,11 @@
             number, at, released, ..
         } = self.attempted;
         if self.gave_up == Some(number) {
-            return self.wait(now, self.settings.watch, random);
+            return self.wait(now, self.settings.poll_interval, random);
         }
         let until = at + self.settings.length;
         self.sight = None;
-        let wait = self.wait(now, self.settings.renewal, random);
+        let wait = self.wait(now, self.settings.renewal_interval, random);
         if let Some(held) = &mut self.held {
             held.version = version;
             held.until = until;
@@ -298,7 +298,11 @@
         }
         // The predecessor may have got permission for an order at the end of its lease and been paused before the
         // order left. An endpoint that ignores the number would follow it after one of ours.
-        let settled = if released { now } else { now + self.settings.pause };
+        let settled = if released {
+            now
+        } else {
+            now + self.settings.max_order_delay
+        };
         self.held = Some(Held {
             number,
             version,
@@ -320,7 +324,7 @@
             return self.put(now, 1, 0, true);
         };
         let Ok(found) = Record::decode(&row.body) else {
-            return self.wait(now, self.settings.watch, random);
+            return self.wait(now, self.settings.poll_interval, random);
         };
         let ours = found.life == self.life && !found.released && self.gave_up != Some(found.number);
         if ours && found.number == self.attempted.number && row.version > self.attempted.base {
@@ -353,21 +357,21 @@
         let ends = self.heard.and_then(|heard| heard.ends(found.number, version));
         let lapsed = now.since(since) >= found.length() || ends.is_some_and(|ends| now >= ends);
         let is_given_up = self.heard.is_some_and(|heard| heard.is_given_up(found.number));
-        let is_free = (found.released || is_given_up) && now >= self.settings.young_until;
+        let is_free = (found.released || is_given_up) && now >= self.settings.cooldown_until;
         if is_free || lapsed {
             return self.put(now, found.number + 1, version, found.released);
         }
-        let left = ends.map_or(self.settings.watch, |ends| ends.since(now));
-        self.wait(now, self.settings.watch.min(left), random)
+        let left = ends.map_or(self.settings.poll_interval, |ends| ends.since(now));
+        self.wait(now, self.settings.poll_interval.min(left), random)
     }
 
-    fn hear(&mut self, now: Instant, word: Word) -> Vec<Action> {
+    fn hear(&mut self, now: Instant, word: Notice) -> Vec<Action> {
         if self.heard.is_some_and(|heard| !word.replaces(heard.word)) {
             return Vec::new();
         }
         self.heard = Some(Heard { word, at: now });
         match word {
-            Word::GaveUp { .. } if self.phase == Phase::Waiting && self.held.is_none() => vec![Action::Wake(now)],
+            Notice::GaveUp { .. } if self.phase == Phase::Waiting && self.held.is_none() => vec![Action::Wake(now)],
             _ => Vec::new(),
         }
     }
@@ -386,7 +390,7 @@
     /// Leaves a duty that others give up alone for the length of a lease: whoever takes orders without checking numbers
     /// could not tell this entry's last ones under the old number from the first under the new one.
     fn rest(&mut self, now: Instant) {
-        self.settings.young_until = self.settings.young_until.max(now + self.settings.length);
+        self.settings.cooldown_until = self.settings.cooldown_until.max(now + self.settings.length);
     }
 
     fn resign(&mut self) -> Vec<Action> {
@@ -401,9 +405,9 @@
     /// Waits longer after each failure: an outage ends for all entries at the same moment.
     fn back_off(&mut self, now: Instant, random: &mut impl Rng) -> Vec<Action> {
         let first = if self.held.is_some() {
-            self.settings.renewal
+            self.settings.renewal_interval
         } else {
-            self.settings.watch
+            self.settings.poll_interval
         };
         let doubled = first.saturating_mul(1 << self.failures.min(8));
         self.failures += 1;
@@ -412,7 +416,7 @@
 
     fn wait(&mut self, now: Instant, time: Duration, random: &mut impl Rng) -> Vec<Action> {
         self.phase = Phase::Waiting;
-        let drawn = random.next_u32() % (self.settings.jitter + 1);
+        let drawn = random.next_u32() % (self.settings.jitter_percent + 1);
         vec![Action::Wake(now + time * (100 - drawn) / 100)]
     }
 }
--- a/bergamotshift-claim/src/lease/mod.rs
+++ b/bergamotshift-claim/src/lease/mod.rs
@@ -13,13 +13,13 @@
 //! repairs what slips through.
 
 mod keeper;
+mod notice;
 mod record;
-mod word;
 
 pub use self::keeper::Action;
 pub use self::keeper::Event;
 pub use self::keeper::Keeper;
 pub use self::keeper::Settings;
+pub use self::notice::Notice;
 pub use self::record::Record;
 pub use self::record::rank;
-pub use self::word::Word;
--- a/bergamotshift-claim/src/lease/word.rs
+++ b/bergamotshift-claim/src/lease/notice.rs
@@ -8,7 +8,7 @@
 /// What an entry says of the lease that it holds, or held.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 #[derive(Serialize, Deserialize)]
-pub enum Word {
+pub enum Notice {
     /// It holds the lease.
     Holds {
         /// The fencing number.
@@ -25,7 +25,7 @@
     },
 }
 
-impl Word {
+impl Notice {
     /// Returns the fencing number that it is about.
     const fn number(self) -> u64 {
         match self {
@@ -35,12 +35,12 @@
 
     /// Returns what it says some time after it was heard.
     #[must_use]
-    pub const fn after(self, passed: Duration) -> Self {
+    pub const fn aged(self, elapsed: Duration) -> Self {
         match self {
             Self::Holds { number, version, left } => Self::Holds {
                 number,
                 version,
-                left: left.saturating_sub(passed),
+                left: left.saturating_sub(elapsed),
             },
             Self::GaveUp { .. } => self,
         }
--- a/bergamotshift-claim/src/lib.rs
+++ b/bergamotshift-claim/src/lib.rs
@@ -22,7 +22,7 @@
 //!     attempt: attempt::Id::new(7),
 //!     holder: "entry-1".into(),
 //!     deadline: Instant::from_secs(30),
-//!     wall: Wall::new(Instant::ZERO, 1_700_000_000_000),
+//!     wall_clock: WallClock::new(Instant::ZERO, 1_700_000_000_000),
 //! };
 //! let mut driver = driver::Driver::new(request, driver::Settings::default());
 //! let asked = driver.on(Instant::ZERO, driver::Event::Ask);
--- a/bergamotshift-claim/src/wall.rs
+++ b/bergamotshift-claim/src/wall.rs
@@ -1,4 +1,4 @@
-//! Wall-clock time, read by the shell and carried along with kernel time.
+//! Conversion of kernel time to wall-clock time.
 
 use bergamotshift_core::clock::Instant;
 
@@ -7,12 +7,12 @@
 /// Rows outlive the process that wrote them, so their times are wall-clock times. No safety property rests on them:
 /// they only choose between "still running" and "unknown", and when a row may be purged.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Wall {
+pub struct WallClock {
     at: Instant,
     unix_millis: u64,
 }
 
-impl Wall {
+impl WallClock {
     /// Ties the kernel time `at` to `unix_millis`.
     pub const fn new(at: Instant, unix_millis: u64) -> Self {
         Self { at, unix_millis }
--- a/bergamotshift-claim/src/window.rs
+++ b/bergamotshift-claim/src/window.rs
@@ -22,27 +22,27 @@
     /// How long an answer can be replayed.
     pub retention: Duration,
     /// The most bytes of kept answers.
-    pub bytes: usize,
+    pub max_bytes: usize,
     /// The longest single answer that is kept, in bytes.
-    pub longest: usize,
+    pub max_answer_bytes: usize,
     /// The most requests that can wait for one answer.
-    pub joined: usize,
+    pub max_joined: usize,
 }
 
 impl Default for Settings {
     fn default() -> Self {
         Self {
             retention: Duration::from_mins(10),
-            bytes: 16 << 20,
-            longest: 64 << 10,
-            joined: 16,
+            max_bytes: 16 << 20,
+            max_answer_bytes: 64 << 10,
+            max_joined: 16,
         }
     }
 }
 
 /// What becomes of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Entrance {
+pub enum Decision {
     /// It is the first under its key: run it, then call [`Window::finish`].
     Start,
     /// The first one is running: its answer goes to this one too.
@@ -90,22 +90,22 @@
     }
 
     /// Takes a request in; `ticket` comes back from [`Window::finish`] if it joins.
-    pub fn enter(&mut self, now: Instant, scope: &Scope, digest: Digest, ticket: T) -> Entrance {
+    pub fn enter(&mut self, now: Instant, scope: &Scope, digest: Digest, ticket: T) -> Decision {
         self.expire(now);
         match self.slots.get_mut(scope) {
             None => {
                 let waiting = Vec::new();
                 self.slots.insert(scope.clone(), Slot::Running { digest, waiting });
-                Entrance::Start
+                Decision::Start
             }
             Some(Slot::Running { digest: first, .. } | Slot::Done { digest: first, .. }) if *first != digest => {
-                Entrance::Mismatch
+                Decision::Mismatch
             }
-            Some(Slot::Done { answer, .. }) => Entrance::Replay(answer.clone()),
-            Some(Slot::Running { waiting, .. }) if waiting.len() >= self.settings.joined => Entrance::Full,
+            Some(Slot::Done { answer, .. }) => Decision::Replay(answer.clone()),
+            Some(Slot::Running { waiting, .. }) if waiting.len() >= self.settings.max_joined => Decision::Full,
             Some(Slot::Running { waiting, .. }) => {
                 waiting.push(ticket);
-                Entrance::Join
+                Decision::Join
             }
         }
     }
@@ -133,13 +133,13 @@
     }
 
     fn is_kept(&self, answer: &Answer) -> bool {
-        matches!(answer.body, Body::Inline(_)) && size(answer) <= self.settings.longest
+        matches!(answer.body, Body::Inline(_)) && size(answer) <= self.settings.max_answer_bytes
     }
 
     fn expire(&mut self, now: Instant) {
         while let Some((since, _)) = self.order.front() {
             let old = now.since(*since) >= self.settings.retention;
-            if !old && self.bytes <= self.settings.bytes {
+            if !old && self.bytes <= self.settings.max_bytes {
                 return;
             }
             self.drop_oldest();
--- a/bergamotshift-claim/tests/batch.rs
+++ b/bergamotshift-claim/tests/batch.rs
@@ -35,11 +35,11 @@
     }
     let first = batch.next(Instant::ZERO).unwrap();
     assert_eq!(names(&first), ["a", "b", "c"]);
-    let settled = batch.ended(first.id, &Ending::Conflict(vec![1]));
+    let settled = batch.complete(first.id, &Ending::Conflict(vec![1]));
     assert_eq!(settled, [(1, Ending::Conflict(vec![0]))]);
     let second = batch.next(Instant::from_secs(1)).unwrap();
     assert_eq!(names(&second), ["a", "c"]);
-    let settled = batch.ended(second.id, &Ending::Applied);
+    let settled = batch.complete(second.id, &Ending::Applied);
     assert_eq!(settled, [(0, Ending::Applied), (2, Ending::Applied)]);
 }
 
@@ -49,9 +49,12 @@
     batch.push('a', write("a")).unwrap();
     batch.push('b', write("b")).unwrap();
     let id = batch.next(Instant::ZERO).unwrap().id;
-    let settled = batch.ended(id, &Ending::Unknown);
+    let settled = batch.complete(id, &Ending::Unknown);
     assert_eq!(settled, [('a', Ending::Unknown), ('b', Ending::Unknown)]);
-    assert!(batch.ended(id, &Ending::Applied).is_empty(), "a second ending is stale");
+    assert!(
+        batch.complete(id, &Ending::Applied).is_empty(),
+        "a second ending is stale"
+    );
 }
 
 // A conflict that names no write would be sent again for ever, and its callers would wait until their deadlines.
@@ -60,7 +63,7 @@
     let mut batch = Batch::new(batch::Settings::default());
     batch.push('a', write("a")).unwrap();
     let id = batch.next(Instant::ZERO).unwrap().id;
-    assert_eq!(batch.ended(id, &Ending::Conflict(vec![])), [('a', Ending::Refused)]);
+    assert_eq!(batch.complete(id, &Ending::Conflict(vec![])), [('a', Ending::Refused)]);
     assert_eq!(batch.waiting(), 0);
 }
 
@@ -73,14 +76,14 @@
     let first = batch.next(Instant::ZERO).unwrap();
     assert_eq!(names(&first), ["a", "b"]);
     assert_eq!(batch.next(Instant::from_secs(1)), None, "the row is busy");
-    batch.ended(first.id, &Ending::Applied);
+    batch.complete(first.id, &Ending::Applied);
     assert_eq!(names(&batch.next(Instant::from_secs(2)).unwrap()), ["a"]);
 }
 
 #[test]
 fn a_full_queue_refuses() {
     let mut batch = Batch::new(batch::Settings {
-        queue: 1,
+        max_queued: 1,
         ..batch::Settings::default()
     });
     assert_eq!(batch.push((), write("a")), Ok(()));
@@ -90,7 +93,7 @@
 quickcheck! {
     // Whatever the table answers, every write is settled once, and no transaction breaks the table's limits.
     fn every_write_is_settled_once(keys: Vec<u8>, answers: Vec<u8>) -> bool {
-        let settings = batch::Settings { items: 4, bytes: 60, ..batch::Settings::default() };
+        let settings = batch::Settings { max_items: 4, max_bytes: 60, ..batch::Settings::default() };
         let mut batch = Batch::new(settings);
         for (ticket, key) in keys.iter().enumerate() {
             batch.push(ticket, write(&format!("{}", key % 8))).unwrap();
@@ -102,7 +105,7 @@
             now = now + Duration::from_secs(1);
             let Some(transaction) = batch.next(now) else { break };
             let rows = transaction.writes.iter().map(|write| &write.key).collect::<BTreeSet<_>>();
-            if rows.len() != transaction.writes.len() || rows.len() > settings.items {
+            if rows.len() != transaction.writes.len() || rows.len() > settings.max_items {
                 return false;
             }
             let ending = match answers.next().map_or(0, |answer| answer % 4) {
@@ -111,7 +114,7 @@
                 2 => Ending::Refused,
                 _ => Ending::Unknown,
             };
-            for (ticket, _) in batch.ended(transaction.id, &ending) {
+            for (ticket, _) in batch.complete(transaction.id, &ending) {
                 if !settled.insert(ticket) {
                     return false;
                 }
@@ -165,7 +168,7 @@
                 break;
             }
             answers.pop_first();
-            for (pushed, _) in batches[entry].ended(id, &Ending::Applied) {
+            for (pushed, _) in batches[entry].complete(id, &Ending::Applied) {
                 load.worst = load.worst.max(now.since(pushed));
             }
         }
--- a/bergamotshift-claim/tests/driver.rs
+++ b/bergamotshift-claim/tests/driver.rs
@@ -12,11 +12,11 @@
 use bergamotshift_core::table::Ending;
 use bergamotshift_core::table::Row;
 use driver::Action;
+use driver::Completion;
 use driver::Driver;
 use driver::Event;
 use driver::Op;
 use driver::Reply;
-use driver::Verdict;
 use quickcheck::Arbitrary;
 use quickcheck::Gen;
 use quickcheck::quickcheck;
@@ -30,7 +30,7 @@
         attempt: attempt::Id::new(1),
         holder: "entry-1".into(),
         deadline: DEADLINE,
-        wall: Wall::new(Instant::ZERO, 1_000_000),
+        wall_clock: WallClock::new(Instant::ZERO, 1_000_000),
     }
 }
 
@@ -47,7 +47,7 @@
 
 fn op_of(actions: &[Action]) -> Op {
     match actions.first() {
-        Some(Action::Write { op, .. } | Action::Read { op, .. } | Action::Keep { op, .. }) => *op,
+        Some(Action::Write { op, .. } | Action::Read { op, .. } | Action::Store { op, .. }) => *op,
         other => panic!("no operation: {other:?}"),
     }
 }
@@ -136,22 +136,22 @@
 
 #[test]
 fn a_long_body_goes_to_the_object_store_first() {
-    for (kept, dropped) in [(true, false), (false, true)] {
+    for (is_stored, dropped) in [(true, false), (false, true)] {
         let mut driver = Driver::new(
             request(),
             driver::Settings {
-                inline: 3,
+                max_inline_bytes: 3,
                 ..driver::Settings::default()
             },
         );
         let op = op_of(&driver.on(Instant::ZERO, Event::Ask));
         let ending = Ending::Applied;
         assert_eq!(driver.on(Instant::ZERO, Event::Written { op, ending }), [Action::Send]);
-        let verdict = Verdict::Answered(answer(b"long"));
-        let actions = driver.on(Instant::ZERO, Event::Endpoint(verdict));
+        let verdict = Completion::Answered(answer(b"long"));
+        let actions = driver.on(Instant::ZERO, Event::Completed(verdict));
         assert_eq!(actions[0], Action::Reply(Reply::Answer(answer(b"long"))));
         let op = op_of(&actions[1..]);
-        let actions = driver.on(Instant::ZERO, Event::Kept { op, kept });
+        let actions = driver.on(Instant::ZERO, Event::Stored { op, is_stored });
         let [Action::Write { write, .. }] = actions.as_slice() else {
             panic!("{actions:?}");
         };
@@ -234,7 +234,7 @@
             now = now + core::time::Duration::from_millis(u64::from(wait) / 8);
             for action in driver.on(now, event(kind, choice, &ops)) {
                 match action {
-                    Action::Write { op, .. } | Action::Read { op, .. } | Action::Keep { op, .. } => ops.push(op),
+                    Action::Write { op, .. } | Action::Read { op, .. } | Action::Store { op, .. } => ops.push(op),
                     Action::Send => { sends += 1; fine &= replies == 0; }
                     Action::Reply(_) => replies += 1,
                     Action::Wake(_) => {}
@@ -277,8 +277,13 @@
         1 | 2 => Event::Written { op, ending },
         3 | 4 => Event::Rows { op, row },
         5 => Event::Woke,
-        6 => Event::Endpoint(
-            [Verdict::Answered(answer(b"x")), Verdict::Refused, Verdict::Lost][usize::from(choice % 3)].clone(),
+        6 => Event::Completed(
+            [
+                Completion::Answered(answer(b"x")),
+                Completion::Refused,
+                Completion::Lost,
+            ][usize::from(choice % 3)]
+            .clone(),
         ),
         _ => Event::Cancel,
     }
--- a/bergamotshift-claim/tests/explore/claim/mod.rs
+++ b/bergamotshift-claim/tests/explore/claim/mod.rs
@@ -80,7 +80,7 @@
             }
             Action::Reply(reply) => self.reply(world, place, reply),
             Action::Wake(_) => {}
-            Action::Keep { .. } => unreachable!("the answers are short"),
+            Action::Store { .. } => unreachable!("the answers are short"),
         }
     }
 
@@ -121,7 +121,7 @@
             backoff: Duration::ZERO,
             backoff_limit: Duration::ZERO,
             retry_after: Duration::ZERO,
-            inline: 16,
+            max_inline_bytes: 16,
         };
         let sending = |place: u8| Sending {
             driver: Driver::new(request(place), settings),
@@ -190,6 +190,6 @@
         attempt: attempt::Id::new(u128::from(place) + 1),
         holder: "e".into(),
         deadline: DEADLINE,
-        wall: Wall::new(Instant::ZERO, 0),
+        wall_clock: WallClock::new(Instant::ZERO, 0),
     }
 }
--- a/bergamotshift-claim/tests/explore/claim/steps.rs
+++ b/bergamotshift-claim/tests/explore/claim/steps.rs
@@ -4,10 +4,10 @@
 
 use bergamotshift_claim::prelude::*;
 use bergamotshift_core::table::Row;
+use driver::Completion;
 use driver::Event;
 use driver::Reason;
 use driver::Reply;
-use driver::Verdict;
 
 use super::Claims;
 use super::Defect;
@@ -131,22 +131,22 @@
                     self.tell(next, *place, Event::Rows { op: *op, row });
                 }),
                 Message::Call(place) => {
-                    let verdict = |next: &mut World, verdict| self.tell(next, *place, Event::Endpoint(verdict));
+                    let verdict = |next: &mut World, verdict| self.tell(next, *place, Event::Completed(verdict));
                     step("run", false, &|next| {
                         next.sendings[*place].runs += 1;
-                        verdict(next, Verdict::Answered(answer_of(*place)));
+                        verdict(next, Completion::Answered(answer_of(*place)));
                     });
                     step("run, lose the answer", true, &|next| {
                         next.sendings[*place].runs += 1;
                         if self.defect == Defect::SendsAgain {
                             next.post(Message::Call(*place));
                         }
-                        verdict(next, Verdict::Lost);
+                        verdict(next, Completion::Lost);
                     });
                     step("refuse", true, &|next| {
                         let ran = self.defect == Defect::RefusesAfterRunning;
                         next.sendings[*place].runs += u8::from(ran);
-                        verdict(next, Verdict::Refused);
+                        verdict(next, Completion::Refused);
                     });
                 }
             }
--- a/bergamotshift-claim/tests/explore/job/mod.rs
+++ b/bergamotshift-claim/tests/explore/job/mod.rs
@@ -248,7 +248,7 @@
 pub(super) fn runner(place: usize, row: &Row) -> Runner {
     let settings = job::Settings {
         lease: Duration::ZERO,
-        runs: 9,
+        max_runs: 9,
         backoff: Duration::ZERO,
     };
     let open = job::Open::decode(&row.body).unwrap();
--- a/bergamotshift-claim/tests/explore/job/steps.rs
+++ b/bergamotshift-claim/tests/explore/job/steps.rs
@@ -7,8 +7,8 @@
 use bergamotshift_core::table::Ending;
 use bergamotshift_core::table::Write;
 use job::Action;
+use job::Completion;
 use job::Event;
-use job::Ran;
 
 use super::Defect;
 use super::Holder;
@@ -91,18 +91,18 @@
             };
             if holder.running {
                 for (name, ran) in [
-                    ("answer", Ran::Answered(Answer::default())),
-                    ("run without an answer", Ran::Unknown),
-                    ("not run", Ran::NotRun),
+                    ("answer", Completion::Answered(Answer::default())),
+                    ("run without an answer", Completion::Unknown),
+                    ("not run", Completion::NotRun),
                 ] {
                     step(name, &|next| {
-                        if ran == Ran::NotRun {
+                        if ran == Completion::NotRun {
                             next.note_not_run(place);
                         }
                         if let Some(holder) = &mut next.holders[place] {
                             holder.running = false;
                         }
-                        self.tell(next, place, Event::Ended(ran.clone()));
+                        self.tell(next, place, Event::Completed(ran.clone()));
                     });
                 }
                 step("leave", &|next| self.tell(next, place, Event::Leave));
--- a/bergamotshift-claim/tests/explore/lease/mod.rs
+++ b/bergamotshift-claim/tests/explore/lease/mod.rs
@@ -46,7 +46,7 @@
     Read(usize),
     Rows(usize, Option<Row>, bool),
     /// What the other process said of its lease.
-    Word(usize, lease::Word),
+    Notice(usize, lease::Notice),
 }
 
 /// An order on its way to an endpoint that ignores its number.
@@ -162,13 +162,13 @@
         };
         let settings = lease::Settings {
             length: second * 2,
-            renewal: second,
+            renewal_interval: second,
             margin: Duration::ZERO,
-            pause: waited,
-            watch: second,
+            max_order_delay: waited,
+            poll_interval: second,
             backoff_limit: second,
-            jitter: 0,
-            young_until: Instant::ZERO,
+            jitter_percent: 0,
+            cooldown_until: Instant::ZERO,
         };
         let process = |place: u128| {
             let life = attempt::Id::new(place);
--- a/bergamotshift-claim/tests/explore/lease/steps.rs
+++ b/bergamotshift-claim/tests/explore/lease/steps.rs
@@ -56,10 +56,10 @@
     }
 
     /// Returns what is heard of a word; believing an old one is the same as hearing that the holder gave up.
-    fn distort(&self, word: lease::Word) -> lease::Word {
+    fn distort(&self, word: lease::Notice) -> lease::Notice {
         match word {
-            lease::Word::Holds { number, .. } if self.defect == Defect::BelievesOldWords => {
-                lease::Word::GaveUp { number }
+            lease::Notice::Holds { number, .. } if self.defect == Defect::BelievesOldWords => {
+                lease::Notice::GaveUp { number }
             }
             word => word,
         }
@@ -87,11 +87,11 @@
                 });
             }
             if process.words > 0
-                && let Some(word) = process.keeper.word(now)
+                && let Some(word) = process.keeper.notice(now)
             {
                 step("say", &|next| {
                     next.processes[place].words -= 1;
-                    next.post(Message::Word(1 - place, self.distort(word)));
+                    next.post(Message::Notice(1 - place, self.distort(word)));
                 });
             }
             let under_way = world.orders.iter().any(|order| order.from == place);
@@ -104,7 +104,7 @@
                 step("give up", &|next| {
                     next.processes[place].gives_up = false;
                     if self.defect == Defect::GivesUpInWord {
-                        next.post(Message::Word(1 - place, lease::Word::GaveUp { number }));
+                        next.post(Message::Notice(1 - place, lease::Notice::GaveUp { number }));
                     } else {
                         self.tell(next, place, Event::GiveUp);
                     }
@@ -183,8 +183,8 @@
                 Message::Written(place, ending) => step("deliver", false, &|next| {
                     self.tell(next, *place, Event::Written(ending.clone()));
                 }),
-                Message::Word(place, said) => step("hear", false, &|next| {
-                    self.tell(next, *place, Event::Heard(*said));
+                Message::Notice(place, said) => step("hear", false, &|next| {
+                    self.tell(next, *place, Event::Received(*said));
                 }),
                 Message::Rows(place, row, answered) => step("deliver", false, &|next| {
                     let row = if *answered { Ok(row.clone()) } else { Err(Unreachable) };
--- a/bergamotshift-claim/tests/job.rs
+++ b/bergamotshift-claim/tests/job.rs
@@ -40,7 +40,7 @@
     let mut watch = job::Watch::default();
     let id = job::Id::new(0);
     let held = open(Some(60_000), Urgency::Normal);
-    let mut list = |seconds, version| watch.listed(Instant::from_secs(seconds), 0, &[(id, row(version, &held))]);
+    let mut list = |seconds, version| watch.update(Instant::from_secs(seconds), 0, &[(id, row(version, &held))]);
     assert_eq!(ids(&list(0, 4)), []);
     assert_eq!(ids(&list(59, 4)), []);
     assert_eq!(ids(&list(61, 5)), [], "it was renewed");
@@ -57,7 +57,7 @@
         (late, row(1, &open(None, Urgency::Deferrable))),
         (pressing, row(1, &open(None, Urgency::Urgent))),
     ];
-    assert_eq!(ids(&watch.listed(Instant::ZERO, 0, &rows)), [pressing, late]);
+    assert_eq!(ids(&watch.update(Instant::ZERO, 0, &rows)), [pressing, late]);
 }
 
 #[test]
@@ -65,9 +65,9 @@
     let mut watch = job::Watch::default();
     let id = job::Id::new(0);
     let rows = [(id, row(1, &open(Some(10_000), Urgency::Normal)))];
-    watch.listed(Instant::ZERO, 0, &rows);
-    watch.listed(Instant::from_secs(5), 0, &[]);
-    assert_eq!(ids(&watch.listed(Instant::from_secs(11), 0, &rows)), []);
+    watch.update(Instant::ZERO, 0, &rows);
+    watch.update(Instant::from_secs(5), 0, &[]);
+    assert_eq!(ids(&watch.update(Instant::from_secs(11), 0, &rows)), []);
 }
 
 fn members(count: usize) -> Vec<name::Entry> {
--- a/bergamotshift-claim/tests/lease.rs
+++ b/bergamotshift-claim/tests/lease.rs
@@ -85,7 +85,7 @@
 #[test]
 fn a_young_process_waits_for_a_released_duty_to_lapse() {
     let young = Settings {
-        young_until: Instant::from_secs(10),
+        cooldown_until: Instant::from_secs(10),
         ..Settings::default()
     };
     let mut keeper = Keeper::new(young, "duties".into(), "entry-1".into(), attempt::Id::new(1));
@@ -327,7 +327,7 @@
 
 fn word(number: u64, version: u64, left: u64) -> Event {
     let left = Duration::from_secs(left);
-    Event::Heard(lease::Word::Holds { number, version, left })
+    Event::Received(lease::Notice::Holds { number, version, left })
 }
 
 // The holder's VM is killed three seconds after it said that its lease stands for four more. Whoever watches misses it only
@@ -362,7 +362,7 @@
 #[test]
 fn a_duty_that_is_given_up_by_word_is_taken_at_once() {
     let mut keeper = keeper(1);
-    let heard = Event::Heard(lease::Word::GaveUp { number: 4 });
+    let heard = Event::Received(lease::Notice::GaveUp { number: 4 });
     assert_eq!(tell(&mut keeper, 20, heard), [Action::Wake(Instant::from_secs(20))]);
     tell(&mut keeper, 20, word(4, 7, 9));
     tell(&mut keeper, 20, Event::Woke);
@@ -373,8 +373,8 @@
     assert_eq!(tell(&mut keeper, 21, Event::GiveUp), [Action::End]);
     assert_eq!(keeper.permit(Instant::from_secs(21), true), None);
     assert_eq!(
-        keeper.word(Instant::from_secs(21)),
-        Some(lease::Word::GaveUp { number: 5 })
+        keeper.notice(Instant::from_secs(21)),
+        Some(lease::Notice::GaveUp { number: 5 })
     );
     tell(&mut keeper, 22, Event::Woke);
     let own = tell(&mut keeper, 22, Event::Rows(Ok(Some(row(6, true)))));
--- a/bergamotshift-claim/tests/runner.rs
+++ b/bergamotshift-claim/tests/runner.rs
@@ -4,8 +4,8 @@
 
 use bergamotshift_claim::job;
 use bergamotshift_claim::job::Action;
+use bergamotshift_claim::job::Completion;
 use bergamotshift_claim::job::Event;
-use bergamotshift_claim::job::Ran;
 use bergamotshift_claim::job::Runner;
 use bergamotshift_claim::prelude::*;
 use bergamotshift_core::attempt;
@@ -21,7 +21,7 @@
 
 const SETTINGS: job::Settings = job::Settings {
     lease: Duration::from_mins(1),
-    runs: 8,
+    max_runs: 8,
     backoff: Duration::from_secs(2),
 };
 
@@ -64,9 +64,9 @@
     }
 
     /// Looks once for the job, and if it is free, takes it and lets its run end so.
-    fn look(&mut self, ran: &Ran) -> bool {
+    fn look(&mut self, ran: &Completion) -> bool {
         let Some(open) = self.open.clone() else { return false };
-        let Some(candidate) = self.watch.listed(self.now, ID.shard(), &[(ID, open)]).pop() else {
+        let Some(candidate) = self.watch.update(self.now, ID.shard(), &[(ID, open)]).pop() else {
             return false;
         };
         self.runs += 1;
@@ -83,7 +83,7 @@
         true
     }
 
-    fn carry_out(&mut self, action: Action, ran: &Ran) -> Option<Event> {
+    fn carry_out(&mut self, action: Action, ran: &Completion) -> Option<Event> {
         match action {
             Action::Transact(writes) => {
                 self.apply(&writes);
@@ -93,7 +93,7 @@
                 let record = row(1, self.record.encode());
                 Some(Event::Rows(Ok([Some(record), self.open.clone()])))
             }
-            Action::Start(_) => Some(Event::Ended(ran.clone())),
+            Action::Start(_) => Some(Event::Completed(ran.clone())),
             Action::Stop | Action::Wake(_) => None,
         }
     }
@@ -122,12 +122,12 @@
 fn turns_that_did_not_run_use_up_no_run() {
     let mut place = Place::new();
     for _ in 0..100 {
-        assert!(place.look(&Ran::NotRun));
-        assert!(!place.look(&Ran::NotRun));
+        assert!(place.look(&Completion::NotRun));
+        assert!(!place.look(&Completion::NotRun));
         place.now = place.now + SETTINGS.backoff;
     }
     assert_eq!(place.record.state, job::State::Open);
-    assert!(place.look(&Ran::Answered(Answer::default())));
+    assert!(place.look(&Completion::Answered(Answer::default())));
     assert!(matches!(place.record.state, job::State::Done { .. }));
 }
 
@@ -136,12 +136,12 @@
 #[test]
 fn a_job_that_did_not_run_is_left_for_the_backoff() {
     let mut place = Place::new();
-    assert!(place.look(&Ran::NotRun));
-    assert!(!place.look(&Ran::NotRun));
+    assert!(place.look(&Completion::NotRun));
+    assert!(!place.look(&Completion::NotRun));
     place.now = place.now + SETTINGS.backoff.saturating_sub(Duration::from_millis(1));
-    assert!(!place.look(&Ran::NotRun));
+    assert!(!place.look(&Completion::NotRun));
     place.now = place.now + Duration::from_millis(1);
-    assert!(place.look(&Ran::NotRun));
+    assert!(place.look(&Completion::NotRun));
 }
 
 // An endpoint dies of a request each time it gets it. Each of these runs may have had an effect, and a job that kills
@@ -149,7 +149,7 @@
 #[test]
 fn runs_that_may_have_run_are_bounded() {
     let mut place = Place::new();
-    let turns = (0..100).filter(|_| place.look(&Ran::Unknown)).count();
+    let turns = (0..100).filter(|_| place.look(&Completion::Unknown)).count();
     assert_eq!(turns, 8);
     let run = attempt::Id::new(8);
     let outcome = Outcome::Unknown;
@@ -160,7 +160,7 @@
 #[test]
 fn a_request_that_nobody_can_send_is_given_up() {
     let mut place = Place::new();
-    let turns = (0..100).filter(|_| place.look(&Ran::Unsendable)).count();
+    let turns = (0..100).filter(|_| place.look(&Completion::Unsendable)).count();
     assert_eq!(turns, 8);
     let run = attempt::Id::new(8);
     let outcome = Outcome::NotRun;
--- a/bergamotshift-claim/tests/window.rs
+++ b/bergamotshift-claim/tests/window.rs
@@ -6,7 +6,7 @@
 use bergamotshift_claim::prelude::*;
 use bergamotshift_claim::window;
 use bergamotshift_core::clock::Instant;
-use window::Entrance;
+use window::Decision;
 
 const NOW: Instant = Instant::from_secs(5);
 
@@ -29,25 +29,25 @@
 #[test]
 fn the_same_key_joins_and_then_replays() {
     let mut window = Window::new(window::Settings::default());
-    assert_eq!(window.enter(NOW, &scope("a"), digest(b"x"), 1), Entrance::Start);
-    assert_eq!(window.enter(NOW, &scope("a"), digest(b"x"), 2), Entrance::Join);
-    assert_eq!(window.enter(NOW, &scope("a"), digest(b"y"), 3), Entrance::Mismatch);
+    assert_eq!(window.enter(NOW, &scope("a"), digest(b"x"), 1), Decision::Start);
+    assert_eq!(window.enter(NOW, &scope("a"), digest(b"x"), 2), Decision::Join);
+    assert_eq!(window.enter(NOW, &scope("a"), digest(b"y"), 3), Decision::Mismatch);
     assert_eq!(window.finish(NOW, &scope("a"), Some(answer(3))), [2]);
     assert_eq!(
         window.enter(NOW, &scope("a"), digest(b"x"), 4),
-        Entrance::Replay(answer(3))
+        Decision::Replay(answer(3))
     );
-    assert_eq!(window.enter(NOW, &scope("a"), digest(b"y"), 5), Entrance::Mismatch);
+    assert_eq!(window.enter(NOW, &scope("a"), digest(b"y"), 5), Decision::Mismatch);
 }
 
 // Two organisations use the same key for the same body. Neither may see that the other's request exists.
 #[test]
 fn another_organisation_never_joins() {
     let mut window = Window::new(window::Settings::default());
-    assert_eq!(window.enter(NOW, &scope("a"), digest(b"x"), 1), Entrance::Start);
-    assert_eq!(window.enter(NOW, &scope("b"), digest(b"x"), 2), Entrance::Start);
+    assert_eq!(window.enter(NOW, &scope("a"), digest(b"x"), 1), Decision::Start);
+    assert_eq!(window.enter(NOW, &scope("b"), digest(b"x"), 2), Decision::Start);
     assert_eq!(window.finish(NOW, &scope("a"), Some(answer(3))), []);
-    assert_eq!(window.enter(NOW, &scope("b"), digest(b"x"), 3), Entrance::Join);
+    assert_eq!(window.enter(NOW, &scope("b"), digest(b"x"), 3), Decision::Join);
 }
 
 #[test]
@@ -55,14 +55,14 @@
     let mut window = Window::new(window::Settings::default());
     window.enter(NOW, &scope("a"), digest(b"x"), 1);
     assert_eq!(window.finish(NOW, &scope("a"), None), []);
-    assert_eq!(window.enter(NOW, &scope("a"), digest(b"x"), 2), Entrance::Start);
+    assert_eq!(window.enter(NOW, &scope("a"), digest(b"x"), 2), Decision::Start);
 }
 
 #[test]
 fn answers_leave_by_age_and_by_size() {
     let settings = window::Settings {
-        bytes: 10,
-        longest: 6,
+        max_bytes: 10,
+        max_answer_bytes: 6,
         ..window::Settings::default()
     };
     let mut window = Window::new(settings);
@@ -73,11 +73,11 @@
     assert_eq!(window.bytes(), 10);
     assert_eq!(
         window.enter(NOW, &scope("a"), digest(b"x"), ()),
-        Entrance::Start,
+        Decision::Start,
         "the oldest went"
     );
     let later = NOW + settings.retention + Duration::from_secs(1);
-    assert_eq!(window.enter(later, &scope("c"), digest(b"x"), ()), Entrance::Start);
+    assert_eq!(window.enter(later, &scope("c"), digest(b"x"), ()), Decision::Start);
     assert_eq!(window.bytes(), 0);
     window.finish(later, &scope("c"), Some(answer(7)));
     assert_eq!(window.bytes(), 0, "longer than any kept answer");
@@ -86,10 +86,10 @@
 #[test]
 fn waiting_callers_are_bounded() {
     let mut window = Window::new(window::Settings {
-        joined: 1,
+        max_joined: 1,
         ..window::Settings::default()
     });
     window.enter(NOW, &scope("a"), digest(b"x"), 1);
-    assert_eq!(window.enter(NOW, &scope("a"), digest(b"x"), 2), Entrance::Join);
-    assert_eq!(window.enter(NOW, &scope("a"), digest(b"x"), 3), Entrance::Full);
+    assert_eq!(window.enter(NOW, &scope("a"), digest(b"x"), 2), Decision::Join);
+    assert_eq!(window.enter(NOW, &scope("a"), digest(b"x"), 3), Decision::Full);
 }
--- a/bergamotshift-entry/src/claims/committer.rs
+++ b/bergamotshift-entry/src/claims/committer.rs
@@ -102,7 +102,7 @@
     }
 
     fn write(&mut self, write: Write, answer: oneshot::Sender<Ending>) {
-        if self.table.is_none() || self.batch.waiting() >= batch::Settings::default().queue {
+        if self.table.is_none() || self.batch.waiting() >= batch::Settings::default().max_queued {
             let _ = answer.send(Ending::Refused);
             return;
         }
@@ -124,7 +124,7 @@
     }
 
     fn end(&mut self, id: batch::Id, ending: &Ending) {
-        for (answer, ending) in self.batch.ended(id, ending) {
+        for (answer, ending) in self.batch.complete(id, ending) {
             let _ = answer.send(ending);
         }
     }
--- a/bergamotshift-entry/src/claims/drive.rs
+++ b/bergamotshift-entry/src/claims/drive.rs
@@ -7,12 +7,12 @@
 use bergamotshift_claim::digest::Digest;
 use bergamotshift_claim::driver;
 use bergamotshift_claim::driver::Action;
+use bergamotshift_claim::driver::Completion;
 use bergamotshift_claim::driver::Driver;
 use bergamotshift_claim::driver::Event;
 use bergamotshift_claim::driver::Reply;
-use bergamotshift_claim::driver::Verdict;
 use bergamotshift_claim::scope::Scope;
-use bergamotshift_claim::wall::Wall;
+use bergamotshift_claim::wall::WallClock;
 use bergamotshift_core::prelude::*;
 use ntex::http::Response;
 use smol_str::SmolStr;
@@ -139,7 +139,7 @@
             attempt: call.id,
             holder: worker.shared.settings.name.clone(),
             deadline: call.times.deadline,
-            wall: Wall::new(now, unix_millis()),
+            wall_clock: WallClock::new(now, unix_millis()),
         };
         let (events, happened) = mpsc::unbounded_channel();
         Self {
@@ -188,9 +188,9 @@
                 let row = store.read(key).await;
                 Event::Rows { op, row }.into()
             }),
-            Action::Keep { op, key, body } => self.spawn(async move {
-                let kept = store.keep(key, body).await;
-                Event::Kept { op, kept }.into()
+            Action::Store { op, key, body } => self.spawn(async move {
+                let is_stored = store.keep(key, body).await;
+                Event::Stored { op, is_stored }.into()
             }),
             Action::Send => {
                 self.span = None;
@@ -235,16 +235,16 @@
     let (verdict, failure) = match whole::fetch(&mut attempts).await {
         Ok(whole) => {
             attempts.count_whole(&whole.body);
-            (Verdict::Answered(convert::from_whole(&whole)), None)
+            (Completion::Answered(convert::from_whole(&whole)), None)
         }
         Err(error) => {
             let refused = attempts.outcome() == Outcome::NotRun;
-            let verdict = if refused { Verdict::Refused } else { Verdict::Lost };
+            let verdict = if refused { Completion::Refused } else { Completion::Lost };
             (verdict, Some(attempts.fail(&error)))
         }
     };
     Happened {
-        event: Event::Endpoint(verdict),
+        event: Event::Completed(verdict),
         failure,
     }
 }
--- a/bergamotshift-entry/src/claims/windows.rs
+++ b/bergamotshift-entry/src/claims/windows.rs
@@ -52,7 +52,7 @@
     pub fn new() -> Self {
         let whole = window::Settings::default();
         let settings = window::Settings {
-            bytes: whole.bytes / PARTS,
+            max_bytes: whole.max_bytes / PARTS,
             ..whole
         };
         Self(core::array::from_fn(|_| Mutex::new(Window::new(settings))))
@@ -63,14 +63,14 @@
         let (ticket, left) = oneshot::channel();
         let entered = shared.windows.part(&scope).enter(shared.now(), &scope, digest, ticket);
         match entered {
-            window::Entrance::Start => Entrance::Start(Started {
+            window::Decision::Start => Entrance::Start(Started {
                 shared: Arc::clone(shared),
                 scope: Some(scope),
             }),
-            window::Entrance::Join => Entrance::Join(left),
-            window::Entrance::Replay(answer) => Entrance::Replay(answer),
-            window::Entrance::Mismatch => Entrance::Mismatch,
-            window::Entrance::Full => Entrance::Full,
+            window::Decision::Join => Entrance::Join(left),
+            window::Decision::Replay(answer) => Entrance::Replay(answer),
+            window::Decision::Mismatch => Entrance::Mismatch,
+            window::Decision::Full => Entrance::Full,
         }
     }
 
--- a/bergamotshift-entry/src/jobs/run.rs
+++ b/bergamotshift-entry/src/jobs/run.rs
@@ -7,8 +7,8 @@
 use bergamotshift_claim::driver::Reply;
 use bergamotshift_claim::job;
 use bergamotshift_claim::job::Action;
+use bergamotshift_claim::job::Completion;
 use bergamotshift_claim::job::Event;
-use bergamotshift_claim::job::Ran;
 use bergamotshift_claim::job::Runner;
 use bergamotshift_core::prelude::*;
 use bergamotshift_core::table::Key;
@@ -104,7 +104,7 @@
                 .detach(),
             Action::Start(record) => {
                 let worker = Rc::clone(&self.worker);
-                let work = self.spawn(async move { Event::Ended(send(&worker, *record).await) });
+                let work = self.spawn(async move { Event::Completed(send(&worker, *record).await) });
                 self.work = Some(work);
             }
             Action::Stop => {
@@ -135,10 +135,10 @@
 }
 
 /// Sends a job's request; through a claim under the job's own id when it must not be repeated.
-async fn send(worker: &Rc<Worker>, record: job::Record) -> Ran {
+async fn send(worker: &Rc<Worker>, record: job::Record) -> Completion {
     loop {
         let Some(call) = call(worker, &record).await else {
-            return Ran::Unsendable;
+            return Completion::Unsendable;
         };
         let snapshot = worker.snapshot();
         let Admission::Now(ticket) = sharing::weigh(worker, &snapshot, &call, true) else {
@@ -149,8 +149,8 @@
             let mut attempts = Attempts::new(Rc::clone(worker), call, ticket);
             return match whole::fetch(&mut attempts).await {
                 Ok(whole) => answered(worker, record.id, &whole).await,
-                Err(_) if attempts.outcome() == Outcome::NotRun => Ran::NotRun,
-                Err(_) => Ran::Unknown,
+                Err(_) if attempts.outcome() == Outcome::NotRun => Completion::NotRun,
+                Err(_) => Completion::Unknown,
             };
         }
         // Under the caller's own key the job and a sending of the same request that is not deferred share one run.
@@ -160,17 +160,17 @@
             .unwrap_or_else(|| format_smolstr!("\u{1f}job/{}", record.id));
         let told = claims::claim(worker, call, ticket, key, &Trace::default()).await;
         match told.reply {
-            Reply::Answer(answer) | Reply::Replay(answer) => return Ran::Answered(answer),
-            Reply::NotRun { .. } => return Ran::NotRun,
+            Reply::Answer(answer) | Reply::Replay(answer) => return Completion::Answered(answer),
+            Reply::NotRun { .. } => return Completion::NotRun,
             // An earlier holder of the job sent it and may still be waiting for its answer.
             Reply::InProgress { .. } => tokio::time::sleep(ROOM).await,
-            Reply::Unknown | Reply::Mismatch => return Ran::Unknown,
+            Reply::Unknown | Reply::Mismatch => return Completion::Unknown,
         }
     }
 }
 
 /// Keeps a long answer in the object store.
-async fn answered(worker: &Rc<Worker>, id: job::Id, whole: &whole::Whole) -> Ran {
+async fn answered(worker: &Rc<Worker>, id: job::Id, whole: &whole::Whole) -> Completion {
     const INLINE: usize = 16 << 10;
     let mut answer = claims::from_whole(whole);
     if whole.body.len() > INLINE {
@@ -179,11 +179,11 @@
         let length = whole.body.len() as u64;
         // A job whose answer cannot be kept has to run again, or its caller would never get it.
         if !kept {
-            return Ran::Unknown;
+            return Completion::Unknown;
         }
         answer.body = Body::Object { key, length };
     }
-    Ran::Answered(answer)
+    Completion::Answered(answer)
 }
 
 async fn call(worker: &Rc<Worker>, record: &job::Record) -> Option<Rc<Call>> {
--- a/bergamotshift-entry/src/jobs/scan.rs
+++ b/bergamotshift-entry/src/jobs/scan.rs
@@ -39,7 +39,7 @@
         .into_iter()
         .filter_map(|(sort, row)| Some((sort.parse().ok()?, row)));
     let rows = rows.collect::<Vec<_>>();
-    for candidate in watch.listed(worker.shared.now(), shard, &rows) {
+    for candidate in watch.update(worker.shared.now(), shard, &rows) {
         let full = running.borrow().len() >= worker.shared.settings.jobs.slots;
         if full || worker.shared.is_draining() {
             return;
--- a/bergamotshift-forward/src/control/inner.rs
+++ b/bergamotshift-forward/src/control/inner.rs
@@ -8,7 +8,7 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-use bergamotshift_claim::lease::Word;
+use bergamotshift_claim::lease::Notice;
 use bergamotshift_core::prelude::*;
 use bergamotshift_limit::quarantine;
 use bergamotshift_limit::quarantine::Quarantine;
@@ -112,9 +112,9 @@
     /// Whether this entry holds the duties.
     pub(super) holds_duties: bool,
     /// Notice about the duties' lease that this entry sends to others.
-    pub(super) lease_notice: Option<Word>,
+    pub(super) lease_notice: Option<Notice>,
     /// Latest notice about that lease from another entry, and when it arrived.
-    pub(super) peer_lease_notice: Option<(Word, Instant)>,
+    pub(super) peer_lease_notice: Option<(Notice, Instant)>,
     /// Other entry that was last known to hold the duties, or to have released them.
     pub(super) duty_holder: Option<DutyHolder>,
     /// Whether the list of entries has been read.
--- a/bergamotshift-forward/src/control/mod.rs
+++ b/bergamotshift-forward/src/control/mod.rs
@@ -17,7 +17,7 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-use bergamotshift_claim::lease::Word;
+use bergamotshift_claim::lease::Notice;
 use bergamotshift_core::prelude::*;
 use bergamotshift_limit::quarantine;
 use slog::info;
@@ -347,7 +347,7 @@
     }
 
     /// Records whether this entry holds the duties, and the notice about their lease that it sends to others.
-    pub fn set_duties(&self, held: bool, notice: Option<Word>) {
+    pub fn set_duties(&self, held: bool, notice: Option<Notice>) {
         let mut inner = self.inner.borrow_mut();
         inner.holds_duties = held;
         inner.lease_notice = notice;
@@ -355,10 +355,10 @@
     }
 
     /// Takes the newest notice about the duties' lease that arrived since the last call, adjusted to the current time.
-    pub fn take_lease_notice(&self) -> Option<Word> {
+    pub fn take_lease_notice(&self) -> Option<Notice> {
         let now = self.now();
         let (notice, received) = self.inner.borrow_mut().peer_lease_notice.take()?;
-        Some(notice.after(now.since(received)))
+        Some(notice.aged(now.since(received)))
     }
 
     /// Returns whether another entry recently reported that it reaches the store.
--- a/bergamotshift-forward/src/duty/lease.rs
+++ b/bergamotshift-forward/src/duty/lease.rs
@@ -8,7 +8,7 @@
 use bergamotshift_claim::lease::Action;
 use bergamotshift_claim::lease::Event;
 use bergamotshift_claim::lease::Keeper;
-use bergamotshift_claim::lease::Word;
+use bergamotshift_claim::lease::Notice;
 use bergamotshift_core::prelude::*;
 use bergamotshift_core::table::Ending;
 use bergamotshift_platform::Error;
@@ -102,18 +102,18 @@
     }
 
     /// Handles another entry's notice about the lease that was received just now.
-    pub async fn receive(&mut self, notice: Word) {
-        self.drive(Event::Heard(notice), &mut Vec::new()).await;
+    pub async fn receive(&mut self, notice: Notice) {
+        self.drive(Event::Received(notice), &mut Vec::new()).await;
     }
 
     /// Returns the notice about the lease to send to the other entries.
-    pub fn notice(&self) -> Option<Word> {
-        self.keeper.word(self.clock.now())
+    pub fn notice(&self) -> Option<Notice> {
+        self.keeper.notice(self.clock.now())
     }
 
     /// Returns the time until the lease ends if it is not renewed.
     pub fn remaining(&self) -> Duration {
-        let ends = self.keeper.ends().unwrap_or(Instant::ZERO);
+        let ends = self.keeper.expires_at().unwrap_or(Instant::ZERO);
         ends.since(self.clock.now())
     }
 
--- a/bergamotshift-forward/src/duty/task.rs
+++ b/bergamotshift-forward/src/duty/task.rs
@@ -5,8 +5,8 @@
 use std::rc::Rc;
 
 use bergamotshift_claim::lease::Keeper;
+use bergamotshift_claim::lease::Notice;
 use bergamotshift_claim::lease::Settings as LeaseSettings;
-use bergamotshift_claim::lease::Word;
 use bergamotshift_core::attempt;
 use bergamotshift_core::prelude::*;
 use bergamotshift_core::table::Change as TableChange;
@@ -70,13 +70,13 @@
         // A successor acts once the row has not changed for this long. By then, the former holder has not acted for
         // longer than the margin, and the time between the calls of both is longer than the platform requires.
         length: lease_length(&shared),
-        renewal: length / 3,
+        renewal_interval: length / 3,
         margin: Duration::from_millis(700),
-        pause: Duration::from_millis(300),
-        watch: length / 4,
+        max_order_delay: Duration::from_millis(300),
+        poll_interval: length / 4,
         backoff_limit: length / 3,
-        jitter: 30,
-        young_until: clock.now() + lease_length(&shared),
+        jitter_percent: 30,
+        cooldown_until: clock.now() + lease_length(&shared),
     };
     let mut generator = random::generator();
     let life = attempt::Id::new(u128::from(generator.next_u64()) << 64 | u128::from(generator.next_u64()));
@@ -234,7 +234,7 @@
         // The store may not answer. An entry that receives this notice need not wait until the lease has expired.
         let notice = number
             .filter(|_| self.is_answered)
-            .map(|number| Word::GaveUp { number });
+            .map(|number| Notice::GaveUp { number });
         self.control.set_duties(false, notice);
         let Some(number) = number else {
             return;
--- a/bergamotshift-forward/src/peers/message.rs
+++ b/bergamotshift-forward/src/peers/message.rs
@@ -176,7 +176,7 @@
     #[serde(rename = "holds")]
     pub holds_duties: bool,
     /// The state of the duties' lease, when the sender holds it or released it.
-    pub lease: Option<lease::Word>,
+    pub lease: Option<lease::Notice>,
     /// The other entry that holds the duties as far as the sender knows, and the time since that entry confirmed it, in
     /// milliseconds.
     pub holder: Option<(name::Entry, u32)>,
--- a/bergamotshift-forward/tests/daemon/abandoned.rs
+++ b/bergamotshift-forward/tests/daemon/abandoned.rs
@@ -101,7 +101,7 @@
     let settings = Settings {
         length: Duration::from_millis(400),
         margin: Duration::ZERO,
-        pause: Duration::ZERO,
+        max_order_delay: Duration::ZERO,
         ..Settings::default()
     };
     let keeper = Keeper::new(settings, "duties".into(), "entry-a".into(), attempt::Id::new(1));
