--- a/bergamotshift-claim/src/answer.rs
+++ b/bergamotshift-claim/src/answer.rs
@@ -1,45 +1,46 @@
-//! An endpoint's answer as it is kept for replay.
+//! Answers of endpoints, as they are stored for replay.
 
 use serde::Deserialize;
 use serde::Serialize;
 use smol_str::SmolStr;
 
-/// A whole answer of an endpoint.
+/// Complete answer of an endpoint.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 #[derive(Serialize, Deserialize)]
 pub struct Answer {
-    /// The HTTP status.
+    /// HTTP status code.
     pub status: u16,
-    /// The end-to-end headers, in order.
+    /// End-to-end headers, in the order received.
     pub headers: Vec<Header>,
-    /// The body or where it is kept.
+    /// Body, or the place where it is stored.
     pub body: Body,
 }
 
-/// One header of an answer.
+/// Header of an answer or of a job's request.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 #[derive(Serialize, Deserialize)]
 pub struct Header {
-    /// The name, in lower case.
+    /// Name, in lower case.
     pub name: SmolStr,
-    /// The value's bytes.
+    /// Value, as raw bytes.
     pub value: Vec<u8>,
 }
 
-/// Where an answer's body is.
+/// Body of an answer or of a job's request, or the place where it is stored.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 #[derive(Serialize, Deserialize)]
 pub enum Body {
-    /// Here.
+    /// Body stored with the record.
     Inline(Vec<u8>),
-    /// In the object store, under this key.
+    /// Body in the object store.
     Object {
-        /// The object's key.
+        /// Key of the object.
         key: SmolStr,
-        /// The body's length in bytes.
+        /// Length of the body, in bytes.
         length: u64,
     },
-    /// Nowhere: it was too long to keep, or the object store was unreachable. The request did run.
+    /// Body that is not available, because it was too long to store or the object store was unreachable. The request
+    /// was executed.
     Dropped,
 }
 
--- a/bergamotshift-claim/src/batch.rs
+++ b/bergamotshift-claim/src/batch.rs
@@ -1,8 +1,8 @@
-//! Group commit: many small writes in few transactions.
+//! Group commit of many small writes in few transactions.
 //!
-//! Every submitted write is a transaction of its own as far as its sender can tell: each gets its own
-//! [`Ending`]. When one write of a transaction conflicts, the table cancels all of it; the conflicting write is told
-//! so and the others go again, without it.
+//! To its submitter, each write behaves like a transaction of its own, with its own [`Ending`]. If one write of a
+//! transaction conflicts, the table cancels the whole transaction. Only the conflicting write ends with a conflict; the
+//! others are queued again without it.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -16,20 +16,20 @@
 use bergamotshift_core::table::Write;
 use thiserror::Error;
 
-/// How writes are gathered.
+/// Settings of a [`Batch`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Settings {
-    /// The most writes in one transaction; the table's own limit is 100.
+    /// Maximum number of writes in a transaction; the table itself allows 100.
     pub max_items: usize,
-    /// The most bytes of bodies in one transaction.
+    /// Maximum size of a transaction's keys and bodies, in bytes. A larger write is sent in a transaction of its own.
     pub max_bytes: usize,
-    /// The most transactions without an answer.
+    /// Maximum number of transactions in flight.
     pub max_in_flight: usize,
-    /// The time that each transaction takes from this entry's share of the table's rate.
+    /// Time that each transaction takes up of this entry's share of the table's rate.
     pub per_transaction: Duration,
-    /// The time that each write takes from this entry's share of the table's rate.
+    /// Time that each write takes up of this entry's share of the table's rate.
     pub per_item: Duration,
-    /// The most writes that wait; more are refused at once.
+    /// Maximum number of queued writes; further ones are rejected at once.
     pub max_queued: usize,
 }
 
@@ -46,38 +46,38 @@
     }
 }
 
-/// The queue is full; the write did not and will not take effect.
+/// Error for a write that is rejected because the queue is full. The write did not and will not take effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Error)]
-#[error("too many writes wait for the table")]
+#[error("too many writes are queued for the table")]
 pub struct Full;
 
-/// Identifies a transaction of a [`Batch`].
+/// Identifier of a transaction of a [`Batch`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Id(u64);
 
-/// A transaction to carry out; its ending goes to [`Batch::complete`].
+/// Transaction to perform; its ending is passed to [`Batch::complete`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Transaction {
-    /// Comes back with the ending.
+    /// Identifier to pass to [`Batch::complete`].
     pub id: Id,
-    /// The writes, each on a row of its own.
+    /// Writes, each to a different row.
     pub writes: Vec<Write>,
 }
 
-/// Gathers writes into transactions; `T` tells the senders apart.
+/// Queue that combines writes into transactions; a `T` identifies the submitter of each write.
 #[derive(Clone, Debug)]
 pub struct Batch<T> {
     settings: Settings,
     waiting: VecDeque<(T, Write)>,
     in_flight: BTreeMap<Id, Vec<(T, Write)>>,
     next_id: u64,
-    /// When the next transaction may start.
+    /// Earliest time at which the next transaction may start.
     next_at: Instant,
 }
 
 impl<T> Batch<T> {
-    /// Makes an empty batch.
+    /// Creates an empty batch.
     pub const fn new(settings: Settings) -> Self {
         Self {
             settings,
@@ -88,23 +88,24 @@
         }
     }
 
-    /// Changes how writes are gathered, for instance when the number of entries changes.
-    pub const fn set(&mut self, settings: Settings) {
+    /// Replaces the settings, for instance after the number of entries changed.
+    pub const fn set_settings(&mut self, settings: Settings) {
         self.settings = settings;
     }
 
-    /// Returns how many writes wait.
+    /// Returns the number of queued writes.
     pub fn waiting(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Takes a write in.
+    /// Queues a write.
     ///
     /// # Errors
     ///
-    /// Returns [`Full`] when too many writes wait.
+    /// Returns [`Full`] if [`Settings::max_queued`] writes are queued already.
     pub fn push(&mut self, ticket: T, write: Write) -> Result<(), Full> {
-        // Without a bound an outage of the table would pile up writes until callers had long given up.
+        // Without a limit, writes would accumulate during an outage of the table until long after their callers gave
+        // up.
         if self.waiting.len() >= self.settings.max_queued {
             return Err(Full);
         }
@@ -112,13 +113,14 @@
         Ok(())
     }
 
-    /// Returns when [`Batch::next`] can have a transaction, if any write waits and a transaction may start.
+    /// Returns the time from which [`Batch::next`] may return a transaction; `None` if no write is queued or too many
+    /// transactions are in flight.
     pub fn due(&self) -> Option<Instant> {
         let ready = !self.waiting.is_empty() && self.in_flight.len() < self.settings.max_in_flight;
         ready.then_some(self.next_at)
     }
 
-    /// Returns the next transaction, if one may start now.
+    /// Returns the next transaction, if one may start at `now`.
     pub fn next(&mut self, now: Instant) -> Option<Transaction> {
         if self.due().is_none_or(|due| now < due) {
             return None;
@@ -136,11 +138,11 @@
         Some(Transaction { id, writes })
     }
 
-    /// Takes writes from the queue, at most one for each row.
+    /// Takes writes from the queue, at most one for each row and none for a row that has a write in flight.
     ///
-    /// The table refuses a transaction that names a row twice, and a row's writes keep their order.
+    /// The table rejects a transaction that contains a row twice, and the writes of a row have to keep their order.
     fn take(&mut self) -> Vec<(T, Write)> {
-        let mut busy = self
+        let mut busy_rows = self
             .in_flight
             .values()
             .flatten()
@@ -148,56 +150,61 @@
             .collect::<BTreeSet<_>>();
         let mut bytes = 0;
         let mut taken = Vec::new();
-        let mut left = VecDeque::new();
+        let mut remaining = VecDeque::new();
         while let Some((ticket, write)) = self.waiting.pop_front() {
             let size = size(&write);
             let fits = taken.is_empty() || bytes + size <= self.settings.max_bytes;
-            let room = taken.len() < self.settings.max_items && fits;
-            if !room {
-                left.push_back((ticket, write));
+            let has_room = taken.len() < self.settings.max_items && fits;
+            if !has_room {
+                remaining.push_back((ticket, write));
                 break;
             }
-            if busy.insert(write.key.clone()) {
+            if busy_rows.insert(write.key.clone()) {
                 bytes += size;
                 taken.push((ticket, write));
             } else {
-                left.push_back((ticket, write));
+                remaining.push_back((ticket, write));
             }
         }
-        left.append(&mut self.waiting);
-        self.waiting = left;
+        remaining.append(&mut self.waiting);
+        self.waiting = remaining;
         taken
     }
 
-    /// Takes a transaction's ending in and returns the endings of single writes that are settled by it.
+    /// Handles the ending of a transaction and returns the final endings of its writes; writes to be retried are queued
+    /// again and not returned. The ending of a transaction that is not in flight is ignored.
     pub fn complete(&mut self, id: Id, ending: &Ending) -> Vec<(T, Ending)> {
         let Some(writes) = self.in_flight.remove(&id) else {
             return Vec::new();
         };
-        let Ending::Conflict(places) = ending else {
+        let Ending::Conflict(conflicting) = ending else {
             return writes.into_iter().map(|(ticket, _)| (ticket, ending.clone())).collect();
         };
         let mut settled = Vec::new();
-        let mut again = Vec::new();
-        for (place, (ticket, write)) in writes.into_iter().enumerate() {
-            if places.contains(&place) {
+        let mut retried = Vec::new();
+        for (index, (ticket, write)) in writes.into_iter().enumerate() {
+            if conflicting.contains(&index) {
                 settled.push((ticket, Ending::Conflict(vec![0])));
             } else {
-                again.push((ticket, write));
+                retried.push((ticket, write));
             }
         }
         if settled.is_empty() {
-            // The table cancelled the transaction and names none of its writes. Sending the same again could go on
-            // for ever, and it is certain that nothing took effect.
-            return again.into_iter().map(|(ticket, _)| (ticket, Ending::Refused)).collect();
+            // The table cancelled the transaction without naming a conflicting write. No write took effect, and
+            // retrying the same transaction might never end.
+            return retried
+                .into_iter()
+                .map(|(ticket, _)| (ticket, Ending::Refused))
+                .collect();
         }
-        for write in again.into_iter().rev() {
+        for write in retried.into_iter().rev() {
             self.waiting.push_front(write);
         }
         settled
     }
 }
 
+/// Returns the size of a write's key and body, in bytes.
 fn size(write: &Write) -> usize {
     let body = match &write.change {
         Change::Put(body) => body.len(),
--- a/bergamotshift-claim/src/codec.rs
+++ b/bergamotshift-claim/src/codec.rs
@@ -1,32 +1,32 @@
-//! How rows are encoded: a layout number, then postcard.
+//! Encoding of rows: a layout number, followed by the record in postcard.
 
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 use thiserror::Error;
 
-/// A row's body is not what it should be.
+/// Error for a row whose body cannot be decoded.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Error)]
 pub enum Error {
-    /// The layout number is one that this version does not know.
-    #[error("the row has layout {0}, which this version does not read")]
+    /// The layout number is unknown to this version.
+    #[error("the row has layout {0}, which this version cannot read")]
     Layout(u8),
-    /// The body does not decode.
-    #[error("the row does not decode: {0}")]
+    /// The record cannot be decoded.
+    #[error("the row cannot be decoded: {0}")]
     Codec(#[from] postcard::Error),
     /// The body is empty.
     #[error("the row is empty")]
     Empty,
 }
 
-/// The layout that this version writes.
+/// Layout number that this version writes and reads.
 const LAYOUT: u8 = 1;
 
 /// Encodes a row's body.
 ///
 /// # Panics
 ///
-/// Never for the records of this crate: every part of them has an encoding and the buffer grows as needed.
+/// Panics if the record has no postcard encoding. Every record of this crate has one, and the buffer grows as needed.
 pub(crate) fn encode<T: Serialize>(record: &T) -> Vec<u8> {
     postcard::to_extend(record, vec![LAYOUT]).expect("a record encodes into a growing buffer")
 }
@@ -35,7 +35,7 @@
 ///
 /// # Errors
 ///
-/// Returns [`Error`] when the body is empty, has an unknown layout or does not decode.
+/// Returns an error if the body is empty, has an unknown layout or cannot be decoded.
 pub(crate) fn decode<T: DeserializeOwned>(body: &[u8]) -> Result<T, Error> {
     match body {
         [] => Err(Error::Empty),
--- a/bergamotshift-claim/src/digest.rs
+++ b/bergamotshift-claim/src/digest.rs
@@ -1,4 +1,4 @@
-//! SHA-256 digests, by which another body under the same idempotency key is recognised.
+//! SHA-256 digests of requests, which detect that an idempotency key is reused for a different request.
 
 use core::fmt;
 
@@ -7,7 +7,7 @@
 use sha2::Digest as _;
 use sha2::Sha256;
 
-/// The SHA-256 digest of what a request asks for.
+/// SHA-256 digest of a request, or of the parts of a key.
 #[derive(Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Serialize, Deserialize)]
 pub struct Digest([u8; 32]);
@@ -18,11 +18,11 @@
         Self::of_parts([method.as_bytes(), path.as_bytes(), body])
     }
 
-    /// Computes the digest of several parts, keeping their borders.
+    /// Computes the digest of several parts; the same bytes split differently have different digests.
     pub(crate) fn of_parts<const N: usize>(parts: [&[u8]; N]) -> Self {
         let mut hasher = Sha256::new();
         for part in parts {
-            // Lengths keep ("ab", "c") and ("a", "bc") apart.
+            // The length prefix distinguishes ("ab", "c") from ("a", "bc").
             hasher.update((part.len() as u64).to_le_bytes());
             hasher.update(part);
         }
@@ -35,8 +35,8 @@
         u128::from_be_bytes(*leading)
     }
 
-    /// Returns the first byte, evenly spread over all values.
-    pub(crate) const fn first(self) -> u8 {
+    /// Returns the first byte, which is uniformly distributed.
+    pub(crate) const fn first_byte(self) -> u8 {
         self.0[0]
     }
 }
--- a/bergamotshift-claim/src/driver/claiming.rs
+++ b/bergamotshift-claim/src/driver/claiming.rs
@@ -33,7 +33,7 @@
         self.phase = Phase::Claiming { base };
         self.contested = false;
         let op = self.next_op();
-        let write = self.record(State::Sent).over(base);
+        let write = self.record(State::Sent).write_over(base);
         vec![Action::Write { op, write }]
     }
 
--- a/bergamotshift-claim/src/driver/recording.rs
+++ b/bergamotshift-claim/src/driver/recording.rs
@@ -107,7 +107,7 @@
         let Phase::Recording(recording) = &self.phase else {
             return Vec::new();
         };
-        let write = self.record(recording.state.clone()).over(recording.version);
+        let write = self.record(recording.state.clone()).write_over(recording.version);
         let op = self.next_op();
         vec![Action::Write { op, write }]
     }
--- a/bergamotshift-claim/src/lib.rs
+++ b/bergamotshift-claim/src/lib.rs
@@ -1,13 +1,14 @@
 //! At-most-once claims, idempotency, deferred jobs and leases as state machines without I/O.
 //!
-//! Nothing here reads a clock, opens a socket or draws from global randomness. A shell feeds events in, carries the
-//! returned actions out on the platform's table service, and feeds the results back.
+//! The crate is sans-I/O: it reads no clock, opens no socket and uses no global random number generator. The caller
+//! passes events in, performs the returned actions on the platform's table service, and passes the results back as
+//! events.
 //!
-//! - [`driver`] takes one non-repeatable request from its claim to its recorded answer.
-//! - [`batch`] puts the writes of many requests into few transactions (group commit).
-//! - [`window`] joins and replays requests that carry the same idempotency key inside one process.
-//! - [`job`] keeps deferred work until some entry has finished it.
-//! - [`lease`] gives a control duty to one entry at a time, under a fencing number.
+//! - [`driver`] handles one non-repeatable request, from writing its claim to recording its answer.
+//! - [`batch`] combines the writes of many requests into few transactions (group commit).
+//! - [`window`] deduplicates requests with the same idempotency key within one process.
+//! - [`job`] stores deferred jobs until an entry has completed them.
+//! - [`lease`] assigns a control duty to one entry at a time, under a fencing number.
 //!
 //! ```
 //! use bergamotshift_claim::prelude::*;
@@ -25,10 +26,10 @@
 //!     wall_clock: WallClock::new(Instant::ZERO, 1_700_000_000_000),
 //! };
 //! let mut driver = driver::Driver::new(request, driver::Settings::default());
-//! let asked = driver.on(Instant::ZERO, driver::Event::Ask);
-//! let Some(driver::Action::Write { op, .. }) = asked.first() else { panic!("the claim is written first") };
-//! let sent = driver.on(Instant::ZERO, driver::Event::Written { op: *op, ending: Ending::Applied });
-//! assert_eq!(sent, [driver::Action::Send]);
+//! let actions = driver.on(Instant::ZERO, driver::Event::Ask);
+//! let Some(driver::Action::Write { op, .. }) = actions.first() else { panic!("the claim is written first") };
+//! let actions = driver.on(Instant::ZERO, driver::Event::Written { op: *op, ending: Ending::Applied });
+//! assert_eq!(actions, [driver::Action::Send]);
 //! ```
 
 pub mod answer;
--- a/bergamotshift-claim/src/prelude.rs
+++ b/bergamotshift-claim/src/prelude.rs
@@ -1,4 +1,4 @@
-//! The types that most users of the crate need.
+//! Commonly used types of the crate.
 
 pub use crate::answer::Answer;
 pub use crate::batch::Batch;
--- a/bergamotshift-claim/src/record.rs
+++ b/bergamotshift-claim/src/record.rs
@@ -1,4 +1,4 @@
-//! The claim's row in the platform's table.
+//! Record of a claim in the platform's table.
 
 use bergamotshift_core::attempt;
 use bergamotshift_core::name;
@@ -11,35 +11,37 @@
 use crate::digest::Digest;
 use crate::scope::Scope;
 
-/// What the table holds about one non-repeatable request.
+/// Record of a non-repeatable request in the table.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 #[derive(Serialize, Deserialize)]
 pub struct Record {
-    /// The request's idempotency key and what it belongs to.
+    /// Idempotency key of the request, with its organisation and service.
     pub scope: Scope,
-    /// The digest of what the request asks for.
+    /// Digest of the request.
     pub digest: Digest,
-    /// The only attempt that may send the request.
+    /// Identifier of the only attempt that may send the request.
     pub attempt: attempt::Id,
-    /// The entry that drew the attempt id.
+    /// Entry that generated the attempt id.
     pub holder: name::Entry,
-    /// When the holder stops waiting for the endpoint, in milliseconds since the Unix epoch.
+    /// Deadline of the holder's request, in milliseconds since the Unix epoch. A claim that is still [`State::Sent`]
+    /// after it has an unknown outcome.
     pub until: u64,
-    /// How far the attempt got.
+    /// State of the attempt.
     pub state: State,
 }
 
-/// How far a claim's attempt got.
+/// State of a claim's attempt.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 #[derive(Serialize, Deserialize)]
 pub enum State {
-    /// The holder of the attempt id may send, once. It may have sent already.
+    /// The driver with the attempt id may send the request once, and may have sent it already.
     Sent,
-    /// The request ran, and this was its answer.
+    /// The request was executed, with this answer.
     Done(Answer),
     /// The request was sent, and its answer was lost.
     Unknown,
-    /// The holder gave up before a byte left, or the endpoint proved that it refused: the key may be claimed again.
+    /// The request was not executed, as the holder gave up before it sent a byte or the endpoint provably refused it.
+    /// The key may be claimed again.
     Withdrawn,
 }
 
@@ -53,13 +55,13 @@
     ///
     /// # Errors
     ///
-    /// Returns an error when the body is empty, has an unknown layout or does not decode.
+    /// Returns an error if the body is empty, has an unknown layout or cannot be decoded.
     pub fn decode(body: &[u8]) -> Result<Self, codec::Error> {
         codec::decode(body)
     }
 
-    /// Returns the write that puts this record over the row's version `base`, where 0 means that no row exists.
-    pub fn over(&self, base: u64) -> table::Write {
+    /// Returns the write that stores this record if the row has version `base`; 0 requires that the row does not exist.
+    pub fn write_over(&self, base: u64) -> table::Write {
         let condition = match base {
             0 => table::Condition::Absent,
             version => table::Condition::Version(version),
--- a/bergamotshift-claim/src/scope.rs
+++ b/bergamotshift-claim/src/scope.rs
@@ -1,4 +1,4 @@
-//! What an idempotency key belongs to.
+//! Idempotency keys, scoped to an organisation and a service.
 
 use bergamotshift_core::name;
 use bergamotshift_core::table;
@@ -9,26 +9,25 @@
 
 use crate::digest::Digest;
 
-/// The number of table partitions over which claims are spread.
+/// Number of table partitions over which claims are distributed.
 pub const PARTITIONS: u8 = 64;
 
-/// An idempotency key together with the organisation and the service it belongs to.
+/// Idempotency key with the organisation and service that it belongs to.
 ///
-/// The same key under another organisation is another scope, so no organisation can join or replay the request of
-/// another.
+/// The same key has a different scope in each organisation, so no organisation can join or replay another's request.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Serialize, Deserialize)]
 pub struct Scope {
-    /// The organisation whose caller sent the key.
+    /// Organisation of the caller that sent the key.
     pub organisation: name::Organisation,
-    /// The service asked for.
+    /// Requested service.
     pub service: name::Service,
-    /// The key as the caller gave it.
+    /// Key as sent by the caller.
     pub key: SmolStr,
 }
 
 impl Scope {
-    /// Makes a scope from its parts.
+    /// Creates a scope.
     pub fn new(organisation: impl AsRef<str>, service: impl AsRef<str>, key: impl AsRef<str>) -> Self {
         Self {
             organisation: name::Organisation::new(organisation),
@@ -37,21 +36,21 @@
         }
     }
 
-    /// Returns the place of this scope's claim in the table.
+    /// Returns the table key of the claim's row.
     ///
-    /// The sort key is a digest, so a caller's key can be of any length and any text.
+    /// The sort key is a digest, so a caller's key may have any length and contain any text.
     pub fn row(&self) -> table::Key {
         let organisation = self.organisation.as_str().as_bytes();
         let service = self.service.as_str().as_bytes();
         let digest = Digest::of_parts([organisation, service, self.key.as_bytes()]);
         table::Key {
-            partition: partition(digest.first() % PARTITIONS),
+            partition: partition(digest.first_byte() % PARTITIONS),
             sort: format_smolstr!("{digest}"),
         }
     }
 }
 
-/// Returns the name of the claims' partition with this number.
+/// Returns the name of the partition of claims with this number.
 pub fn partition(number: u8) -> SmolStr {
     format_smolstr!("claim/{number:02x}")
 }
--- a/bergamotshift-claim/src/wall.rs
+++ b/bergamotshift-claim/src/wall.rs
@@ -2,10 +2,10 @@
 
 use bergamotshift_core::clock::Instant;
 
-/// Ties kernel time to the wall clock, in milliseconds since the Unix epoch.
+/// Offset between kernel time and the wall clock.
 ///
-/// Rows outlive the process that wrote them, so their times are wall-clock times. No safety property rests on them:
-/// they only choose between "still running" and "unknown", and when a row may be purged.
+/// Rows outlive the process that wrote them, so they contain wall-clock times. No safety property depends on these:
+/// they only decide between "still running" and "unknown", and when a row may be purged.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct WallClock {
     at: Instant,
@@ -13,7 +13,7 @@
 }
 
 impl WallClock {
-    /// Ties the kernel time `at` to `unix_millis`.
+    /// Creates a wall clock that shows `unix_millis`, in milliseconds since the Unix epoch, at the kernel time `at`.
     pub const fn new(at: Instant, unix_millis: u64) -> Self {
         Self { at, unix_millis }
     }
--- a/bergamotshift-claim/src/window.rs
+++ b/bergamotshift-claim/src/window.rs
@@ -1,8 +1,8 @@
-//! Joins and replays requests that carry the same idempotency key, inside one process.
+//! Deduplication of requests with the same idempotency key within one process.
 //!
-//! For repeatable requests this is all there is: no platform call lies on their path, and a request that reaches
-//! another entry may run again without harm. For non-repeatable requests the window stands before the claim, which
-//! settles what several entries see.
+//! Repeatable requests need nothing else: they make no call to the platform, and a request that reaches another entry
+//! may be executed again without harm. Non-repeatable requests pass the window before they write a claim, which
+//! deduplicates them across entries.
 
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
@@ -16,16 +16,16 @@
 use crate::digest::Digest;
 use crate::scope::Scope;
 
-/// How much a window remembers.
+/// Settings of a [`Window`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Settings {
-    /// How long an answer can be replayed.
+    /// Time for which an answer can be replayed.
     pub retention: Duration,
-    /// The most bytes of kept answers.
+    /// Maximum size of all stored answers, in bytes.
     pub max_bytes: usize,
-    /// The longest single answer that is kept, in bytes.
+    /// Maximum size of a stored answer, in bytes; larger ones are not stored.
     pub max_answer_bytes: usize,
-    /// The most requests that can wait for one answer.
+    /// Maximum number of requests that wait for the same answer.
     pub max_joined: usize,
 }
 
@@ -40,18 +40,18 @@
     }
 }
 
-/// What becomes of a request.
+/// Decision on a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Decision {
-    /// It is the first under its key: run it, then call [`Window::finish`].
+    /// The request is the first one with its key. Execute it, then call [`Window::finish`].
     Start,
-    /// The first one is running: its answer goes to this one too.
+    /// A request with the same key is running. Its answer is returned for this request too.
     Join,
-    /// The first one has run: this was its answer.
+    /// A request with the same key was executed, with this answer.
     Replay(Answer),
-    /// The key belongs to a request with another body.
+    /// The key was used for a different request.
     Mismatch,
-    /// Too many requests already wait for the first one's answer.
+    /// Too many requests wait for the running request's answer.
     Full,
 }
 
@@ -68,18 +68,18 @@
     },
 }
 
-/// Remembers the requests of one process by idempotency key; `T` tells waiting callers apart.
+/// Requests of one process by idempotency key; a `T` identifies each waiting caller.
 #[derive(Clone, Debug)]
 pub struct Window<T> {
     settings: Settings,
     slots: BTreeMap<Scope, Slot<T>>,
-    /// Kept answers, oldest first.
+    /// Times and scopes of the stored answers, oldest first.
     order: VecDeque<(Instant, Scope)>,
     bytes: usize,
 }
 
 impl<T> Window<T> {
-    /// Makes an empty window.
+    /// Creates an empty window.
     pub const fn new(settings: Settings) -> Self {
         Self {
             settings,
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Takes a request in; `ticket` comes back from [`Window::finish`] if it joins.
+    /// Decides on a request. If it joins a running one, [`Window::finish`] returns its `ticket`.
     pub fn enter(&mut self, now: Instant, scope: &Scope, digest: Digest, ticket: T) -> Decision {
         self.expire(now);
         match self.slots.get_mut(scope) {
@@ -110,14 +110,14 @@
         }
     }
 
-    /// Ends the running request and returns those who joined it.
+    /// Completes the running request and returns the tickets of the requests that joined it.
     ///
-    /// With an answer, later requests under the key replay it; without one, the next request starts anew.
+    /// Later requests with the key replay `answer`; without one, the next request is executed.
     pub fn finish(&mut self, now: Instant, scope: &Scope, answer: Option<Answer>) -> Vec<T> {
         let Some(Slot::Running { digest, waiting }) = self.slots.remove(scope) else {
             return Vec::new();
         };
-        if let Some(answer) = answer.filter(|answer| self.is_kept(answer)) {
+        if let Some(answer) = answer.filter(|answer| self.is_storable(answer)) {
             self.bytes += size(&answer);
             self.order.push_back((now, scope.clone()));
             let since = now;
@@ -127,19 +127,20 @@
         waiting
     }
 
-    /// Returns the bytes of kept answers.
+    /// Returns the size of all stored answers, in bytes.
     pub const fn bytes(&self) -> usize {
         self.bytes
     }
 
-    fn is_kept(&self, answer: &Answer) -> bool {
+    fn is_storable(&self, answer: &Answer) -> bool {
         matches!(answer.body, Body::Inline(_)) && size(answer) <= self.settings.max_answer_bytes
     }
 
+    /// Removes expired answers, and the oldest ones while the size limit is exceeded.
     fn expire(&mut self, now: Instant) {
         while let Some((since, _)) = self.order.front() {
-            let old = now.since(*since) >= self.settings.retention;
-            if !old && self.bytes <= self.settings.max_bytes {
+            let is_expired = now.since(*since) >= self.settings.retention;
+            if !is_expired && self.bytes <= self.settings.max_bytes {
                 return;
             }
             self.drop_oldest();
@@ -147,11 +148,11 @@
     }
 
     fn drop_oldest(&mut self) {
-        let Some((kept, scope)) = self.order.pop_front() else {
+        let Some((stored, scope)) = self.order.pop_front() else {
             return;
         };
         if let Some(Slot::Done { answer, since, .. }) = self.slots.get(&scope)
-            && *since == kept
+            && *since == stored
         {
             self.bytes -= size(answer);
             self.slots.remove(&scope);
@@ -159,6 +160,7 @@
     }
 }
 
+/// Returns the size of an answer's headers and inline body, in bytes.
 fn size(answer: &Answer) -> usize {
     let headers = answer
         .headers
