--- a/bergamotshift-entry/src/peers/driver.rs
+++ b/bergamotshift-entry/src/peers/driver.rs
@@ -124,8 +124,8 @@
 
     fn act(&mut self, action: Action) {
         let event = match action {
-            Action::Send { to, way, bytes } => return self.node.send(to, way, bytes),
-            Action::Member(record) => {
+            Action::Send { to, transport, bytes } => return self.node.send(to, transport, bytes),
+            Action::MemberChanged(record) => {
                 let logger = &self.shared.settings.logger;
                 info!(logger, "member"; "entry" => record.name.as_str(), "state" => ?record.state);
                 return self.show_members();
@@ -139,35 +139,35 @@
             Action::Watch(endpoint) => Event::Watching(endpoint, true),
             Action::Unwatch(endpoint) => Event::Watching(endpoint, false),
             Action::Marked(mark) => Event::Marked(mark),
-            Action::Noted { note, origin } if note.topic == note::Topic::CONFIG => {
+            Action::NoteReceived { note, origin } if note.topic == note::Topic::CONFIG => {
                 return self.content.heard(&note, origin);
             }
-            Action::Noted { note, origin } => Event::Noted { note, origin },
-            Action::Loaded { endpoint, report, age } => Event::Loaded { endpoint, report, age },
+            Action::NoteReceived { note, origin } => Event::Noted { note, origin },
+            Action::LoadReceived { endpoint, report, age } => Event::Loaded { endpoint, report, age },
         };
         self.shared.control.send(event);
     }
 
     fn take(&mut self, request: Request) {
         match request {
-            Request::Listed(list) => self.feed(Input::Listed(list)),
+            Request::Listed(list) => self.feed(Input::VmsListed(list)),
             Request::Leaving {
                 endpoint,
                 source,
                 notice_ms,
-            } => self.feed(Input::Leaving {
+            } => self.feed(Input::EndpointLeaving {
                 endpoint,
                 source,
                 notice_ms,
             }),
-            Request::Loaded { endpoint, report } => self.feed(Input::Loaded { endpoint, report }),
-            Request::Used { organisation, rate } => self.feed(Input::Used { organisation, rate }),
+            Request::Loaded { endpoint, report } => self.feed(Input::LoadReported { endpoint, report }),
+            Request::Used { organisation, rate } => self.feed(Input::UsageMeasured { organisation, rate }),
             Request::Announce {
                 topic,
                 key,
                 version,
                 body,
-            } => self.feed(Input::Announced {
+            } => self.feed(Input::NotePublished {
                 topic,
                 key,
                 version,
--- a/bergamotshift-entry/src/peers/handover.rs
+++ b/bergamotshift-entry/src/peers/handover.rs
@@ -10,7 +10,7 @@
 use bergamotshift_fleet::handover::Key;
 use bergamotshift_fleet::handover::Parcel;
 use bergamotshift_fleet::handover::Question;
-use bergamotshift_fleet::handover::Taken;
+use bergamotshift_fleet::handover::Retrieval;
 use bergamotshift_link::node::Node;
 use tokio::sync::oneshot;
 
@@ -60,9 +60,9 @@
     pub(super) fn find(&mut self, key: Key, answer: oneshot::Sender<Found>) {
         let me = self.kernel.me().name.clone();
         match self.keeper.take(self.shared.now(), &key, &me) {
-            Taken::Parcel(parcel) => return drop(answer.send(Found::Parcel(parcel))),
-            Taken::Elsewhere(entry) => return drop(answer.send(Found::Elsewhere(entry))),
-            Taken::Missing => {}
+            Retrieval::Parcel(parcel) => return drop(answer.send(Found::Parcel(parcel))),
+            Retrieval::Elsewhere(entry) => return drop(answer.send(Found::Elsewhere(entry))),
+            Retrieval::Missing => {}
         }
         let addresses = self.candidates(&key);
         let node = self.node.clone();
@@ -79,7 +79,7 @@
         let asking: Vec<Asking> = self
             .candidates(key)
             .into_iter()
-            .take(handover::CANDIDATES)
+            .take(handover::CANDIDATE_COUNT)
             .map(|address| ask(&self.node, address, Question::Finish(key.clone())))
             .collect();
         ntex::rt::spawn(async move {
--- a/bergamotshift-entry/tests/peers.rs
+++ b/bergamotshift-entry/tests/peers.rs
@@ -99,9 +99,9 @@
 fn settings(letter: &str, credentials: Credentials, seed: Option<&Handle>) -> Settings {
     let seeds = seed.and_then(Handle::peers).map(peers::Sender::address);
     let fleet = bergamotshift_fleet::settings::Settings {
-        period: Duration::from_millis(200),
-        retry_after: Duration::from_millis(80),
-        cross_period: Duration::from_millis(200),
+        probe_interval: Duration::from_millis(200),
+        probe_retry_delay: Duration::from_millis(80),
+        zone_probe_interval: Duration::from_millis(200),
         ..Default::default()
     };
     Settings {
--- a/bergamotshift-fleet/src/handover/keeper.rs
+++ b/bergamotshift-fleet/src/handover/keeper.rs
@@ -22,7 +22,7 @@
 
 /// What an entry gets that asks for a parcel.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Taken {
+pub enum Retrieval {
     /// The parcel, to go on with.
     Parcel(Box<Parcel>),
     /// Another entry goes on with it.
@@ -94,16 +94,16 @@
     ///
     /// Asked again by the same entry, it gives it again: the answer may have been lost. Another entry is told who has
     /// it: the caller came back twice, and two entries that both go on would spend the tokens twice.
-    pub fn take(&mut self, now: Instant, key: &Key, by: &name::Entry) -> Taken {
+    pub fn take(&mut self, now: Instant, key: &Key, by: &name::Entry) -> Retrieval {
         self.expire(now);
         let Some(kept) = self.kept.get_mut(key) else {
-            return Taken::Missing;
+            return Retrieval::Missing;
         };
         if let Some((holder, since)) = &kept.taken
             && holder != by
             && now.since(*since) < Self::RETAKE
         {
-            return Taken::Elsewhere(holder.clone());
+            return Retrieval::Elsewhere(holder.clone());
         }
         kept.taken = Some((by.clone(), now));
         let left = kept.until.since(now);
@@ -111,7 +111,7 @@
             left_ms: u64::try_from(left.as_millis()).unwrap_or(u64::MAX),
             ..kept.parcel.clone()
         };
-        Taken::Parcel(Box::new(parcel))
+        Retrieval::Parcel(Box::new(parcel))
     }
 
     /// Forgets a parcel whose caller has its answer.
--- a/bergamotshift-fleet/src/handover/message.rs
+++ b/bergamotshift-fleet/src/handover/message.rs
@@ -9,7 +9,7 @@
 use super::Key;
 use super::Parcel;
 use super::Receipt;
-use super::Taken;
+use super::Retrieval;
 
 /// The version of the layout.
 const VERSION: u8 = 1;
@@ -110,12 +110,12 @@
     }
 }
 
-impl From<Taken> for Answer {
-    fn from(taken: Taken) -> Self {
+impl From<Retrieval> for Answer {
+    fn from(taken: Retrieval) -> Self {
         match taken {
-            Taken::Parcel(parcel) => Self::Parcel(parcel),
-            Taken::Elsewhere(entry) => Self::Elsewhere(entry),
-            Taken::Missing => Self::Missing,
+            Retrieval::Parcel(parcel) => Self::Parcel(parcel),
+            Retrieval::Elsewhere(entry) => Self::Elsewhere(entry),
+            Retrieval::Missing => Self::Missing,
         }
     }
 }
--- a/bergamotshift-fleet/src/handover/mod.rs
+++ b/bergamotshift-fleet/src/handover/mod.rs
@@ -22,7 +22,7 @@
 use crate::rendezvous;
 pub use keeper::Keeper;
 pub use keeper::Receipt;
-pub use keeper::Taken;
+pub use keeper::Retrieval;
 pub use message::Answer;
 pub use message::Error;
 pub use message::Question;
@@ -38,7 +38,7 @@
 
 /// Members asked one after the other for a parcel: two keepers, and one more because the asker does not know which
 /// zone the leaving entry was in.
-pub const CANDIDATES: usize = KEEPERS + 1;
+pub const CANDIDATE_COUNT: usize = KEEPERS + 1;
 
 /// A fleet of at most this many entries can be asked as a whole when the candidates have nothing.
 pub const SMALL_FLEET: usize = 16;
@@ -102,13 +102,13 @@
     let mut order: Vec<key::Entry> = best_per_zone(key, members, &nobody)
         .into_iter()
         .map(|(_, entry)| entry)
-        .take(CANDIDATES)
+        .take(CANDIDATE_COUNT)
         .collect();
     let ranked = ranked(key, members, &nobody);
     let further = if ranked.len() <= SMALL_FLEET {
         ranked.len()
     } else {
-        CANDIDATES
+        CANDIDATE_COUNT
     };
     for entry in ranked.into_iter().take(further) {
         if !order.contains(&entry) {
--- a/bergamotshift-fleet/src/kernel/action.rs
+++ b/bergamotshift-fleet/src/kernel/action.rs
@@ -13,7 +13,7 @@
 
 /// How a frame travels.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Way {
+pub enum Transport {
     /// As one unreliable datagram.
     Datagram,
     /// On a reliable stream of its own.
@@ -28,7 +28,7 @@
         /// The receiver's link.
         to: SocketAddr,
         /// How it travels.
-        way: Way,
+        transport: Transport,
         /// The frame.
         bytes: Vec<u8>,
     },
@@ -44,7 +44,7 @@
     /// Stops reading an endpoint's load.
     Unwatch(endpoint::Id),
     /// Another entry heard an endpoint's load.
-    Loaded {
+    LoadReceived {
         /// The endpoint.
         endpoint: endpoint::Id,
         /// The report, as exact as the wire's levels are.
@@ -55,9 +55,9 @@
     /// An endpoint takes no new work from now on.
     Marked(mark::Mark),
     /// A member came, went or changed.
-    Member(member::Record),
+    MemberChanged(member::Record),
     /// Another entry told news for a part of this one.
-    Noted {
+    NoteReceived {
         /// The news.
         note: note::Note,
         /// Who told it first, when that entry is known here; once it is, the news comes again.
--- a/bergamotshift-fleet/src/kernel/event.rs
+++ b/bergamotshift-fleet/src/kernel/event.rs
@@ -23,9 +23,9 @@
         bytes: Vec<u8>,
     },
     /// The platform's VM list was read.
-    Listed(Vec<vm::Listing>),
+    VmsListed(Vec<vm::Listing>),
     /// An endpoint is known to leave.
-    Leaving {
+    EndpointLeaving {
         /// The endpoint.
         endpoint: endpoint::Id,
         /// How this entry knows.
@@ -34,14 +34,14 @@
         notice_ms: Option<u32>,
     },
     /// A watched endpoint reported its load.
-    Loaded {
+    LoadReported {
         /// The endpoint.
         endpoint: endpoint::Id,
         /// The report.
         report: Report,
     },
     /// Another part of the entry has news for all entries.
-    Announced {
+    NotePublished {
         /// What it is about.
         topic: note::Topic,
         /// What it is about within the topic.
@@ -52,7 +52,7 @@
         body: Vec<u8>,
     },
     /// This entry serves an organisation at this rate.
-    Used {
+    UsageMeasured {
         /// The organisation.
         organisation: name::Organisation,
         /// The rate, in the unit that the limits count in.
--- a/bergamotshift-fleet/src/kernel/mod.rs
+++ b/bergamotshift-fleet/src/kernel/mod.rs
@@ -37,7 +37,7 @@
 use crate::wire;
 use crate::zone;
 pub use action::Action;
-pub use action::Way;
+pub use action::Transport;
 pub use event::Event;
 pub use status::Status;
 
@@ -144,20 +144,20 @@
         match event {
             Event::Tick => {}
             Event::Received { from, bytes } => self.receive(now, from, &bytes, out),
-            Event::Listed(list) => self.listed(now, &list, out),
-            Event::Leaving {
+            Event::VmsListed(list) => self.listed(now, &list, out),
+            Event::EndpointLeaving {
                 endpoint,
                 source,
                 notice_ms,
             } => self.mark(now, endpoint, source, notice_ms, out),
-            Event::Loaded { endpoint, report } => self.loaded(now, &endpoint, &report, out),
-            Event::Announced {
+            Event::LoadReported { endpoint, report } => self.loaded(now, &endpoint, &report, out),
+            Event::NotePublished {
                 topic,
                 key,
                 version,
                 body,
             } => self.announce(now, topic, key, version, body),
-            Event::Used { organisation, rate } => self.usage.set_own(organisation, rate),
+            Event::UsageMeasured { organisation, rate } => self.usage.set_own(organisation, rate),
             Event::Leave => self.leave(now, out),
         }
         self.run_due(now, out);
--- a/bergamotshift-fleet/src/kernel/news.rs
+++ b/bergamotshift-fleet/src/kernel/news.rs
@@ -6,7 +6,7 @@
 
 use super::Action;
 use super::Kernel;
-use super::Way;
+use super::Transport;
 use crate::endpoint;
 use crate::gossip;
 use crate::mark;
@@ -85,7 +85,7 @@
         if origin_name.is_none() && self.untold.len() < note::Table::CAPACITY {
             self.untold.insert(note.origin);
         }
-        out.push(Action::Noted {
+        out.push(Action::NoteReceived {
             origin: origin_name,
             note: note.clone(),
         });
@@ -143,7 +143,7 @@
         self.zones
             .entry(record.zone.clone())
             .or_insert_with(|| crate::zone::View::new(now));
-        out.push(Action::Member(record.clone()));
+        out.push(Action::MemberChanged(record.clone()));
         if self.untold.remove(&record.tag()) {
             self.name_teller(now, &record, out);
         }
@@ -154,7 +154,7 @@
     fn name_teller(&self, now: Instant, record: &member::Record, out: &mut Vec<Action>) {
         let tag = record.tag();
         let noted = self.notes.iter(now).filter(|note| note.origin == tag);
-        out.extend(noted.map(|note| Action::Noted {
+        out.extend(noted.map(|note| Action::NoteReceived {
             origin: Some(record.name.clone()),
             note,
         }));
@@ -224,7 +224,7 @@
                 let Some(record) = self.members.get(*key) else { continue };
                 out.push(Action::Send {
                     to: record.address,
-                    way: Way::Datagram,
+                    transport: Transport::Datagram,
                     bytes: bytes.clone(),
                 });
             }
--- a/bergamotshift-fleet/src/kernel/probe.rs
+++ b/bergamotshift-fleet/src/kernel/probe.rs
@@ -11,7 +11,7 @@
 
 use super::Action;
 use super::Kernel;
-use super::Way;
+use super::Transport;
 use crate::gossip;
 use crate::member;
 use crate::tag;
@@ -97,7 +97,7 @@
         let bytes = self.frame(now, body, Some(target), with_digest, &gossip::Told::new());
         out.push(Action::Send {
             to,
-            way: Way::Datagram,
+            transport: Transport::Datagram,
             bytes,
         });
         let probe = Probe {
@@ -105,7 +105,7 @@
             tag,
             purpose,
             is_retried: false,
-            next: now + self.settings.retry_after,
+            next: now + self.settings.probe_retry_delay,
         };
         self.probes.insert(sequence, probe);
     }
@@ -129,7 +129,11 @@
                 continue;
             }
             probe.is_retried = true;
-            probe.next = now + self.settings.period.saturating_sub(self.settings.retry_after);
+            probe.next = now
+                + self
+                    .settings
+                    .probe_interval
+                    .saturating_sub(self.settings.probe_retry_delay);
             let probe = probe.clone();
             self.retry(sequence, &probe, out);
         }
@@ -159,7 +163,7 @@
         let Some(record) = self.members.get(to) else { return };
         out.push(Action::Send {
             to: record.address,
-            way: Way::Datagram,
+            transport: Transport::Datagram,
             bytes: wire::Writer::new(self.tag, body, wire::MAX_DATAGRAM).finish(),
         });
     }
@@ -192,7 +196,7 @@
         if let Some(record) = self.members.get(target) {
             out.push(Action::Send {
                 to: record.address,
-                way: Way::Datagram,
+                transport: Transport::Datagram,
                 bytes,
             });
         }
@@ -253,7 +257,7 @@
             let bytes = wire::Writer::new(self.tag, body, wire::MAX_DATAGRAM).finish();
             out.push(Action::Send {
                 to: relayed.asker,
-                way: Way::Datagram,
+                transport: Transport::Datagram,
                 bytes,
             });
             return;
@@ -293,7 +297,7 @@
         let relayed = Relayed {
             asker,
             sequence,
-            until: now + self.settings.period + Duration::from_secs(1),
+            until: now + self.settings.probe_interval + Duration::from_secs(1),
         };
         self.relayed.insert(self.sequence, relayed);
         let body = wire::Body::Ping {
--- a/bergamotshift-fleet/src/kernel/receive.rs
+++ b/bergamotshift-fleet/src/kernel/receive.rs
@@ -9,7 +9,7 @@
 use super::Action;
 use super::Heard;
 use super::Kernel;
-use super::Way;
+use super::Transport;
 use super::news::Origin;
 use crate::gossip;
 use crate::load;
@@ -70,7 +70,7 @@
             let bytes = wire::Writer::new(self.tag, wire::Body::Stranger, wire::MAX_DATAGRAM).finish();
             out.push(Action::Send {
                 to: from,
-                way: Way::Datagram,
+                transport: Transport::Datagram,
                 bytes,
             });
         }
@@ -109,7 +109,7 @@
         };
         out.push(Action::Send {
             to,
-            way: Way::Datagram,
+            transport: Transport::Datagram,
             bytes,
         });
         if ping.target == tag::Long::UNKNOWN {
@@ -125,7 +125,7 @@
         for bytes in self.pack(&items, wire::MAX_DATAGRAM) {
             out.push(Action::Send {
                 to,
-                way: Way::Datagram,
+                transport: Transport::Datagram,
                 bytes,
             });
         }
@@ -181,7 +181,7 @@
         };
         self.loads.insert(news.endpoint, heard);
         if let Some(known) = self.directory.tagged(news.endpoint) {
-            out.push(Action::Loaded {
+            out.push(Action::LoadReceived {
                 endpoint: known.id.clone(),
                 report: news.level.report(news.sequence),
                 age,
--- a/bergamotshift-fleet/src/kernel/schedule.rs
+++ b/bergamotshift-fleet/src/kernel/schedule.rs
@@ -56,8 +56,8 @@
     /// Gives each entry its own phase, so that entries started together do not send together.
     pub(super) fn spread_phases(&mut self, now: Instant) {
         let mut phase = |length: Duration| now + length.mul_f64(self.random.random::<f64>());
-        self.schedule.probe = phase(self.settings.period);
-        self.schedule.cross = phase(self.settings.cross_period);
+        self.schedule.probe = phase(self.settings.probe_interval);
+        self.schedule.cross = phase(self.settings.zone_probe_interval);
         self.schedule.housekeeping = phase(Schedule::HOUSEKEEPING / 4);
         self.schedule.reconnect = phase(Schedule::RECONNECT);
     }
@@ -71,11 +71,11 @@
         self.advance_probes(now, out);
         self.expire_suspects(now, out);
         if now >= self.schedule.probe {
-            self.schedule.probe = next(self.schedule.probe, now, self.settings.period);
+            self.schedule.probe = next(self.schedule.probe, now, self.settings.probe_interval);
             self.probe_next(now, out);
         }
         if now >= self.schedule.cross {
-            self.schedule.cross = next(self.schedule.cross, now, self.settings.cross_period);
+            self.schedule.cross = next(self.schedule.cross, now, self.settings.zone_probe_interval);
             self.probe_zone(now, out);
         }
         if now >= self.schedule.reconnect {
--- a/bergamotshift-fleet/src/kernel/sync.rs
+++ b/bergamotshift-fleet/src/kernel/sync.rs
@@ -11,7 +11,7 @@
 
 use super::Action;
 use super::Kernel;
-use super::Way;
+use super::Transport;
 use crate::endpoint;
 use crate::mark;
 use crate::member;
@@ -130,7 +130,7 @@
         writer.push(&Item::Member(self.me.clone()));
         out.push(Action::Send {
             to,
-            way: Way::Datagram,
+            transport: Transport::Datagram,
             bytes: writer.finish(),
         });
     }
@@ -161,7 +161,7 @@
         for bytes in self.pack(items, wire::MAX_STREAM) {
             out.push(Action::Send {
                 to,
-                way: Way::Stream,
+                transport: Transport::Stream,
                 bytes,
             });
         }
--- a/bergamotshift-fleet/src/prelude.rs
+++ b/bergamotshift-fleet/src/prelude.rs
@@ -4,7 +4,7 @@
 pub use crate::kernel::Action;
 pub use crate::kernel::Event;
 pub use crate::kernel::Kernel;
-pub use crate::kernel::Way;
+pub use crate::kernel::Transport;
 pub use crate::mark;
 pub use crate::member;
 pub use crate::note;
--- a/bergamotshift-fleet/src/settings/mod.rs
+++ b/bergamotshift-fleet/src/settings/mod.rs
@@ -16,15 +16,15 @@
     /// Addresses of entries to ask first.
     pub seeds: Vec<SocketAddr>,
     /// Time between two probes of members of the own zone.
-    pub period: Duration,
+    pub probe_interval: Duration,
     /// Time after which a probe is repeated, directly and through others.
-    pub retry_after: Duration,
+    pub probe_retry_delay: Duration,
     /// Members asked to probe in this entry's stead.
     pub relays: usize,
     /// Time in which a suspect may refute.
     pub suspicion: Duration,
     /// Time between two probes of other zones by a speaker.
-    pub cross_period: Duration,
+    pub zone_probe_interval: Duration,
     /// Probes of a zone in a row that fail before a speaker calls it lost.
     pub cross_failures: u32,
     /// Time without any news of a zone after which it is lost.
@@ -61,11 +61,11 @@
     fn default() -> Self {
         Self {
             seeds: Vec::new(),
-            period: Duration::from_secs(1),
-            retry_after: Duration::from_millis(250),
+            probe_interval: Duration::from_secs(1),
+            probe_retry_delay: Duration::from_millis(250),
             relays: 3,
             suspicion: Duration::from_secs(3),
-            cross_period: Duration::from_secs(2),
+            zone_probe_interval: Duration::from_secs(2),
             cross_failures: 3,
             silence: Duration::from_secs(45),
             coalesce: Duration::from_millis(20),
--- a/bergamotshift-fleet/tests/handover.rs
+++ b/bergamotshift-fleet/tests/handover.rs
@@ -17,7 +17,7 @@
 use bergamotshift_fleet::handover::Progress;
 use bergamotshift_fleet::handover::Question;
 use bergamotshift_fleet::handover::Receipt;
-use bergamotshift_fleet::handover::Taken;
+use bergamotshift_fleet::handover::Retrieval;
 use bergamotshift_fleet::handover::candidates;
 use bergamotshift_fleet::handover::keepers;
 use bergamotshift_fleet::member;
@@ -185,7 +185,7 @@
             keeper.put(NOW, copy.clone());
         }
         let taken = keeper.take(NOW, &key("request"), &"entry".into());
-        assert_eq!(taken, Taken::Parcel(Box::new(late.clone())));
+        assert_eq!(taken, Retrieval::Parcel(Box::new(late.clone())));
         assert_eq!(keeper.len(), 1);
     }
 }
@@ -205,7 +205,7 @@
         let mut keeper = Keeper::default();
         assert_eq!(keeper.put(NOW, sent.clone()), Receipt::Kept);
         assert_eq!(keeper.put(NOW, waiting.clone()), Receipt::Known);
-        let Taken::Parcel(parcel) = keeper.take(NOW, &key("request"), &"entry".into()) else {
+        let Retrieval::Parcel(parcel) = keeper.take(NOW, &key("request"), &"entry".into()) else {
             panic!("the parcel is kept");
         };
         assert_eq!(parcel.progress, Progress::Sent);
@@ -220,16 +220,19 @@
     let mut keeper = Keeper::default();
     keeper.put(NOW, parcel("request", running(b"one ", 1)));
     let key = key("request");
-    assert!(matches!(keeper.take(NOW, &key, &"first".into()), Taken::Parcel(_)));
+    assert!(matches!(keeper.take(NOW, &key, &"first".into()), Retrieval::Parcel(_)));
     assert_eq!(
         keeper.take(NOW, &key, &"second".into()),
-        Taken::Elsewhere("first".into())
+        Retrieval::Elsewhere("first".into())
     );
-    assert!(matches!(keeper.take(NOW, &key, &"first".into()), Taken::Parcel(_)));
+    assert!(matches!(keeper.take(NOW, &key, &"first".into()), Retrieval::Parcel(_)));
     let later = NOW + Keeper::RETAKE;
-    assert!(matches!(keeper.take(later, &key, &"second".into()), Taken::Parcel(_)));
+    assert!(matches!(
+        keeper.take(later, &key, &"second".into()),
+        Retrieval::Parcel(_)
+    ));
     keeper.finish(&key);
-    assert_eq!(keeper.take(later, &key, &"first".into()), Taken::Missing);
+    assert_eq!(keeper.take(later, &key, &"first".into()), Retrieval::Missing);
 }
 
 #[test]
@@ -239,12 +242,12 @@
     assert_eq!(keeper.put(NOW, parcel("b", Progress::Waiting)), Receipt::Kept);
     assert_eq!(keeper.put(NOW, parcel("c", Progress::Waiting)), Receipt::Full);
     let later = NOW + Duration::from_secs(10);
-    let Taken::Parcel(taken) = keeper.take(later, &key("a"), &"entry".into()) else {
+    let Retrieval::Parcel(taken) = keeper.take(later, &key("a"), &"entry".into()) else {
         panic!("the parcel is kept");
     };
     assert_eq!(taken.left_ms, 20_000);
     let end = NOW + Duration::from_secs(30);
-    assert_eq!(keeper.take(end, &key("a"), &"entry".into()), Taken::Missing);
+    assert_eq!(keeper.take(end, &key("a"), &"entry".into()), Retrieval::Missing);
     assert_eq!(keeper.put(end, parcel("c", Progress::Waiting)), Receipt::Kept);
     assert_eq!(keeper.len(), 1);
 }
--- a/bergamotshift-fleet/tests/leaving.rs
+++ b/bergamotshift-fleet/tests/leaving.rs
@@ -44,7 +44,7 @@
     let mut fleet = warm(62);
     let zone: Vec<usize> = (0..MIDDLE.endpoints).filter(|index| index % 5 == 2).collect();
     for &index in &zone {
-        let event = Event::Leaving {
+        let event = Event::EndpointLeaving {
             endpoint: fleet.endpoint(index),
             source: mark::Source::Notice,
             notice_ms: Some(5_000),
@@ -63,7 +63,7 @@
     // VM. Neither takes the mark back. The next life of the same VM is not touched by the mark.
     let mut fleet = warm(63);
     let old = fleet.endpoint(4);
-    let event = Event::Leaving {
+    let event = Event::EndpointLeaving {
         endpoint: old.clone(),
         source: mark::Source::Refused,
         notice_ms: None,
@@ -77,7 +77,7 @@
     newer[4].incarnation = old.incarnation.next();
     for list in [lagging, older] {
         for node in 0..MIDDLE.entries {
-            fleet.event(node, Event::Listed(list.clone()));
+            fleet.event(node, Event::VmsListed(list.clone()));
         }
         for (_, node) in fleet.running() {
             let known = node.kernel.directory().get(&old.vm).map(|known| &known.id);
@@ -86,7 +86,7 @@
         }
     }
     for node in 0..MIDDLE.entries {
-        fleet.event(node, Event::Listed(newer.clone()));
+        fleet.event(node, Event::VmsListed(newer.clone()));
     }
     for (_, node) in fleet.running() {
         let known = node.kernel.directory().get(&old.vm).map(|known| known.id.clone());
@@ -102,7 +102,7 @@
     let mut list = fleet.list.clone();
     list[7].state = vm::State::Leaving { notice_ms: 20_000 };
     let by_list = fleet.endpoint(7);
-    fleet.event(1, Event::Listed(list));
+    fleet.event(1, Event::VmsListed(list));
 
     let (watcher, by_itself) = fleet
         .running()
@@ -112,7 +112,7 @@
         leaving: true,
         ..Default::default()
     };
-    let event = Event::Loaded {
+    let event = Event::LoadReported {
         endpoint: by_itself.clone(),
         report,
     };
--- a/bergamotshift-fleet/tests/load.rs
+++ b/bergamotshift-fleet/tests/load.rs
@@ -59,7 +59,7 @@
     let mut kernel = Kernel::new(Instant::from_secs(100), me, settings, rand_pcg::Pcg64Mcg::new(1));
     kernel.handle(
         Instant::from_secs(100),
-        Event::Listed(fleet.list.clone()),
+        Event::VmsListed(fleet.list.clone()),
         &mut Vec::new(),
     );
     assert_eq!(hear(&mut kernel, 101, &endpoint, 7, 0), Some(7));
--- a/bergamotshift-fleet/tests/notes.rs
+++ b/bergamotshift-fleet/tests/notes.rs
@@ -28,7 +28,7 @@
     let mut actions = Vec::new();
     kernel.handle(Instant::from_millis(millis), event, &mut actions);
     let noted = actions.into_iter().filter_map(|action| match action {
-        Action::Noted { origin, .. } => Some(origin),
+        Action::NoteReceived { origin, .. } => Some(origin),
         _ => None,
     });
     noted.collect()
--- a/bergamotshift-fleet/tests/partition.rs
+++ b/bergamotshift-fleet/tests/partition.rs
@@ -40,7 +40,7 @@
 
 fn leave(fleet: &mut Fleet, node: usize, endpoint: usize) -> endpoint::Id {
     let endpoint = fleet.endpoint(endpoint);
-    let event = Event::Leaving {
+    let event = Event::EndpointLeaving {
         endpoint: endpoint.clone(),
         source: mark::Source::Notice,
         notice_ms: Some(30_000),
@@ -162,7 +162,7 @@
     let mut read = |list: &[vm::Listing]| {
         for _ in 0..4 {
             for node in 0..MIDDLE.entries {
-                fleet.event(node, Event::Listed(list.to_vec()));
+                fleet.event(node, Event::VmsListed(list.to_vec()));
             }
             fleet.run(Duration::from_secs(20));
         }
--- a/bergamotshift-fleet/tests/pause.rs
+++ b/bergamotshift-fleet/tests/pause.rs
@@ -40,7 +40,7 @@
     };
     let mut kernel = Kernel::new(Instant::ZERO, record, Settings::default(), Pcg64Mcg::new(1));
     let mut actions = Vec::new();
-    let event = Event::Leaving {
+    let event = Event::EndpointLeaving {
         endpoint: endpoint::Id {
             vm: "vm".into(),
             incarnation: Incarnation::new(1),
--- a/bergamotshift-fleet/tests/support/build.rs
+++ b/bergamotshift-fleet/tests/support/build.rs
@@ -95,7 +95,7 @@
             fleet.nodes.push(Node::start(kernel, index % shape.zones));
             let phase = fleet.now + Duration::from_micros(random.random_range(0..1_000_000));
             fleet.schedule(phase, Occurrence::Second { node: index });
-            fleet.event(index, Event::Listed(fleet.list.clone()));
+            fleet.event(index, Event::VmsListed(fleet.list.clone()));
         }
         fleet
     }
@@ -113,7 +113,7 @@
             life,
             ..Node::start(kernel, node % shape.zones)
         };
-        self.event(node, Event::Listed(self.list.clone()));
+        self.event(node, Event::VmsListed(self.list.clone()));
     }
 
     /// Returns the id of a listed endpoint.
--- a/bergamotshift-fleet/tests/support/mod.rs
+++ b/bergamotshift-fleet/tests/support/mod.rs
@@ -187,12 +187,12 @@
                 cache_permille: self.random.random_range(0..1_000),
                 leaving: false,
             };
-            self.event(node, Event::Loaded { endpoint, report });
+            self.event(node, Event::LoadReported { endpoint, report });
         }
         for index in 0..self.organisations {
             let organisation = name::Organisation::new(format!("organisation-{index}"));
             let rate = self.random.random_range(0..50);
-            self.event(node, Event::Used { organisation, rate });
+            self.event(node, Event::UsageMeasured { organisation, rate });
         }
     }
 
@@ -216,22 +216,22 @@
     fn act(&mut self, node: usize, action: Action) {
         let now = self.now;
         match action {
-            Action::Send { to, way, bytes } => self.send(node, to, way, &bytes),
+            Action::Send { to, transport, bytes } => self.send(node, to, transport, &bytes),
             Action::Marked(mark) => {
                 self.nodes[node].marked.insert(mark.endpoint, now);
             }
-            Action::Noted { note, .. } => {
+            Action::NoteReceived { note, .. } => {
                 self.nodes[node].noted.insert(note.version, now);
             }
-            Action::Member(record) => self.nodes[node].opinions.push((now, record)),
+            Action::MemberChanged(record) => self.nodes[node].opinions.push((now, record)),
             Action::Paused { gap } => self.nodes[node].pauses.push(gap),
             _ => {}
         }
     }
 
-    fn send(&mut self, from: usize, to: SocketAddr, way: Way, bytes: &[u8]) {
+    fn send(&mut self, from: usize, to: SocketAddr, transport: Transport, bytes: &[u8]) {
         let Some(&to) = self.addresses.get(&to) else { return };
-        let is_datagram = way == Way::Datagram;
+        let is_datagram = transport == Transport::Datagram;
         if is_datagram {
             assert!(
                 bytes.len() <= bergamotshift_fleet::wire::MAX_DATAGRAM,
--- a/bergamotshift-fleet/tests/support/trial.rs
+++ b/bergamotshift-fleet/tests/support/trial.rs
@@ -46,7 +46,7 @@
             let endpoint = self.endpoint(trial);
             let learner = self.random.random_range(0..self.nodes.len());
             let start = self.now;
-            let event = Event::Leaving {
+            let event = Event::EndpointLeaving {
                 endpoint: endpoint.clone(),
                 source: mark::Source::Notice,
                 notice_ms: Some(5_000),
@@ -66,7 +66,7 @@
         for version in 1..=trials as u64 {
             let first = self.random.random_range(0..self.nodes.len());
             let start = self.now;
-            let event = Event::Announced {
+            let event = Event::NotePublished {
                 topic: note::Topic::CONFIG,
                 key: 0,
                 version,
--- a/bergamotshift-link/src/node/mod.rs
+++ b/bergamotshift-link/src/node/mod.rs
@@ -12,7 +12,7 @@
 use std::sync::Arc;
 
 use bergamotshift_core::throughput::Throughput;
-use bergamotshift_fleet::kernel::Way;
+use bergamotshift_fleet::kernel::Transport;
 use slog::Logger;
 use thiserror::Error;
 use tokio::sync::mpsc;
@@ -163,7 +163,7 @@
     /// Sends a frame, and opens a connection when there is none; nobody hears whether it arrived.
     ///
     /// A datagram may get lost; so does a frame for a peer that cannot be reached.
-    pub fn send(&self, to: SocketAddr, way: Way, bytes: Vec<u8>) {
+    pub fn send(&self, to: SocketAddr, way: Transport, bytes: Vec<u8>) {
         self.peers.send(to, way, bytes);
     }
 
--- a/bergamotshift-link/src/node/peers.rs
+++ b/bergamotshift-link/src/node/peers.rs
@@ -8,7 +8,7 @@
 use std::sync::Mutex;
 use std::sync::PoisonError;
 
-use bergamotshift_fleet::kernel::Way;
+use bergamotshift_fleet::kernel::Transport;
 use quinn::ClientConfig;
 use quinn::Connection;
 use quinn::Endpoint;
@@ -32,7 +32,7 @@
 const READ: usize = 64 * 1_024;
 
 /// A frame on its way out.
-type Outgoing = (Way, Vec<u8>);
+type Outgoing = (Transport, Vec<u8>);
 
 /// All peers of a node.
 #[derive(Debug)]
@@ -73,7 +73,7 @@
     }
 
     /// Queues a frame for a peer; a full queue drops it.
-    pub(super) fn send(self: &Arc<Self>, to: SocketAddr, way: Way, bytes: Vec<u8>) {
+    pub(super) fn send(self: &Arc<Self>, to: SocketAddr, way: Transport, bytes: Vec<u8>) {
         let mut state = self.lock();
         let mut outgoing = (way, bytes);
         if let Some(queue) = state.queues.get(&to) {
@@ -104,9 +104,9 @@
         }
     }
 
-    fn put(&self, connection: &Connection, way: Way, bytes: Vec<u8>) {
+    fn put(&self, connection: &Connection, way: Transport, bytes: Vec<u8>) {
         let fits = connection.max_datagram_size().is_some_and(|most| bytes.len() <= most);
-        if way == Way::Datagram && fits {
+        if way == Transport::Datagram && fits {
             if let Err(error) = connection.send_datagram(bytes.into()) {
                 debug!(self.log, "a frame was not sent"; "error" => %error);
             }
--- a/bergamotshift-link/tests/loopback.rs
+++ b/bergamotshift-link/tests/loopback.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use bergamotshift_fleet::kernel::Way;
+use bergamotshift_fleet::kernel::Transport;
 use bergamotshift_link::node::Error;
 use bergamotshift_link::node::Incoming;
 use support::Authority;
@@ -19,7 +19,11 @@
     let (second, mut to_second) = bind(&authority.issue(&authority));
     let (first_at, second_at) = (first.address().unwrap(), second.address().unwrap());
 
-    for (way, length) in [(Way::Datagram, 300), (Way::Stream, 40_000), (Way::Datagram, 1_100)] {
+    for (way, length) in [
+        (Transport::Datagram, 300),
+        (Transport::Stream, 40_000),
+        (Transport::Datagram, 1_100),
+    ] {
         first.send(second_at, way, vec![7; length]);
         let Some(Incoming::Frame { from, bytes }) = to_second.recv().await else {
             panic!("a frame was expected");
@@ -72,18 +76,18 @@
         let (entry, mut to_entry) = bind(&authority.issue(&authority));
         let at = entry.address().unwrap();
 
-        stranger.send(at, Way::Datagram, b"let me in".to_vec());
+        stranger.send(at, Transport::Datagram, b"let me in".to_vec());
         let error = stranger.ask(at, b"who is there", PATIENCE).await.unwrap_err();
         assert!(!matches!(error, Error::Timeout), "{error}");
         entry
             .ask(stranger.address().unwrap(), b"a secret", PATIENCE)
             .await
             .unwrap_err();
-        entry.send(stranger.address().unwrap(), Way::Datagram, b"a secret".to_vec());
+        entry.send(stranger.address().unwrap(), Transport::Datagram, b"a secret".to_vec());
 
         // A good peer's frame comes after all that; nothing may have come before it.
         let (peer, _frames) = bind(&authority.issue(&authority));
-        peer.send(at, Way::Datagram, b"hello".to_vec());
+        peer.send(at, Transport::Datagram, b"hello".to_vec());
         let Some(Incoming::Frame { from, bytes }) = to_entry.recv().await else {
             panic!("a frame was expected");
         };
@@ -103,7 +107,7 @@
     let authority = Authority::new();
     let (first, _frames) = bind(&authority.issue(&authority));
     let (second, mut to_second) = bind(&authority.issue(&authority));
-    first.send(second.address().unwrap(), Way::Datagram, vec![1; 10]);
+    first.send(second.address().unwrap(), Transport::Datagram, vec![1; 10]);
     to_second.recv().await.unwrap();
     let traffic = first.traffic();
     let bytes = traffic.sent + traffic.received + traffic.datagrams * IP_AND_UDP;
@@ -118,7 +122,7 @@
     let (sender, _frames) = bind(&authority.issue(&authority));
     let (old, mut to_old) = bind(&authority.issue(&authority));
     let at = old.address().unwrap();
-    sender.send(at, Way::Datagram, b"old".to_vec());
+    sender.send(at, Transport::Datagram, b"old".to_vec());
     to_old.recv().await.unwrap();
     old.close().await;
     drop((old, to_old));
@@ -141,7 +145,7 @@
     let arrived = tokio::time::timeout(PATIENCE, async {
         loop {
             tokio::select! {
-                _ = interval.tick() => sender.send(at, Way::Datagram, b"new".to_vec()),
+                _ = interval.tick() => sender.send(at, Transport::Datagram, b"new".to_vec()),
                 incoming = to_new.recv() => break incoming,
             }
         }
