--- a/bergamotshift-forward/src/control/behind.rs
+++ b/bergamotshift-forward/src/control/behind.rs
@@ -95,7 +95,7 @@
         let mut inner = self.inner.borrow_mut();
         let (document, steps) = download.update.apply(&inner.document)?;
         let version = document.version;
-        if let Some((logger, left_out)) = self.shared.log.room(now, Topic::Peers) {
+        if let Some((logger, left_out)) = self.shared.log.rate_limited(now, Topic::Peers) {
             info!(logger, "document given"; "version" => version, "from" => holder.entry.as_str(),
                 "bytes" => download.bytes, "steps" => steps.as_ref().map(Vec::len),
                 "ms" => took.as_millis() as u64, "left_out" => left_out);
@@ -119,7 +119,7 @@
         shared.newest_document.fetch_max(state.document, Ordering::AcqRel);
         if self.behind_since.is_none() {
             self.behind_since = Some(now);
-            shared.metrics.behind.set(1);
+            shared.metrics.document_behind.set(1);
             info!(shared.log.always(), "document behind"; "version" => self.document.version,
                 "newest" => state.document, "entry" => state.entry.as_str(),
                 "known_age_ms" => state.document_freshness.map(|known| known.age_ms));
@@ -130,7 +130,7 @@
     pub(super) fn update_lag(&mut self, now: Instant, shared: &Shared) {
         if self.document.version >= shared.newest_document.load(Ordering::Acquire) && self.behind_since.take().is_some()
         {
-            shared.metrics.behind.set(0);
+            shared.metrics.document_behind.set(0);
         }
         let late = self
             .behind_since
--- a/bergamotshift-forward/src/control/inner.rs
+++ b/bergamotshift-forward/src/control/inner.rs
@@ -198,7 +198,7 @@
             "before" => self.document.version, "from" => from, "routes" => document.routes.len(),
             "organisations" => document.organisations.len());
         let version = i64::try_from(document.version).unwrap_or(i64::MAX);
-        shared.metrics.document.set(version);
+        shared.metrics.document_version.set(version);
         let steps = steps.unwrap_or_else(|| vec![Difference::between(&self.document, &document)]);
         self.updates.push_steps(&document, steps);
         self.document = Arc::new(document);
@@ -223,7 +223,7 @@
             return;
         }
         let after = self.directory.endpoints().count();
-        if let Some((logger, left_out)) = shared.log.room(now, Topic::Belief) {
+        if let Some((logger, left_out)) = shared.log.rate_limited(now, Topic::State) {
             info!(logger, "endpoints changed"; "before" => before, "after" => after, "from" => from,
                 "cursor" => self.registrations_checkpoint.cursor().0, "left_out" => left_out);
         }
@@ -234,7 +234,7 @@
     fn handle_leaving(&mut self, now: Instant, shared: &Shared, leaving: &[Arc<Endpoint>], from: &str) {
         for endpoint in leaving {
             self.quarantine.announce(now, instance(endpoint));
-            if let Some((logger, left_out)) = shared.log.room(now, Topic::Belief) {
+            if let Some((logger, left_out)) = shared.log.rate_limited(now, Topic::State) {
                 info!(logger, "endpoint leaves"; "endpoint" => endpoint.registration.id.as_str(),
                     "service" => endpoint.registration.service.as_str(),
                     "zone" => endpoint.registration.zone.as_str(), "from" => from,
@@ -269,7 +269,7 @@
                 .note(PROMPT_DEMAND_WINDOW, service.requested_tokens.swap(0, Relaxed), span);
         }
         for entry in self.members.expire(now) {
-            if let Some((logger, left_out)) = shared.log.room(now, Topic::Belief) {
+            if let Some((logger, left_out)) = shared.log.rate_limited(now, Topic::State) {
                 info!(logger, "entry forgotten"; "entry" => entry.as_str(), "left_out" => left_out);
             }
             for organisation in self.organisations.values_mut() {
--- a/bergamotshift-forward/src/control/mod.rs
+++ b/bergamotshift-forward/src/control/mod.rs
@@ -117,7 +117,7 @@
 
     /// Counts a call of the store, and logs when the call begins to fail or succeeds again.
     pub fn record_call(&self, call: &'static str, error: Option<&bergamotshift_platform::Error>) {
-        self.shared.metrics.called(call, error.is_none());
+        self.shared.metrics.count_call(call, error.is_none());
         let mut inner = self.inner.borrow_mut();
         let lost = inner.failed_calls.contains(call);
         match error {
@@ -161,8 +161,8 @@
         inner.document_checkpoint.confirm(now, cursor, Duration::ZERO);
         inner.apply_stored_rollouts(now, &self.shared, written.rollouts);
         for (service, cause) in &written.unreadable {
-            self.shared.metrics.unread.inc();
-            if let Some((logger, left_out)) = self.shared.log.room(now, Topic::Belief) {
+            self.shared.metrics.registrations_unread.inc();
+            if let Some((logger, left_out)) = self.shared.log.rate_limited(now, Topic::State) {
                 info!(logger, "rollout not read"; "service" => service.as_str(), "cause" => %cause,
                     "left_out" => left_out);
             }
@@ -207,8 +207,8 @@
             let Change::Unreadable { id, cause } = change else {
                 continue;
             };
-            self.shared.metrics.unread.inc();
-            if let Some((logger, left_out)) = self.shared.log.room(self.now(), Topic::Belief) {
+            self.shared.metrics.registrations_unread.inc();
+            if let Some((logger, left_out)) = self.shared.log.rate_limited(self.now(), Topic::State) {
                 info!(logger, "registration not read"; "endpoint" => id.as_str(), "cause" => %cause,
                     "left_out" => left_out);
             }
@@ -351,7 +351,7 @@
         let mut inner = self.inner.borrow_mut();
         inner.holds_duties = held;
         inner.lease_notice = notice;
-        self.shared.metrics.holder.set(i64::from(held));
+        self.shared.metrics.duty_holder.set(i64::from(held));
     }
 
     /// Takes the newest notice about the duties' lease that arrived since the last call, adjusted to the current time.
--- a/bergamotshift-forward/src/control/organisation.rs
+++ b/bergamotshift-forward/src/control/organisation.rs
@@ -171,12 +171,12 @@
         if keepers == self.keepers {
             return;
         }
-        if let Some((logger, left_out)) = shared.log.room(now, Topic::Belief) {
+        if let Some((logger, left_out)) = shared.log.rate_limited(now, Topic::State) {
             info!(logger, "zone kept"; "keeper" => ?keepers.keeper, "deputy" => ?keepers.deputy,
                 "is_deputy" => keepers.is_deputy, "members" => self.members.count(), "left_out" => left_out);
         }
         let is_keeper = keepers.keeper == Keeper::Own;
-        shared.metrics.keeper.set(i64::from(is_keeper));
+        shared.metrics.zone_keeper.set(i64::from(is_keeper));
         self.keepers = keepers;
         // The accounts are updated before the view is published, as grants are taken from them from then on.
         self.update_quotas(now, shared);
--- a/bergamotshift-forward/src/control/rollouts.rs
+++ b/bergamotshift-forward/src/control/rollouts.rs
@@ -176,7 +176,9 @@
         }
         self.shares = newest;
         for (service, share) in &self.shares {
-            shared.metrics.canary(service, if *share == ENDED { 0 } else { *share });
+            shared
+                .metrics
+                .set_canary_share(service, if *share == ENDED { 0 } else { *share });
         }
         self.publish(shared);
     }
--- a/bergamotshift-forward/src/control/talk.rs
+++ b/bergamotshift-forward/src/control/talk.rs
@@ -215,7 +215,7 @@
         }
         let entry = state.entry.clone();
         if self.members.record_state(now, state)
-            && let Some((logger, left_out)) = shared.log.room(now, Topic::Belief)
+            && let Some((logger, left_out)) = shared.log.rate_limited(now, Topic::State)
         {
             info!(logger, "entry heard"; "entry" => entry.as_str(), "members" => self.members.count(),
                 "left_out" => left_out);
--- a/bergamotshift-forward/src/daemon/mod.rs
+++ b/bergamotshift-forward/src/daemon/mod.rs
@@ -198,9 +198,9 @@
 async fn drain(shared: &Shared) -> usize {
     shared.stopping.store(true, Ordering::Release);
     shared.stop.notify_waiters();
-    let patience = shared.settings.stop.patience();
+    let timeout = shared.settings.stop.drain_timeout();
     info!(shared.log.always(), "stopping"; "active" => shared.active.load(Ordering::Acquire),
-        "patience_ms" => patience.as_millis() as u64);
+        "patience_ms" => timeout.as_millis() as u64);
     let began = shared.clock.now();
     let mut quiet_since = began;
     loop {
@@ -213,7 +213,7 @@
         if active > 0 {
             quiet_since = now;
         }
-        if now.since(quiet_since) >= QUIET || now.since(began) >= patience {
+        if now.since(quiet_since) >= QUIET || now.since(began) >= timeout {
             return active;
         }
     }
--- a/bergamotshift-forward/src/daemon/server.rs
+++ b/bergamotshift-forward/src/daemon/server.rs
@@ -169,7 +169,7 @@
     }
     Response::build(StatusCode::OK)
         .content_type("application/openmetrics-text; version=1.0.0; charset=utf-8")
-        .body(shared.metrics.text())
+        .body(shared.metrics.encode())
 }
 
 fn bind(address: &mut SocketAddr) -> Result<TcpListener, Error> {
--- a/bergamotshift-forward/src/duty/task.rs
+++ b/bergamotshift-forward/src/duty/task.rs
@@ -249,7 +249,7 @@
     /// Records the outcome of a call under the duties.
     fn record_call(&mut self, call: &'static str, outcome: &Result<(), Error>) {
         self.is_answered = matches!(outcome, Ok(()) | Err(Error::NoCapacity | Error::Refused(_)));
-        self.control.shared().metrics.called(call, outcome.is_ok());
+        self.control.shared().metrics.count_call(call, outcome.is_ok());
     }
 
     /// Returns the fencing token for one call now, or `None` if no call may be made.
--- a/bergamotshift-forward/src/follow/document.rs
+++ b/bergamotshift-forward/src/follow/document.rs
@@ -185,7 +185,7 @@
         Err(update::Error::Busy) => return Fetched::Busy,
         Err(error) => error.to_string(),
     };
-    if let Some((logger, left_out)) = control.shared().log.room(now(), Topic::Peers) {
+    if let Some((logger, left_out)) = control.shared().log.rate_limited(now(), Topic::Peers) {
         info!(logger, "document not given"; "from" => holder.entry.as_str(), "cause" => cause,
             "ms" => took.as_millis() as u64, "version" => control.document().version, "left_out" => left_out);
     }
--- a/bergamotshift-forward/src/follow/members.rs
+++ b/bergamotshift-forward/src/follow/members.rs
@@ -74,7 +74,7 @@
         // process.
         let read = round % WRITES_PER_READ != 0 || read(&control, &table).await;
         let written = write(&control, &table).await;
-        control.shared().metrics.called("entries", read && written);
+        control.shared().metrics.count_call("entries", read && written);
         if read && written {
             round += 1;
             tokio::time::sleep(scale_pause(WRITE_INTERVAL, control.entry_count())).await;
--- a/bergamotshift-forward/src/observe/log.rs
+++ b/bergamotshift-forward/src/observe/log.rs
@@ -24,7 +24,7 @@
     /// What went wrong between an entry and an endpoint.
     Attempt,
     /// What the entry believes of endpoints.
-    Belief,
+    State,
     /// Why there was no room for a request.
     Limit,
     /// What went wrong between entries.
@@ -57,7 +57,7 @@
     }
 
     /// Returns the logger if the topic has room for a line, with the number of lines left out before it.
-    pub fn room(&self, now: Instant, topic: Topic) -> Option<(&Logger, u64)> {
+    pub fn rate_limited(&self, now: Instant, topic: Topic) -> Option<(&Logger, u64)> {
         let place = topic as usize;
         if self.buckets[place].try_take(now, 1).is_err() {
             self.left_out[place].fetch_add(1, Relaxed);
--- a/bergamotshift-forward/src/observe/metrics.rs
+++ b/bergamotshift-forward/src/observe/metrics.rs
@@ -70,25 +70,25 @@
     /// Streams that went on at another endpoint.
     pub resumed: Counter<u64, AtomicU64>,
     /// The version of the operators' document in force.
-    pub document: Gauge<i64, AtomicI64>,
+    pub document_version: Gauge<i64, AtomicI64>,
     /// Whether another entry has a newer document.
-    pub behind: Gauge<i64, AtomicI64>,
+    pub document_behind: Gauge<i64, AtomicI64>,
     /// Endpoints that take work.
     pub endpoints: Gauge<i64, AtomicI64>,
     /// Other entries heard of lately.
     pub peers: Gauge<i64, AtomicI64>,
     /// Whether this entry holds the duties.
-    pub holder: Gauge<i64, AtomicI64>,
+    pub duty_holder: Gauge<i64, AtomicI64>,
     /// Whether this entry keeps its zone.
-    pub keeper: Gauge<i64, AtomicI64>,
+    pub zone_keeper: Gauge<i64, AtomicI64>,
     /// Questions that the keeper of the zone did not answer.
-    pub unanswered: Counter<u64, AtomicU64>,
+    pub keeper_unanswered: Counter<u64, AtomicU64>,
     /// Questions for a permit that an entry did not answer.
-    pub ungranted: Counter<u64, AtomicU64>,
+    pub permits_unanswered: Counter<u64, AtomicU64>,
     /// Whether this entry is cut off from endpoints that its callers need.
     pub stranded: Gauge<i64, AtomicI64>,
     /// Registrations that could not be read.
-    pub unread: Counter<u64, AtomicU64>,
+    pub registrations_unread: Counter<u64, AtomicU64>,
 }
 
 impl Metrics {
@@ -106,16 +106,16 @@
             sends: Counter::default(),
             connections: Counter::default(),
             resumed: Counter::default(),
-            document: Gauge::default(),
-            behind: Gauge::default(),
+            document_version: Gauge::default(),
+            document_behind: Gauge::default(),
             endpoints: Gauge::default(),
             peers: Gauge::default(),
-            holder: Gauge::default(),
-            keeper: Gauge::default(),
-            unanswered: Counter::default(),
-            ungranted: Counter::default(),
+            duty_holder: Gauge::default(),
+            zone_keeper: Gauge::default(),
+            keeper_unanswered: Counter::default(),
+            permits_unanswered: Counter::default(),
             stranded: Gauge::default(),
-            unread: Counter::default(),
+            registrations_unread: Counter::default(),
         };
         let registry = &mut metrics.registry;
         registry.register("requests", "Requests by route and outcome", metrics.requests.clone());
@@ -143,33 +143,37 @@
             "Streams that went on elsewhere",
             metrics.resumed.clone(),
         );
-        registry.register("document_version", "The document in force", metrics.document.clone());
+        registry.register(
+            "document_version",
+            "The document in force",
+            metrics.document_version.clone(),
+        );
         registry.register(
             "document_behind",
             "Whether another entry has a newer document",
-            metrics.behind.clone(),
+            metrics.document_behind.clone(),
         );
         registry.register("endpoints", "Endpoints that take work", metrics.endpoints.clone());
         registry.register("peers", "Other entries heard of lately", metrics.peers.clone());
         registry.register(
             "duty_holder",
             "Whether this entry holds the duties",
-            metrics.holder.clone(),
+            metrics.duty_holder.clone(),
         );
         registry.register(
             "zone_keeper",
             "Whether this entry keeps its zone",
-            metrics.keeper.clone(),
+            metrics.zone_keeper.clone(),
         );
         registry.register(
             "keeper_unanswered",
             "Questions that the keeper of the zone did not answer",
-            metrics.unanswered.clone(),
+            metrics.keeper_unanswered.clone(),
         );
         registry.register(
             "permits_unanswered",
             "Questions for a permit that an entry did not answer",
-            metrics.ungranted.clone(),
+            metrics.permits_unanswered.clone(),
         );
         registry.register(
             "stranded",
@@ -179,13 +183,13 @@
         registry.register(
             "registrations_unread",
             "Registrations that could not be read",
-            metrics.unread.clone(),
+            metrics.registrations_unread.clone(),
         );
         metrics
     }
 
     /// Counts a request that ended.
-    pub fn ended(&self, route: &str, outcome: &'static str) {
+    pub fn count_request(&self, route: &str, outcome: &'static str) {
         let label = Outcome {
             route: route.to_owned(),
             outcome,
@@ -194,24 +198,24 @@
     }
 
     /// Counts a call of the outside.
-    pub fn called(&self, call: &'static str, succeeded: bool) {
+    pub fn count_call(&self, call: &'static str, succeeded: bool) {
         let outcome = if succeeded { "ok" } else { "failed" };
         self.calls.get_or_create(&Call { call, outcome }).inc();
     }
 
     /// Counts a permit to send to an endpoint that names a rate.
-    pub fn permits(&self, outcome: &'static str) {
+    pub fn count_permit(&self, outcome: &'static str) {
         self.permits.get_or_create(&Permit { outcome }).inc();
     }
 
     /// Notes the part of a service's requests that goes to a new version, in thousandths.
-    pub fn canary(&self, service: &name::Service, share: u16) {
+    pub fn set_canary_share(&self, service: &name::Service, share: u16) {
         let service = service.as_str().to_owned();
         self.canaries.get_or_create(&Canary { service }).set(share.into());
     }
 
     /// Writes all metrics as text.
-    pub fn text(&self) -> String {
+    pub fn encode(&self) -> String {
         let mut text = String::new();
         // Writing to a string never fails.
         let _ = text::encode(&mut text, &self.registry);
--- a/bergamotshift-forward/src/peers/permit.rs
+++ b/bergamotshift-forward/src/peers/permit.rs
@@ -118,7 +118,7 @@
             granter::BACKOFF
         };
         endpoint.signals.throttle.pause(now + pause);
-        if let Some((logger, left_out)) = self.shared.log.room(now, Topic::Limit) {
+        if let Some((logger, left_out)) = self.shared.log.rate_limited(now, Topic::Limit) {
             info!(logger, "nobody grants a permit"; "request" => request, "rate" => rate,
                 "endpoint" => endpoint.registration.id.as_str(), "entries" => granters.len(),
                 "pause_ms" => pause.as_millis() as u64, "left_out" => left_out);
@@ -141,7 +141,7 @@
         let mut backoffs = self.backoffs.borrow_mut();
         if verdict.is_none() {
             backoffs.insert(address, now + granter::BACKOFF);
-            self.shared.metrics.ungranted.inc();
+            self.shared.metrics.permits_unanswered.inc();
         }
         backoffs.retain(|_, until| now < *until);
         verdict
@@ -163,8 +163,8 @@
         } else {
             "refused"
         };
-        self.shared.metrics.permits(outcome);
-        if let Some((logger, left_out)) = self.shared.log.room(self.shared.clock.now(), Topic::Limit) {
+        self.shared.metrics.count_permit(outcome);
+        if let Some((logger, left_out)) = self.shared.log.rate_limited(self.shared.clock.now(), Topic::Limit) {
             info!(logger, "permit"; "outcome" => outcome, "request" => request,
                 "endpoint" => endpoint.registration.id.as_str(), "rate" => rate,
                 "granter" => granter.address.map(|address| address.to_string()),
--- a/bergamotshift-forward/src/peers/task.rs
+++ b/bergamotshift-forward/src/peers/task.rs
@@ -121,7 +121,7 @@
     match result {
         Ok(reply) => control.handle_reply(reply),
         Err(error) => {
-            if let Some((logger, left_out)) = control.shared().log.room(now, Topic::Peers) {
+            if let Some((logger, left_out)) = control.shared().log.rate_limited(now, Topic::Peers) {
                 info!(logger, "entry not reached"; "address" => %address, "cause" => %error,
                     "ms" => took.as_millis() as u64, "left_out" => left_out);
             }
--- a/bergamotshift-forward/src/serve/attempt.rs
+++ b/bergamotshift-forward/src/serve/attempt.rs
@@ -354,7 +354,7 @@
                 failure.to_string()
             }
         };
-        if let Some((logger, left_out)) = self.shared.log.room(now, Topic::Attempt) {
+        if let Some((logger, left_out)) = self.shared.log.rate_limited(now, Topic::Attempt) {
             info!(logger, "attempt failed"; "request" => job.ask.id.as_str(), "route" => job.route.name.as_str(),
                 "endpoint" => endpoint.registration.id.as_str(), "cause" => cause, "sends" => history.sends,
                 "expected_ms" => choice.cost as u64, "running" => endpoint.running(),
--- a/bergamotshift-forward/src/serve/choose.rs
+++ b/bergamotshift-forward/src/serve/choose.rs
@@ -219,7 +219,7 @@
 
     /// Notes what decided that no endpoint is expected to answer in time.
     fn overloaded(&self, now: Instant, job: &Job, choice: &Choice, left: f64) {
-        if let Some((logger, left_out)) = self.shared.log.room(now, Topic::Limit) {
+        if let Some((logger, left_out)) = self.shared.log.rate_limited(now, Topic::Limit) {
             info!(logger, "no endpoint in time"; "request" => job.ask.id.as_str(),
                 "route" => job.route.name.as_str(), "best" => choice.endpoint.registration.id.as_str(),
                 "expected_ms" => choice.cost as u64, "useful_ms" => left as u64,
--- a/bergamotshift-forward/src/serve/forwarder.rs
+++ b/bergamotshift-forward/src/serve/forwarder.rs
@@ -208,7 +208,7 @@
         if view.is_complete() {
             return view;
         }
-        let patience = Duration::from_millis(self.shared.settings.start.patience_ms);
+        let patience = Duration::from_millis(self.shared.settings.start.wait_timeout_ms);
         let left = (self.shared.started + patience).since(self.shared.clock.now());
         let bound = ask.time_left.unwrap_or(USUAL_TIME).mul_f64(WAITING_USED);
         let complete = async {
@@ -361,9 +361,9 @@
         } else {
             "endpoint_failed"
         };
-        self.shared.metrics.ended(&job.route.name, outcome);
+        self.shared.metrics.count_request(&job.route.name, outcome);
         let now = self.shared.clock.now();
-        if let Some((logger, left_out)) = self.shared.log.room(now, Topic::Served) {
+        if let Some((logger, left_out)) = self.shared.log.rate_limited(now, Topic::Served) {
             info!(logger, "request ended"; "request" => job.ask.id.as_str(), "route" => job.route.name.as_str(),
                 "service" => job.service.as_str(), "status" => status.as_u16(), "outcome" => outcome,
                 "sends" => history.sends, "ms" => now.since(job.arrived).as_millis() as u64,
@@ -379,9 +379,9 @@
 
     /// Notes a stream that its caller did not get whole.
     pub(super) fn broken(&self, job: &Job, history: &History, failure: &Failure) {
-        self.shared.metrics.ended(&job.route.name, "cut");
+        self.shared.metrics.count_request(&job.route.name, "cut");
         let now = self.shared.clock.now();
-        if let Some((logger, left_out)) = self.shared.log.room(now, Topic::Failed) {
+        if let Some((logger, left_out)) = self.shared.log.rate_limited(now, Topic::Failed) {
             info!(logger, "request ended"; "request" => job.ask.id.as_str(), "route" => job.route.name.as_str(),
                 "service" => job.service.as_str(), "outcome" => "cut", "cause" => %failure,
                 "sends" => history.sends, "ms" => now.since(job.arrived).as_millis() as u64,
@@ -393,7 +393,7 @@
     fn over_limit(&self, organisation: Option<&Organisation>, ask: &Metadata, refusal: Refusal, version: u64) {
         let now = self.shared.clock.now();
         let limit = organisation.and_then(|organisation| organisation.limit);
-        if let Some((logger, left_out)) = self.shared.log.room(now, Topic::Limit) {
+        if let Some((logger, left_out)) = self.shared.log.rate_limited(now, Topic::Limit) {
             info!(logger, "over the limit"; "request" => ask.id.as_str(),
                 "organisation" => organisation.map(|organisation| organisation.name.as_str()),
                 "units" => limit.map(|limit| limit.units(ask.size.map(crate::dialect::Size::total))),
@@ -404,10 +404,10 @@
     }
 
     fn refused(&self, route: &str, id: &SmolStr, arrived: Instant, refusal: Refusal) {
-        self.shared.metrics.ended(route, refusal.reason.as_str());
+        self.shared.metrics.count_request(route, refusal.reason.as_str());
         let now = self.shared.clock.now();
         self.shared.metrics.refusal.observe(now.since(arrived).as_secs_f64());
-        if let Some((logger, left_out)) = self.shared.log.room(now, Topic::Failed) {
+        if let Some((logger, left_out)) = self.shared.log.rate_limited(now, Topic::Failed) {
             info!(logger, "request ended"; "request" => id.as_str(), "route" => route,
                 "status" => refusal.reason.status().as_u16(), "outcome" => refusal.reason.as_str(),
                 "retry_after_ms" => refusal.retry_after.map(|after| after.as_millis() as u64),
--- a/bergamotshift-forward/src/serve/hear.rs
+++ b/bergamotshift-forward/src/serve/hear.rs
@@ -40,7 +40,7 @@
 
     fn log_notice(&self, now: Instant, job: &Job, choice: &Choice, status: StatusCode, notice: Notice) {
         let endpoint = &choice.endpoint;
-        if let Some((logger, left_out)) = self.shared.log.room(now, Topic::Belief) {
+        if let Some((logger, left_out)) = self.shared.log.rate_limited(now, Topic::State) {
             info!(logger, "endpoint wants no more"; "endpoint" => endpoint.registration.id.as_str(),
                 "request" => job.ask.id.as_str(), "status" => status.as_u16(), "leaves" => notice.is_leaving,
                 "leaves_registered" => endpoint.is_withdrawn(),
--- a/bergamotshift-forward/src/serve/keeper.rs
+++ b/bergamotshift-forward/src/serve/keeper.rs
@@ -192,8 +192,8 @@
     fn note_away(&self, address: SocketAddr) {
         let now = self.shared.clock.now();
         self.away.set(Some((address, now + keeper::BACKOFF)));
-        self.shared.metrics.unanswered.inc();
-        if let Some((logger, left_out)) = self.shared.log.room(now, Topic::Belief) {
+        self.shared.metrics.keeper_unanswered.inc();
+        if let Some((logger, left_out)) = self.shared.log.rate_limited(now, Topic::State) {
             info!(logger, "keeper not reached"; "keeper" => %address,
                 "pause_ms" => keeper::BACKOFF.as_millis() as u64, "left_out" => left_out);
         }
--- a/bergamotshift-forward/src/serve/stream.rs
+++ b/bergamotshift-forward/src/serve/stream.rs
@@ -196,7 +196,7 @@
 
     fn log_break(&self, now: Instant, failure: &Failure) {
         let shared = &self.forwarder.shared;
-        if let Some((logger, left_out)) = shared.log.room(now, Topic::Attempt) {
+        if let Some((logger, left_out)) = shared.log.rate_limited(now, Topic::Attempt) {
             info!(logger, "stream broke"; "request" => self.job.ask.id.as_str(),
                 "route" => self.job.route.name.as_str(),
                 "endpoint" => self.seat.endpoint().registration.id.as_str(), "cause" => %failure,
--- a/bergamotshift-forward/src/settings/mod.rs
+++ b/bergamotshift-forward/src/settings/mod.rs
@@ -149,12 +149,13 @@
 pub struct Start {
     /// For how many milliseconds after the process started callers wait until it has read the document and the endpoints:
     /// ten times what that takes where the store is in order.
-    pub patience_ms: u64,
+    #[serde(rename = "patience_ms")]
+    pub wait_timeout_ms: u64,
 }
 
 impl Default for Start {
     fn default() -> Self {
-        Self { patience_ms: 400 }
+        Self { wait_timeout_ms: 400 }
     }
 }
 
@@ -177,7 +178,7 @@
     const MARGIN: Duration = Duration::from_millis(700);
 
     /// Returns how long requests may go on after the request to stop.
-    pub fn patience(&self) -> Duration {
+    pub fn drain_timeout(&self) -> Duration {
         Duration::from_secs_f64(self.grace_s.max(0.0)).saturating_sub(Self::MARGIN)
     }
 }
--- a/bergamotshift-forward/src/view/rates.rs
+++ b/bergamotshift-forward/src/view/rates.rs
@@ -29,7 +29,7 @@
             Origin::Answer(request) => (Some(request), None),
             Origin::Entry(entry) => (None, Some(entry)),
         };
-        if let Some((logger, left_out)) = self.log.room(now, Topic::Belief) {
+        if let Some((logger, left_out)) = self.log.rate_limited(now, Topic::State) {
             info!(logger, "endpoint names its rate"; "endpoint" => endpoint.registration.id.as_str(),
                 "rate" => limit.rate, "before" => before, "age_ms" => now.since(limit.at).as_millis() as u64,
                 "request" => request, "from" => entry.unwrap_or("answer"), "left_out" => left_out);
