--- a/bergamotshift-forward/src/daemon/mod.rs
+++ b/bergamotshift-forward/src/daemon/mod.rs
@@ -1,4 +1,4 @@
-//! Starts a forwarding daemon, and ends it without cutting a request.
+//! Runs a forwarding daemon: starts its server and tasks, and drains its requests before it stops.
 
 mod server;
 
@@ -36,39 +36,39 @@
 use crate::view::Shared;
 use crate::view::View;
 
-/// How often a stop looks whether requests are still under way.
-const LOOK: Duration = Duration::from_millis(50);
+/// Interval at which a stop checks whether requests are in flight.
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// How long no request must have been under way until a stop takes the last one as served: a request that a caller had
-/// sent before it learnt of the stop is read within this time.
-const QUIET: Duration = Duration::from_millis(1_500);
+/// Time without requests in flight after which a drain is complete. A request that a caller sent before it learnt of the
+/// stop is read within this time.
+const DRAIN_IDLE_TIME: Duration = Duration::from_millis(1_500);
 
-/// How long requests are still taken after the request to stop. Callers learn of it within two seconds, and what they
-/// send until then has time to end within the grace.
-const TAKING: Duration = Duration::from_millis(2_700);
+/// Time after the request to stop for which new requests are accepted. Callers learn of the stop within two seconds, and
+/// the requests that they send until then have time to complete within the grace period.
+const ACCEPT_TIME: Duration = Duration::from_millis(2_700);
 
-/// Why a daemon does not start.
+/// Error of starting a daemon.
 #[derive(Debug)]
 #[derive(ThisError)]
 #[non_exhaustive]
 pub enum Error {
-    /// No kind of outside has this name.
-    #[error("no kind of outside is called `{name}`; there are {}", known.join(", "))]
+    /// No platform adapter has the name that the setting `outside` gives.
+    #[error("unknown value `{name}` of the setting `outside`; available: {}", known.join(", "))]
     Kind {
-        /// The name asked for.
+        /// The value of the setting.
         name: SmolStr,
-        /// The names there are.
+        /// The names of the available adapters.
         known: Vec<&'static str>,
     },
-    /// The clients for the outside cannot be made.
-    #[error("cannot make the clients for the outside: {0}")]
+    /// The clients for the external systems cannot be created.
+    #[error("cannot create the clients for the external systems: {0}")]
     Outside(#[from] bergamotshift_platform::Error),
-    /// An address cannot be listened on.
+    /// A listener cannot be bound to its address.
     #[error("cannot listen on {address}: {source}")]
     Bind {
         /// The address.
         address: SocketAddr,
-        /// What the system said.
+        /// The error of the operating system.
         source: io::Error,
     },
     /// The server cannot be started.
@@ -76,22 +76,23 @@
     Server(#[source] io::Error),
 }
 
-/// What asks a daemon to stop, or tells it that its settings changed.
+/// Channels between a daemon and the code that runs it.
 #[derive(Debug)]
 pub struct Signals {
-    /// Gets a message when the process is to stop.
+    /// Requests to stop.
     pub stop: mpsc::UnboundedReceiver<()>,
-    /// Gets new settings after a reload.
+    /// New settings after a reload.
     pub reload: mpsc::UnboundedReceiver<Settings>,
-    /// Is told the addresses once they are served; `None` when nobody asks.
+    /// Channel for the bound addresses, which are sent once the server runs; `None` if they are not needed.
     pub started: Option<oneshot::Sender<Listen>>,
 }
 
-/// Runs a daemon on the current thread's runtime until it is told to stop; returns how many requests the end cut.
+/// Runs a daemon on the current thread's runtime until it is requested to stop. Returns the number of requests that were
+/// in flight when the drain ended, and are cut.
 ///
 /// # Errors
 ///
-/// Returns why it cannot start.
+/// Returns an error when the daemon cannot start.
 pub async fn run(mut settings: Settings, logger: Logger, mut signals: Signals) -> Result<usize, Error> {
     let kind = plugin::find::<Kind>(&settings.outside).ok_or_else(|| Error::Kind {
         name: settings.outside.clone(),
@@ -139,7 +140,7 @@
         "callers" => %listen.callers, "ready" => %listen.ready, "peers" => %listen.peers,
         "metrics" => %listen.metrics, "store" => shared.settings.store.address.as_str());
     if let Some(started) = signals.started.take() {
-        // Whoever asked may have gone meanwhile.
+        // An error means that the receiver was dropped and the addresses are not needed.
         let _ = started.send(*listen);
     }
     let tasks = [
@@ -156,64 +157,66 @@
         ntex::rt::spawn(peers::run(control.clone())),
         ntex::rt::spawn(crate::duty::run(control.clone(), outside)),
     ];
-    wait(&shared, &mut signals).await;
+    wait_for_stop(&shared, &mut signals).await;
     let cut = drain(&shared).await;
     for task in tasks {
         task.cancel();
     }
-    // Failure: the server takes a third of a second to end, and its sockets stay open meanwhile. Symptom: callers that
-    // connect then wait for nothing, where a closed port would send them on at once. No request is under way any more,
-    // so nothing is lost by not waiting.
+    // The end of the server is not awaited. It takes a third of a second, during which the sockets stay open and callers
+    // that connect get no answer; a closed port sends them to another entry at once. No requests are in flight any more,
+    // or the grace period is over, so nothing is lost by not waiting.
     drop(server.stop(false));
     info!(shared.log.always(), "stopped"; "cut" => cut);
     Ok(cut)
 }
 
-/// Waits for the request to stop; settings that changed meanwhile are noted.
-async fn wait(shared: &Shared, signals: &mut Signals) {
+/// Waits for the request to stop, and logs reloads until then.
+async fn wait_for_stop(shared: &Shared, signals: &mut Signals) {
     loop {
         tokio::select! {
             stop = signals.stop.recv() => {
                 if stop.is_some() {
                     return;
                 }
-                // Nobody can ask for a stop any more.
+                // The sender was dropped, so no request to stop can follow.
                 core::future::pending::<()>().await;
             }
-            Some(settings) = signals.reload.recv() => reloaded(shared, &settings),
+            Some(settings) = signals.reload.recv() => log_reload(shared, &settings),
         }
     }
 }
 
-/// Notes what a reload changes; addresses and names hold for the life of a process.
-fn reloaded(shared: &Shared, settings: &Settings) {
-    let same = settings.name == shared.settings.name
+/// Logs a reload. The daemon keeps the settings that it started with; a new name, zone or address for callers is logged
+/// as needing a restart.
+fn log_reload(shared: &Shared, settings: &Settings) {
+    let is_same_entry = settings.name == shared.settings.name
         && settings.zone == shared.settings.zone
         && settings.listen.callers == shared.settings.listen.callers;
-    info!(shared.log.always(), "reloaded"; "needs_restart" => !same,
+    info!(shared.log.always(), "reloaded"; "needs_restart" => !is_same_entry,
         "seeds" => settings.peers.seeds.len(), "grace_s" => settings.stop.grace_s);
 }
 
-/// Serves on until no request is under way, at most as long as the grace allows; returns how many are cut then.
+/// Continues to serve until no requests are in flight, or until the drain timeout. Returns the number of requests that are
+/// still in flight.
 async fn drain(shared: &Shared) -> usize {
     shared.stopping.store(true, Ordering::Release);
     shared.stop.notify_waiters();
     let timeout = shared.settings.stop.drain_timeout();
     info!(shared.log.always(), "stopping"; "active" => shared.active.load(Ordering::Acquire),
         "patience_ms" => timeout.as_millis() as u64);
-    let began = shared.clock.now();
-    let mut quiet_since = began;
+    let drain_start = shared.clock.now();
+    let mut idle_since = drain_start;
     loop {
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(DRAIN_POLL_INTERVAL).await;
         let now = shared.clock.now();
-        if now.since(began) >= TAKING {
+        if now.since(drain_start) >= ACCEPT_TIME {
             shared.closed.store(true, Ordering::Release);
         }
         let active = shared.active.load(Ordering::Acquire);
         if active > 0 {
-            quiet_since = now;
+            idle_since = now;
         }
-        if now.since(quiet_since) >= QUIET || now.since(began) >= timeout {
+        if now.since(idle_since) >= DRAIN_IDLE_TIME || now.since(drain_start) >= timeout {
             return active;
         }
     }
--- a/bergamotshift-forward/src/daemon/server.rs
+++ b/bergamotshift-forward/src/daemon/server.rs
@@ -1,4 +1,4 @@
-//! The addresses that a daemon serves: callers, the balancer, other entries and whoever collects metrics.
+//! HTTP servers of a daemon: for callers, the load balancer, other entries and metrics collectors.
 
 use core::net::SocketAddr;
 use std::io;
@@ -27,25 +27,25 @@
 use crate::settings::Listen;
 use crate::view::Shared;
 
-/// How long an idle connection is kept, in seconds; longer than operators let callers be idle.
-const KEEP_ALIVE: Seconds = Seconds(75);
+/// Time for which idle connections are kept open; longer than operators let callers be idle.
+const KEEP_ALIVE_TIMEOUT: Seconds = Seconds(75);
 
-/// How long a caller may take for a head, in seconds.
-const HEAD_TIME: Seconds = Seconds(5);
+/// Time within which a client has to send the head of a request.
+const HEAD_TIMEOUT: Seconds = Seconds(5);
 
-/// The largest head, in bytes.
-const HEAD: usize = 32 * 1024;
+/// Maximum size of the head of a request, in bytes.
+const MAX_HEAD_SIZE: usize = 32 * 1024;
 
-/// Connections that wait to be accepted.
+/// Maximum number of connections that wait to be accepted, for each listener.
 const BACKLOG: i32 = 1_024;
 
-/// How often idle connections to endpoints are looked through.
-const SWEEP: Millis = Millis(1_000);
+/// Interval at which unused connections and expired cache entries are dropped.
+const SWEEP_INTERVAL: Millis = Millis(1_000);
 
-/// How often a stopping entry looks for connections that became idle.
-const CLOSE: Millis = Millis(50);
+/// Interval at which a stopping entry closes connections that became idle.
+const CLOSE_INTERVAL: Millis = Millis(50);
 
-/// The addresses' sockets.
+/// Bound sockets of the servers.
 #[derive(Debug)]
 pub(super) struct Listeners {
     callers: TcpListener,
@@ -55,7 +55,7 @@
 }
 
 impl Listeners {
-    /// Binds the addresses; a port of 0 becomes the one that the system chose.
+    /// Binds all addresses, and replaces port 0 by the port that the operating system chose.
     pub(super) fn bind(listen: &mut Listen) -> Result<Self, Error> {
         Ok(Self {
             callers: bind(&mut listen.callers)?,
@@ -66,21 +66,21 @@
     }
 }
 
-/// Starts the server.
+/// Starts the servers on one worker thread.
 pub(super) fn start(shared: &Arc<Shared>, control: &Control, listeners: Listeners) -> Result<Server, Error> {
     let mut builder = ntex::server::build().workers(1).disable_signals();
     let config = || {
         HttpServiceConfig::new()
-            .set_keepalive(KeepAlive::Timeout(KEEP_ALIVE))
-            .set_max_buf_size(HEAD)
-            .set_headers_read_rate(HEAD_TIME, HEAD_TIME, u32::MAX)
+            .set_keepalive(KeepAlive::Timeout(KEEP_ALIVE_TIMEOUT))
+            .set_max_buf_size(MAX_HEAD_SIZE)
+            .set_headers_read_rate(HEAD_TIMEOUT, HEAD_TIMEOUT, u32::MAX)
     };
-    let callers = Arc::clone(shared);
+    let callers_shared = Arc::clone(shared);
     builder = builder
         .listen("callers", listeners.callers, async move |_| {
-            let forwarder = Rc::new(Forwarder::new(Arc::clone(&callers)));
+            let forwarder = Rc::new(Forwarder::new(Arc::clone(&callers_shared)));
             ntex::rt::spawn(sweep(Rc::clone(&forwarder)));
-            ntex::rt::spawn(close(Rc::clone(&forwarder)));
+            ntex::rt::spawn(close_idle(Rc::clone(&forwarder)));
             ntex::rt::spawn(Rc::clone(&forwarder).tell());
             HttpService::new(fn_service(move |request: Request| {
                 let forwarder = Rc::clone(&forwarder);
@@ -89,10 +89,10 @@
         })
         .map_err(Error::Server)?
         .config("callers", SharedCfg::new("callers").add(config()));
-    let asked = Arc::clone(shared);
+    let ready_shared = Arc::clone(shared);
     builder = builder
         .listen("ready", listeners.ready, async move |_| {
-            let shared = Arc::clone(&asked);
+            let shared = Arc::clone(&ready_shared);
             HttpService::new(fn_service(move |request: Request| {
                 let response = ready(&shared, &request);
                 async move { Ok::<_, io::Error>(response) }
@@ -100,10 +100,10 @@
         })
         .map_err(Error::Server)?
         .config("ready", SharedCfg::new("ready").add(config()));
-    let collected = Arc::clone(shared);
+    let metrics_shared = Arc::clone(shared);
     builder = builder
         .listen("metrics", listeners.metrics, async move |_| {
-            let shared = Arc::clone(&collected);
+            let shared = Arc::clone(&metrics_shared);
             HttpService::new(fn_service(move |request: Request| {
                 let response = metrics(&shared, &request);
                 async move { Ok::<_, io::Error>(response) }
@@ -111,21 +111,21 @@
         })
         .map_err(Error::Server)?
         .config("metrics", SharedCfg::new("metrics").add(config()));
-    let exchange = control.query_sender();
-    let granting = Arc::clone(shared);
+    let queries = control.query_sender();
+    let peers_shared = Arc::clone(shared);
     builder = builder
         .listen("peers", listeners.peers, async move |_| {
-            let exchange = exchange.clone();
-            let permits = Rc::new(Permits::new(Arc::clone(&granting)));
+            let queries = queries.clone();
+            let permits = Rc::new(Permits::new(Arc::clone(&peers_shared)));
             HttpService::new(fn_service(move |request: Request| {
-                let exchange = exchange.clone();
+                let queries = queries.clone();
                 let permits = Rc::clone(&permits);
                 async move {
                     let response = match request.path() {
                         peers::KEEP_PATH => peers::answer_keep(&permits, request).await,
                         peers::PERMIT_PATH => peers::answer_permit(permits.shared(), request).await,
-                        peers::DOCUMENT_PATH => peers::answer_document(&exchange, request).await,
-                        _ => peers::answer_exchange(&exchange, request).await,
+                        peers::DOCUMENT_PATH => peers::answer_document(&queries, request).await,
+                        _ => peers::answer_exchange(&queries, request).await,
                     };
                     Ok::<_, io::Error>(response)
                 }
@@ -136,22 +136,24 @@
     Ok(builder.run())
 }
 
+/// Drops unused connections and expired cache entries at regular intervals.
 async fn sweep(forwarder: Rc<Forwarder>) {
     loop {
-        ntex::time::sleep(SWEEP).await;
+        ntex::time::sleep(SWEEP_INTERVAL).await;
         forwarder.sweep();
     }
 }
 
-/// Closes callers' idle connections from the request to stop on, so that they come to another entry.
-async fn close(forwarder: Rc<Forwarder>) {
+/// Closes callers' idle connections once the entry stops, so that the callers connect to another entry.
+async fn close_idle(forwarder: Rc<Forwarder>) {
     forwarder.stopped().await;
     loop {
         forwarder.close_idle();
-        ntex::time::sleep(CLOSE).await;
+        ntex::time::sleep(CLOSE_INTERVAL).await;
     }
 }
 
+/// Answers the load balancer's readiness check.
 fn ready(shared: &Shared, request: &Request) -> Response {
     if *request.method() != Method::GET {
         return Response::new(StatusCode::METHOD_NOT_ALLOWED);
@@ -163,6 +165,7 @@
     }
 }
 
+/// Returns the metrics in the `OpenMetrics` text format.
 fn metrics(shared: &Shared, request: &Request) -> Response {
     if *request.method() != Method::GET || request.path() != "/metrics" {
         return Response::new(StatusCode::NOT_FOUND);
@@ -172,10 +175,14 @@
         .body(shared.metrics.encode())
 }
 
+/// Binds an address, and replaces port 0 by the port that the operating system chose.
 fn bind(address: &mut SocketAddr) -> Result<TcpListener, Error> {
-    let asked = *address;
-    let failed = |source| Error::Bind { address: asked, source };
-    let listener = ntex::server::create_tcp_listener(asked, BACKLOG).map_err(failed)?;
+    let requested = *address;
+    let failed = |source| Error::Bind {
+        address: requested,
+        source,
+    };
+    let listener = ntex::server::create_tcp_listener(requested, BACKLOG).map_err(failed)?;
     *address = listener.local_addr().map_err(failed)?;
     Ok(listener)
 }
--- a/bergamotshift-forward/src/observe/clock.rs
+++ b/bergamotshift-forward/src/observe/clock.rs
@@ -1,18 +1,18 @@
-//! The clock that decisions are made by.
+//! Clock of the entry.
 
 use bergamotshift_core::prelude::*;
 use rustix::time::ClockId;
 use rustix::time::clock_gettime;
 
-/// Tells kernel time from the system's boot clock.
+/// Reads the time since boot, including the time for which the VM was suspended (`CLOCK_BOOTTIME`).
 ///
-/// Failure: a VM is suspended for seconds, and the steady clock does not count them. Symptom: a process wakes with a
-/// lease that lapsed long ago and believes in it. The boot clock counts the pause, so every age and lease is true.
+/// The monotonic clock does not advance while a VM is suspended, so a process would resume with a lease that expired long
+/// ago and consider it valid.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Clock;
 
 impl Clock {
-    /// Returns the time since the system started.
+    /// Returns the time since boot.
     pub fn now(self) -> Instant {
         const MICROS: u64 = 1_000_000;
         const NANOS: u64 = 1_000;
--- a/bergamotshift-forward/src/observe/log.rs
+++ b/bergamotshift-forward/src/observe/log.rs
@@ -1,4 +1,4 @@
-//! A log whose volume is bounded.
+//! Log with a rate limit for each topic.
 
 use core::sync::atomic::AtomicU64;
 use core::sync::atomic::Ordering::Relaxed;
@@ -7,33 +7,34 @@
 use bergamotshift_limit::bucket::Bucket;
 use slog::Logger;
 
-/// Lines a second of one topic. A line costs about 15 µs of processor time and 300 bytes; 40 a second of each topic are
-/// under one part in a hundred of a small VM's share of a core.
+/// Maximum rate of the lines of one topic, in lines per second. A line costs about 15 µs of CPU time and 300 bytes; 40
+/// lines per second of each topic use less than 1 % of a small VM's share of a core.
 const RATE: f64 = 40.0;
 
-/// Lines of one topic at once.
+/// Maximum number of lines of one topic in a burst.
 const BURST: f64 = 80.0;
 
-/// What lines are about; each topic is bounded by itself, so that a flood of one hides no other.
+/// Topic of a log line. Each topic has its own rate limit, so that many lines of one topic do not suppress the others.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Topic {
     /// Requests that were served.
     Served,
     /// Requests that failed or were refused.
     Failed,
-    /// What went wrong between an entry and an endpoint.
+    /// Failed attempts and broken streams at endpoints.
     Attempt,
-    /// What the entry believes of endpoints.
+    /// Changes of what the entry knows about endpoints, other entries and the store's contents.
     State,
-    /// Why there was no room for a request.
+    /// Requests that were refused by a limit or found no endpoint, and permits for endpoints with a rate limit.
     Limit,
-    /// What went wrong between entries.
+    /// Failed exchanges between entries, and transfers of the document.
     Peers,
 }
 
+/// Number of topics.
 const TOPICS: usize = 6;
 
-/// Bounds the lines of each topic and counts what is left out.
+/// Logger that limits the rate of each topic's lines and counts the omitted ones.
 #[derive(Debug)]
 pub struct Log {
     logger: Logger,
@@ -42,7 +43,7 @@
 }
 
 impl Log {
-    /// Makes a log that writes to `logger`.
+    /// Creates a log that writes to `logger`.
     pub fn new(logger: Logger) -> Self {
         Self {
             logger,
@@ -51,18 +52,18 @@
         }
     }
 
-    /// Returns the logger for lines that are few by nature.
+    /// Returns the logger without a rate limit, for rare lines.
     pub const fn always(&self) -> &Logger {
         &self.logger
     }
 
-    /// Returns the logger if the topic has room for a line, with the number of lines left out before it.
+    /// Returns the logger if the topic's rate limit allows a line, with the number of lines omitted since the last one.
     pub fn rate_limited(&self, now: Instant, topic: Topic) -> Option<(&Logger, u64)> {
-        let place = topic as usize;
-        if self.buckets[place].try_take(now, 1).is_err() {
-            self.left_out[place].fetch_add(1, Relaxed);
+        let index = topic as usize;
+        if self.buckets[index].try_take(now, 1).is_err() {
+            self.left_out[index].fetch_add(1, Relaxed);
             return None;
         }
-        Some((&self.logger, self.left_out[place].swap(0, Relaxed)))
+        Some((&self.logger, self.left_out[index].swap(0, Relaxed)))
     }
 }
--- a/bergamotshift-forward/src/observe/metrics.rs
+++ b/bergamotshift-forward/src/observe/metrics.rs
@@ -1,4 +1,4 @@
-//! The entry's metrics.
+//! Metrics of an entry, in the `OpenMetrics` format.
 
 use core::fmt;
 use core::sync::atomic::AtomicI64;
@@ -13,22 +13,23 @@
 use prometheus_client::metrics::histogram::Histogram;
 use prometheus_client::registry::Registry;
 
-/// Upper bounds of latencies, in seconds: finer around the objectives of 0.1 to 1.2 s that operators set.
-const LATENCIES: [f64; 14] = [
+/// Upper bounds of the latency buckets, in seconds; they are finer around the objectives of 0.1 to 1.2 s that operators
+/// set.
+const LATENCY_BUCKETS: [f64; 14] = [
     0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.3, 0.5, 0.8, 1.2, 2.0, 4.0, 8.0, 16.0,
 ];
 
-/// How a request ended, as a metric's label.
+/// Labels of a completed request.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 #[derive(EncodeLabelSet)]
 pub struct Outcome {
-    /// The route's name, or `none`.
+    /// Name of the route, or `none`.
     pub route: String,
-    /// What came of it.
+    /// Outcome of the request.
     pub outcome: &'static str,
 }
 
-/// A call of the outside, as a metric's label.
+/// Labels of a call to an external system.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 #[derive(EncodeLabelSet)]
 struct Call {
@@ -36,14 +37,14 @@
     outcome: &'static str,
 }
 
-/// A service whose new version is tried, as a metric's label.
+/// Label of a service with a canary version.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 #[derive(EncodeLabelSet)]
 struct Canary {
     service: String,
 }
 
-/// A permit to send to an endpoint that names a rate, as a metric's label.
+/// Label of a permit to send a request to an endpoint with a rate limit.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 #[derive(EncodeLabelSet)]
 struct Permit {
@@ -57,42 +58,42 @@
     calls: Family<Call, Counter>,
     canaries: Family<Canary, Gauge>,
     permits: Family<Permit, Counter>,
-    /// Time to the first event of a stream, or to a whole answer, in seconds.
+    /// Time to the first event of a stream, or to the head of an answer that is no stream, in seconds.
     pub latency: Histogram,
     /// Time until a request was refused, in seconds.
     pub refusal: Histogram,
-    /// Requests under way.
+    /// Number of requests in flight.
     pub active: Gauge<i64, AtomicI64>,
-    /// Requests sent to endpoints, repeated ones included.
+    /// Number of requests sent to endpoints, including retries.
     pub sends: Counter<u64, AtomicU64>,
-    /// Connections opened to endpoints.
+    /// Number of connections opened to endpoints.
     pub connections: Counter<u64, AtomicU64>,
-    /// Streams that went on at another endpoint.
+    /// Number of streams that were resumed at another endpoint.
     pub resumed: Counter<u64, AtomicU64>,
-    /// The version of the operators' document in force.
+    /// Version of the operators' document in force.
     pub document_version: Gauge<i64, AtomicI64>,
     /// Whether another entry has a newer document.
     pub document_behind: Gauge<i64, AtomicI64>,
-    /// Endpoints that take work.
+    /// Number of endpoints that accept requests.
     pub endpoints: Gauge<i64, AtomicI64>,
-    /// Other entries heard of lately.
+    /// Number of other entries with a recent state.
     pub peers: Gauge<i64, AtomicI64>,
     /// Whether this entry holds the duties.
     pub duty_holder: Gauge<i64, AtomicI64>,
-    /// Whether this entry keeps its zone.
+    /// Whether this entry is the keeper of its zone.
     pub zone_keeper: Gauge<i64, AtomicI64>,
-    /// Questions that the keeper of the zone did not answer.
+    /// Number of queries that the keeper of the zone did not answer.
     pub keeper_unanswered: Counter<u64, AtomicU64>,
-    /// Questions for a permit that an entry did not answer.
+    /// Number of permit queries that an entry did not answer.
     pub permits_unanswered: Counter<u64, AtomicU64>,
     /// Whether this entry is cut off from endpoints that its callers need.
     pub stranded: Gauge<i64, AtomicI64>,
-    /// Registrations that could not be read.
+    /// Number of registrations and rollout orders that could not be read.
     pub registrations_unread: Counter<u64, AtomicU64>,
 }
 
 impl Metrics {
-    /// Registers all metrics.
+    /// Creates and registers all metrics.
     pub fn new() -> Self {
         let mut metrics = Self {
             registry: Registry::with_prefix("bergamotshift_forward"),
@@ -100,8 +101,8 @@
             calls: Family::default(),
             canaries: Family::default(),
             permits: Family::default(),
-            latency: Histogram::new(LATENCIES),
-            refusal: Histogram::new(LATENCIES),
+            latency: Histogram::new(LATENCY_BUCKETS),
+            refusal: Histogram::new(LATENCY_BUCKETS),
             active: Gauge::default(),
             sends: Counter::default(),
             connections: Counter::default(),
@@ -188,7 +189,7 @@
         metrics
     }
 
-    /// Counts a request that ended.
+    /// Counts a completed request.
     pub fn count_request(&self, route: &str, outcome: &'static str) {
         let label = Outcome {
             route: route.to_owned(),
@@ -197,24 +198,24 @@
         self.requests.get_or_create(&label).inc();
     }
 
-    /// Counts a call of the outside.
+    /// Counts a call to an external system.
     pub fn count_call(&self, call: &'static str, succeeded: bool) {
         let outcome = if succeeded { "ok" } else { "failed" };
         self.calls.get_or_create(&Call { call, outcome }).inc();
     }
 
-    /// Counts a permit to send to an endpoint that names a rate.
+    /// Counts a permit to send a request to an endpoint with a rate limit.
     pub fn count_permit(&self, outcome: &'static str) {
         self.permits.get_or_create(&Permit { outcome }).inc();
     }
 
-    /// Notes the part of a service's requests that goes to a new version, in thousandths.
+    /// Sets the share of a service's requests that goes to its canary version, in thousandths.
     pub fn set_canary_share(&self, service: &name::Service, share: u16) {
         let service = service.as_str().to_owned();
         self.canaries.get_or_create(&Canary { service }).set(share.into());
     }
 
-    /// Writes all metrics as text.
+    /// Returns all metrics in the `OpenMetrics` text format.
     pub fn encode(&self) -> String {
         let mut text = String::new();
         // Writing to a string never fails.
--- a/bergamotshift-forward/src/observe/mod.rs
+++ b/bergamotshift-forward/src/observe/mod.rs
@@ -1,4 +1,4 @@
-//! What operators see of a running entry: metrics and a bounded log.
+//! Observability of a running entry: its metrics, its rate-limited log and its clock.
 
 mod clock;
 mod log;
--- a/bergamotshift-forward/src/settings/mod.rs
+++ b/bergamotshift-forward/src/settings/mod.rs
@@ -1,4 +1,4 @@
-//! What a forwarding daemon is told: a file of its own, in TOML.
+//! Settings file of a forwarding daemon, in TOML.
 //!
 //! ```
 //! use bergamotshift_forward::settings::Settings;
@@ -35,120 +35,120 @@
 
 use crate::capacity;
 
-/// Why settings cannot be used.
+/// Error of reading settings.
 #[derive(Debug)]
 #[derive(ThisError)]
 pub enum Error {
     /// The file cannot be read.
     #[error("cannot read {path}: {source}", path = path.display())]
     Read {
-        /// The file.
+        /// The path of the file.
         path: PathBuf,
-        /// What the system said.
+        /// The error of the operating system.
         source: std::io::Error,
     },
-    /// A field is missing or wrong.
+    /// A field is missing or invalid.
     #[error("{0}")]
-    Wrong(String),
+    Invalid(String),
 }
 
-/// What a forwarding daemon is told.
+/// Settings of a forwarding daemon.
 #[derive(Clone, Debug)]
 #[derive(Deserialize)]
 pub struct Settings {
-    /// The entry's name, unique among the entries.
+    /// Name of the entry, unique in the fleet.
     pub name: name::Entry,
-    /// Its availability zone.
+    /// Availability zone of the entry.
     pub zone: name::Zone,
-    /// The part of a processor core that it may use; in a large fleet, what one entry does for its zone falls to one that
-    /// may use most.
+    /// Share of a CPU core that the entry may use. In a large fleet, an entry with the largest share becomes the keeper of
+    /// its zone.
     #[serde(default = "whole_core")]
     pub core_share: f64,
-    /// The kind of outside, by the name under which it registered itself.
+    /// Name of the platform adapter, which connects to the store and the cloud API.
     pub outside: SmolStr,
-    /// Where it listens.
+    /// Addresses on which the entry listens.
     pub listen: Listen,
-    /// Where the store is.
+    /// Address of the store.
     pub store: Store,
-    /// Where the cloud API is, if it takes calls of this system.
+    /// Address of the cloud API, if it accepts calls from this system.
     #[serde(default)]
     pub cloud: Option<Cloud>,
-    /// The other entries.
+    /// Discovery of the other entries.
     #[serde(default)]
     pub peers: Peers,
-    /// What bounds a start.
+    /// Start-up of the entry.
     #[serde(default)]
     pub start: Start,
-    /// What bounds a stop.
+    /// Shutdown of the entry.
     #[serde(default)]
     pub stop: Stop,
-    /// What bounds repeated sends.
+    /// Retry budget.
     #[serde(default)]
     pub retry: Retry,
-    /// The duties that one entry has for all.
+    /// Duties that one entry performs for the fleet.
     #[serde(default)]
     pub duty: Duty,
-    /// What organisations may exceed their limits by.
+    /// Tolerance of the organisations' limits.
     #[serde(default)]
     pub limit: Limit,
-    /// How many endpoints are ordered.
+    /// Planning of the number of endpoints.
     #[serde(default)]
     pub capacity: capacity::Settings,
-    /// What bounds the roll-out of a service's new version.
+    /// Limits of a rollout of a new version.
     #[serde(default)]
     pub rollout: rollout::Settings,
 }
 
-/// Returns what an entry may use that is not told.
+/// Returns the default share of a CPU core: all of it.
 const fn whole_core() -> f64 {
     1.0
 }
 
-/// Where an entry listens; all addresses are numeric.
+/// Addresses on which an entry listens. Host names are not resolved.
 #[derive(Clone, Copy, Debug)]
 #[derive(Deserialize)]
 pub struct Listen {
-    /// For callers.
+    /// Address for callers.
     pub callers: SocketAddr,
-    /// For the balancer, which asks whether callers may come.
+    /// Address for the load balancer's readiness checks.
     pub ready: SocketAddr,
-    /// For the other entries.
+    /// Address for the other entries.
     pub peers: SocketAddr,
-    /// For whoever collects metrics.
+    /// Address for metrics collectors.
     pub metrics: SocketAddr,
 }
 
-/// Where the store is.
+/// Address of the store.
 #[derive(Clone, Debug)]
 #[derive(Deserialize)]
 pub struct Store {
-    /// Its host and port.
+    /// Host and port.
     pub address: SmolStr,
 }
 
-/// Where the cloud API is.
+/// Address of the cloud API.
 #[derive(Clone, Debug)]
 #[derive(Deserialize)]
 pub struct Cloud {
-    /// Its host and port; empty when it takes no calls of this system.
+    /// Host and port; empty if the cloud API accepts no calls from this system.
     pub address: SmolStr,
 }
 
-/// The other entries.
+/// Discovery of the other entries.
 #[derive(Clone, Debug, Default)]
 #[derive(Deserialize)]
 pub struct Peers {
-    /// Addresses of entries that may be asked first; they may be stale.
+    /// Addresses of entries to contact first; some of them may be outdated.
     #[serde(default)]
     pub seeds: Vec<SocketAddr>,
 }
 
-/// What bounds a start.
+/// Start-up of the entry.
 #[derive(Clone, Copy, Debug)]
 #[derive(Deserialize)]
 pub struct Start {
-    /// For how many milliseconds after the process started callers wait until it has read the document and the endpoints:
-    /// ten times what that takes where the store is in order.
+    /// Time after the start of the process for which callers wait until it has read the document and the endpoints, in
+    /// milliseconds; ten times what reading takes while the store works.
     #[serde(rename = "patience_ms")]
     pub wait_timeout_ms: u64,
 }
@@ -159,11 +159,11 @@
     }
 }
 
-/// What bounds a stop.
+/// Shutdown of the entry.
 #[derive(Clone, Copy, Debug)]
 #[derive(Deserialize)]
 pub struct Stop {
-    /// Seconds between the request to stop and the kill.
+    /// Grace period between the request to stop and the kill, in seconds.
     pub grace_s: f64,
 }
 
@@ -174,22 +174,22 @@
 }
 
 impl Stop {
-    /// What is left of the grace for the process to end by itself.
-    const MARGIN: Duration = Duration::from_millis(700);
+    /// Part of the grace period that is kept for the process to exit by itself.
+    const EXIT_MARGIN: Duration = Duration::from_millis(700);
 
-    /// Returns how long requests may go on after the request to stop.
+    /// Returns the time after the request to stop within which requests have to complete.
     pub fn drain_timeout(&self) -> Duration {
-        Duration::from_secs_f64(self.grace_s.max(0.0)).saturating_sub(Self::MARGIN)
+        Duration::from_secs_f64(self.grace_s.max(0.0)).saturating_sub(Self::EXIT_MARGIN)
     }
 }
 
-/// What bounds repeated sends to one service, over all entries.
+/// Retry budget of one service, for the whole fleet.
 #[derive(Clone, Copy, Debug)]
 #[derive(Deserialize)]
 pub struct Retry {
-    /// Repeated sends for each request.
+    /// Number of retries per request.
     pub ratio: f64,
-    /// Repeated sends beyond that within one window.
+    /// Number of retries beyond the ratio within one window.
     pub slack: f64,
 }
 
@@ -202,20 +202,20 @@
     }
 }
 
-/// The duties that one entry has for all.
+/// Duties that one entry performs for the fleet.
 #[derive(Clone, Copy, Debug)]
 #[derive(Deserialize)]
 pub struct Duty {
-    /// How long a holder's lease stands without renewal, in milliseconds.
+    /// Duration of the holder's lease without renewal, in milliseconds.
     pub lease_ms: u64,
-    /// How long a window of usage is, in seconds; 0 when nobody wants usage.
+    /// Length of a usage window, in seconds; 0 disables usage reports.
     pub usage_window_s: f64,
-    /// How long after its end a window of usage is due, in seconds.
+    /// Time after the end of a usage window at which its report is due, in seconds.
     #[serde(default = "due")]
     pub usage_due_s: f64,
 }
 
-/// Returns when usage is due that nobody says it of, in seconds.
+/// Returns the default time after the end of a usage window at which its report is due, in seconds.
 const fn due() -> f64 {
     10.0
 }
@@ -230,11 +230,11 @@
     }
 }
 
-/// What organisations may exceed their limits by.
+/// Tolerance of the organisations' limits.
 #[derive(Clone, Copy, Debug, Default)]
 #[derive(Deserialize)]
 pub struct Limit {
-    /// Units that all entries together may let in beyond a limit's burst.
+    /// Number of units that all entries together may admit beyond a limit's burst.
     pub slack: f64,
 }
 
@@ -243,7 +243,7 @@
     ///
     /// # Errors
     ///
-    /// Returns which field is missing or wrong, or why the file cannot be read.
+    /// Returns an error when the file cannot be read, or when a field is missing or invalid.
     pub fn load(path: &Path) -> Result<Self, Error> {
         let text = std::fs::read_to_string(path).map_err(|source| Error::Read {
             path: path.to_owned(),
@@ -252,28 +252,28 @@
         Self::parse(&text)
     }
 
-    /// Reads settings from text; fields that it does not know are passed over.
+    /// Parses settings. Unknown fields are ignored.
     ///
     /// # Errors
     ///
-    /// Returns which field is missing or wrong.
+    /// Returns an error that names the field when one is missing or invalid.
     pub fn parse(text: &str) -> Result<Self, Error> {
-        let settings: Self = toml::from_str(text).map_err(|error| Error::Wrong(one_line(&error)))?;
-        let checked = settings.rollout.check();
-        checked.map_err(|error| Error::Wrong(format!("[rollout] {error}")))?;
+        let settings: Self = toml::from_str(text).map_err(|error| Error::Invalid(one_line(&error)))?;
+        let check = settings.rollout.check();
+        check.map_err(|error| Error::Invalid(format!("[rollout] {error}")))?;
         Ok(settings)
     }
 }
 
-/// Returns the cause and the line in one line of text.
+/// Formats a TOML error with its cause, its position and the source line, in a single line.
 fn one_line(error: &toml::de::Error) -> String {
-    let shown = error.to_string();
-    let place = shown.lines().next().unwrap_or_default();
-    let field = shown
+    let text = error.to_string();
+    let position = text.lines().next().unwrap_or_default();
+    let source = text
         .lines()
-        .find_map(|line| line.split_once("| ").map(|(_, text)| text.trim()));
-    match field.filter(|text| !text.is_empty()) {
-        Some(field) => format!("{} ({place}: {field})", error.message()),
-        None => format!("{} ({place})", error.message()),
+        .find_map(|line| line.split_once("| ").map(|(_, source)| source.trim()));
+    match source.filter(|source| !source.is_empty()) {
+        Some(source) => format!("{} ({position}: {source})", error.message()),
+        None => format!("{} ({position})", error.message()),
     }
 }
