--- a/bergamotshift-forward/src/peers/task.rs
+++ b/bergamotshift-forward/src/peers/task.rs
@@ -121,7 +121,7 @@
     match result {
         Ok(reply) => control.handle_reply(reply),
         Err(error) => {
-            if let Some((logger, left_out)) = control.shared().log.room(now, Topic::Peers) {
+            if let Some((logger, left_out)) = control.shared().log.rate_limited(now, Topic::Peers) {
                 info!(logger, "entry not reached"; "address" => %address, "cause" => %error,
                     "ms" => took.as_millis() as u64, "left_out" => left_out);
             }
@@ -147,10 +147,10 @@
         Some(connection) => connection,
         None => Connection::open(address, timeout).await?,
     };
-    let before = connection.total();
+    let before = connection.bytes_received();
     let call = timeout_at(deadline, exchange::call(&mut connection, address, PATH, question)).await;
     let answer = call.map_err(|_elapsed| Error::Timeout {
-        received: connection.total() - before,
+        received: connection.bytes_received() - before,
     })??;
     if answer.status != StatusCode::OK {
         return Err(Error::Status(answer.status.as_u16()));
--- a/bergamotshift-forward/src/serve/stream.rs
+++ b/bergamotshift-forward/src/serve/stream.rs
@@ -22,7 +22,7 @@
 use super::active::Active;
 use super::attempt::History;
 use super::attempt::Open;
-use super::cut::cut;
+use super::cut::flush_and_terminate;
 use super::job::Job;
 use super::refusal::Reason;
 use super::refusal::Refusal;
@@ -196,7 +196,7 @@
 
     fn log_break(&self, now: Instant, failure: &Failure) {
         let shared = &self.forwarder.shared;
-        if let Some((logger, left_out)) = shared.log.room(now, Topic::Attempt) {
+        if let Some((logger, left_out)) = shared.log.rate_limited(now, Topic::Attempt) {
             info!(logger, "stream broke"; "request" => self.job.ask.id.as_str(),
                 "route" => self.job.route.name.as_str(),
                 "endpoint" => self.seat.endpoint().registration.id.as_str(), "cause" => %failure,
@@ -238,7 +238,7 @@
                     .forwarder
                     .broken(&state.flow.job, &state.flow.history, &failure);
                 if let Some(caller) = state.caller.take() {
-                    cut(caller).await;
+                    flush_and_terminate(caller).await;
                 }
                 state.ended = true;
                 let error: Rc<dyn StdError> = Rc::new(Cut(failure.to_string()));
