--- a/bergamotshift-claim/src/driver/claiming.rs
+++ b/bergamotshift-claim/src/driver/claiming.rs
@@ -1,4 +1,4 @@
-//! From the caller's question to the send, or to giving up before it.
+//! Phases from the caller's request to the send, or to giving up before it.
 
 use bergamotshift_core::clock::Instant;
 use bergamotshift_core::table::Ending;
@@ -14,7 +14,8 @@
 use crate::record::State;
 
 impl Driver {
-    pub(super) fn asked(&mut self, now: Instant) -> Vec<Action> {
+    /// Writes the claim of a new request.
+    pub(super) fn start(&mut self, now: Instant) -> Vec<Action> {
         if self.phase != Phase::Idle {
             return Vec::new();
         }
@@ -28,57 +29,61 @@
         actions
     }
 
-    /// Writes the claim over the row's version `base`.
+    /// Writes the claim over version `base` of the row.
     fn claim_over(&mut self, base: u64) -> Vec<Action> {
         self.phase = Phase::Claiming { base };
-        self.contested = false;
+        self.is_contested = false;
         let op = self.next_op();
         let write = self.record(State::Sent).write_over(base);
         vec![Action::Write { op, write }]
     }
 
+    /// Handles the ending of the claim's write.
     pub(super) fn claim_written(&mut self, now: Instant, base: u64, ending: &Ending) -> Vec<Action> {
         match ending {
             Ending::Applied => self.claimed(now, base + 1),
             Ending::Refused => {
-                self.phase = Phase::Settling;
+                self.phase = Phase::Resolving;
                 self.give_up(now, Reason::Table)
             }
             Ending::Conflict(_) => {
-                self.contested = true;
-                self.settle(now)
+                self.is_contested = true;
+                self.resolve(now)
             }
             Ending::Unknown => {
-                self.doubt = true;
-                self.settle(now)
+                self.has_unknown_write = true;
+                self.resolve(now)
             }
         }
     }
 
-    /// Reads the row back, where a lost or a refused write shows whose claim stands.
-    fn settle(&mut self, now: Instant) -> Vec<Action> {
+    /// Reads the row to determine which attempt holds the claim, after a write that conflicted or had an unknown
+    /// ending.
+    fn resolve(&mut self, now: Instant) -> Vec<Action> {
         if self.tries >= self.settings.claim_tries {
             return self.give_up(now, Reason::Table);
         }
         self.tries += 1;
-        self.phase = Phase::Settling;
+        self.phase = Phase::Resolving;
         self.read()
     }
 
-    pub(super) fn settled(&mut self, now: Instant, reading: Reading) -> Vec<Action> {
+    /// Handles the row that was read after a write of the claim.
+    pub(super) fn claim_read(&mut self, now: Instant, reading: Reading) -> Vec<Action> {
         match reading {
-            Err(_) => self.settle(now),
-            // The lost write has not landed, at least not yet. Writing again is safe: if the lost one lands first,
-            // this one conflicts and the row read next carries this driver's own attempt id.
+            Err(_) => self.resolve(now),
+            // The write with the unknown ending has not taken effect, at least not yet. Writing again is safe: if the
+            // first write takes effect before this one, this one conflicts, and the row read next contains this
+            // driver's own attempt id.
             Ok(None) => self.claim_over(0),
-            Ok(Some(row)) => self.met(now, &row),
+            Ok(Some(row)) => self.resolve_row(now, &row),
         }
     }
 
-    /// Acts on the row that stands in the table.
-    fn met(&mut self, now: Instant, row: &Row) -> Vec<Action> {
+    /// Continues or replies according to the existing row.
+    fn resolve_row(&mut self, now: Instant, row: &Row) -> Vec<Action> {
         let Ok(record) = Record::decode(&row.body) else {
-            // A row that this version cannot read may belong to a request that ran.
+            // A row that this version cannot decode may belong to a request that was executed.
             return self.reply_and_close(Reply::Unknown);
         };
         if record.attempt == self.request.attempt {
@@ -87,53 +92,54 @@
                 _ => self.reply_and_close(Reply::Unknown),
             };
         }
-        let same = record.digest == self.request.digest;
+        let is_same_request = record.digest == self.request.digest;
         match record.state {
             State::Withdrawn => self.claim_over(row.version),
-            _ if !same => self.reply_and_close(Reply::Mismatch),
+            _ if !is_same_request => self.reply_and_close(Reply::Mismatch),
             State::Done(answer) => self.reply_and_close(Reply::Replay(answer)),
             State::Sent if self.request.wall_clock.millis(now) < record.until => {
                 self.reply_and_close(self.in_progress())
             }
-            // Still `sent` after the holder's own deadline: it died or lost the table. Whether it sent cannot be
-            // told, so nobody sends again.
+            // The row is still `sent` after the holder's deadline, so the holder died or lost access to the table. It
+            // is unknown whether it sent the request, so nobody may send it again.
             State::Sent | State::Unknown => self.reply_and_close(Reply::Unknown),
         }
     }
 
-    /// The claim stands under this driver's attempt id: send now or never.
+    /// Sends the request, as this driver's attempt holds the claim, or withdraws the claim after the deadline.
     fn claimed(&mut self, now: Instant, version: u64) -> Vec<Action> {
         self.due = None;
         if now < self.request.deadline {
             self.phase = Phase::Sending { version };
             return vec![Action::Send];
         }
-        // A process that paused here would run a request whose caller has long been told otherwise.
+        // The process may have been paused before this point, and its caller may have been answered otherwise long ago.
         let mut actions = vec![Action::Reply(self.not_run(Reason::Deadline))];
         actions.extend(self.finish(version, State::Withdrawn));
         actions
     }
 
+    /// Gives up because the caller disconnected, unless the request was sent already.
     pub(super) fn cancelled(&mut self, now: Instant) -> Vec<Action> {
         match self.phase {
             Phase::Idle => self.reply_and_close(self.not_run(Reason::Cancelled)),
-            Phase::Claiming { .. } | Phase::Settling => self.give_up(now, Reason::Cancelled),
-            // What was sent cannot be called back; its answer is recorded for the caller's next sending.
+            Phase::Claiming { .. } | Phase::Resolving => self.give_up(now, Reason::Cancelled),
+            // A sent request cannot be cancelled; its answer is recorded for the caller's retry.
             _ => Vec::new(),
         }
     }
 
-    /// Answers the caller before anything was sent, and sees to it that the key does not stay taken.
+    /// Replies to the caller before the request was sent, and clears a claim that may still take effect.
     pub(super) fn give_up(&mut self, now: Instant, reason: Reason) -> Vec<Action> {
-        let writing = matches!(self.phase, Phase::Claiming { .. });
-        let may_land = self.doubt || writing;
-        let reply = if self.contested {
-            // The key's row exists, and whether its request ran is not known here.
+        let is_writing = matches!(self.phase, Phase::Claiming { .. });
+        let may_take_effect = self.has_unknown_write || is_writing;
+        let reply = if self.is_contested {
+            // The key's row exists, and it is unknown here whether its request was executed.
             self.in_progress()
         } else {
             self.not_run(reason)
         };
-        if !may_land {
+        if !may_take_effect {
             return self.reply_and_close(reply);
         }
         self.phase = Phase::Clearing;
@@ -143,11 +149,11 @@
         actions
     }
 
-    /// Makes sure that a claim which will never be sent does not hold the key.
-    pub(super) fn cleared(&mut self, now: Instant, reading: Reading) -> Vec<Action> {
+    /// Handles the row that was read to clear a claim under which nothing will be sent.
+    pub(super) fn clearing_read(&mut self, now: Instant, reading: Reading) -> Vec<Action> {
         match reading {
             Err(_) => self.back_off(now),
-            // A withdrawn row in its place makes the late write conflict for good.
+            // With a withdrawn row in its place, the late write conflicts whenever it arrives.
             Ok(None) => self.clear(0),
             Ok(Some(row)) => match Record::decode(&row.body) {
                 Ok(record) if record.attempt == self.request.attempt && record.state == State::Sent => {
--- a/bergamotshift-claim/src/driver/event.rs
+++ b/bergamotshift-claim/src/driver/event.rs
@@ -1,4 +1,4 @@
-//! What goes into a driver and what comes out of it.
+//! Events and actions of a driver, and its reply to the caller.
 
 use core::time::Duration;
 
@@ -9,7 +9,7 @@
 
 use crate::answer::Answer;
 
-/// Numbers a driver's operations on the platform, so that a late result is not taken for the awaited one.
+/// Number of a driver's operation on the platform, which distinguishes a late result from the awaited one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Op(u32);
 
@@ -21,134 +21,134 @@
     }
 }
 
-/// The result of reading a row: the row if there is one, or that it could not be read.
+/// Result of reading a row: the row, if it exists, or an error if it could not be read.
 pub type Reading = Result<Option<table::Row>, Unreachable>;
 
-/// The platform did not answer a read.
+/// Error for a read that the platform did not answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Unreachable;
 
-/// Something that happened.
+/// Input of a driver.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// The caller asked.
+    /// The caller's request arrived.
     Ask,
-    /// A write ended.
+    /// A write to the table ended.
     Written {
-        /// Which write.
+        /// Operation of the write.
         op: Op,
-        /// How it ended.
+        /// Ending of the write.
         ending: table::Ending,
     },
-    /// A read ended.
+    /// A read of the table ended.
     Rows {
-        /// Which read.
+        /// Operation of the read.
         op: Op,
-        /// The row.
+        /// Result of the read.
         row: Reading,
     },
-    /// The object store took the answer's body, or did not.
+    /// Putting the answer's body into the object store ended.
     Stored {
-        /// Which put.
+        /// Operation of the put.
         op: Op,
-        /// Whether it is known to be kept.
+        /// Whether the body is known to be stored.
         is_stored: bool,
     },
-    /// The endpoint call that [`Action::Send`] started came to its end.
+    /// The endpoint call started by [`Action::Send`] ended.
     Completed(Completion),
-    /// The caller went away.
+    /// The caller disconnected.
     Cancel,
-    /// The time of the last [`Action::Wake`] has come.
+    /// The time of the last [`Action::Wake`] was reached.
     Woke,
 }
 
-/// How an endpoint call ended.
+/// Result of an endpoint call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Completion {
-    /// A whole answer arrived.
+    /// A complete answer was received.
     Answered(Answer),
-    /// No byte of the request left, or the endpoint proved that it refused it before any work.
+    /// No byte of the request was sent, or the endpoint provably refused it before it executed anything.
     Refused,
-    /// The request may have run, and its answer is lost.
+    /// The request may have been executed, and its answer is lost.
     Lost,
 }
 
-/// Something to do.
+/// Action that the driver requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Write to the table; [`Event::Written`] tells how it ended.
+    /// Writes to the table; [`Event::Written`] reports the ending.
     Write {
-        /// Comes back with the ending.
+        /// Operation to pass back with the ending.
         op: Op,
-        /// The write.
+        /// Write to perform.
         write: table::Write,
     },
-    /// Read a row consistently; [`Event::Rows`] brings it.
+    /// Reads a row with a consistent read; [`Event::Rows`] reports it.
     Read {
-        /// Comes back with the row.
+        /// Operation to pass back with the row.
         op: Op,
-        /// The row.
+        /// Key of the row.
         key: table::Key,
     },
-    /// Put a body into the object store; [`Event::Stored`] tells how it ended.
+    /// Puts a body into the object store; [`Event::Stored`] reports the result.
     Store {
-        /// Comes back with the result.
+        /// Operation to pass back with the result.
         op: Op,
-        /// The object's key.
+        /// Key of the object.
         key: SmolStr,
-        /// The body.
+        /// Body to store.
         body: Vec<u8>,
     },
-    /// Send the request to one endpoint; [`Event::Completed`] tells how it ended.
+    /// Sends the request to one endpoint; [`Event::Completed`] reports the result.
     ///
-    /// The shell may go on to another endpoint only as long as no byte of the request has left.
+    /// Another endpoint may be tried only as long as no byte of the request was sent.
     Send,
-    /// Give the caller its final answer.
+    /// Sends the caller its final reply.
     Reply(Reply),
-    /// Wake the driver at this time; replaces the earlier time.
+    /// Sets the timer for [`Event::Woke`], replacing an earlier one.
     Wake(Instant),
 }
 
-/// What the caller is told.
+/// Final reply to the caller.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Reply {
-    /// The request ran just now, and this is its answer.
+    /// This request was executed, with this answer.
     Answer(Answer),
-    /// The request ran earlier, and this was its answer.
+    /// An earlier request with the same key was executed, with this answer.
     Replay(Answer),
-    /// This sending did not run and never will.
+    /// This request was not executed and never will be.
     NotRun {
-        /// Why.
+        /// Reason why it was not executed.
         reason: Reason,
-        /// When to ask again.
+        /// Time after which the caller may retry.
         retry_after: Duration,
     },
-    /// The request was sent and may have run. It is never sent again.
+    /// The request was sent and may have been executed. It is never sent again.
     Unknown,
-    /// Another sending of the same key holds the claim and may be running.
+    /// Another request with the same key holds the claim and may be running.
     InProgress {
-        /// When to ask again.
+        /// Time after which the caller may retry.
         retry_after: Duration,
     },
-    /// The key belongs to a request with another body.
+    /// The key was used for a different request.
     Mismatch,
 }
 
-/// Why a request did not run.
+/// Reason why a request was not executed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Reason {
-    /// The table service did not take the claim in time.
+    /// The table service did not accept the claim in time.
     Table,
-    /// The request's deadline came before it could be sent.
+    /// The request's deadline passed before it could be sent.
     Deadline,
-    /// No endpoint took the request.
+    /// No endpoint accepted the request.
     Endpoint,
-    /// The caller went away first.
+    /// The caller disconnected first.
     Cancelled,
 }
 
 impl Reply {
-    /// Returns what the caller is told about whether the request ran.
+    /// Returns whether the request was executed, as reported to the caller.
     pub const fn outcome(&self) -> Outcome {
         match self {
             Self::Answer(_) | Self::Replay(_) => Outcome::Ran,
@@ -157,7 +157,7 @@
         }
     }
 
-    /// Returns the HTTP status for the caller.
+    /// Returns the HTTP status code for the caller.
     pub const fn status(&self) -> u16 {
         match self {
             Self::Answer(answer) | Self::Replay(answer) => answer.status,
@@ -168,7 +168,7 @@
         }
     }
 
-    /// Returns when the caller should ask again, where that helps.
+    /// Returns the time after which the caller may retry, if a retry is useful.
     pub const fn retry_after(&self) -> Option<Duration> {
         match self {
             Self::NotRun { retry_after, .. } | Self::InProgress { retry_after } => Some(*retry_after),
--- a/bergamotshift-claim/src/driver/mod.rs
+++ b/bergamotshift-claim/src/driver/mod.rs
@@ -1,11 +1,11 @@
-//! Takes one non-repeatable request from its claim to its recorded answer.
+//! State machine for one non-repeatable request, from writing its claim to recording its answer.
 //!
-//! One conditional insert in state [`State::Sent`] comes before the first byte of the request, and only the driver
-//! that drew the record's attempt id may send. The driver sends once or never, so no lease is needed: a holder that
-//! pauses between claim and send and wakes up later is still the only one that could send.
+//! Before the first byte of the request is sent, a conditional insert records the claim in state [`State::Sent`]. Only
+//! the driver that generated the record's attempt id may send the request. It sends at most once, so no lease is
+//! needed: a holder that is paused between the claim and the send is still the only one that can send.
 //!
-//! `not-run` is true for a simple reason: the driver says it only in phases from which no path leads to
-//! [`Action::Send`], and no other process knows the attempt id before it is in the table, nor ever sends under it.
+//! The outcome `not-run` is reliable: the driver reports it only in phases from which [`Action::Send`] cannot be
+//! reached, and no other process knows the attempt id before it is in the table or ever sends under it.
 
 mod claiming;
 mod event;
@@ -33,39 +33,39 @@
 use crate::scope::Scope;
 use crate::wall::WallClock;
 
-/// What one caller's sending of a non-repeatable request is.
+/// Non-repeatable request, as sent once by a caller.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Request {
-    /// The idempotency key and what it belongs to.
+    /// Idempotency key, with its organisation and service.
     pub scope: Scope,
-    /// The digest of what is asked for.
+    /// Digest of the request.
     pub digest: Digest,
-    /// A fresh attempt id, drawn at random for this sending alone.
+    /// Attempt id, generated at random for this request only.
     pub attempt: attempt::Id,
-    /// This entry.
+    /// Name of this entry.
     pub holder: name::Entry,
-    /// No byte leaves at or after this time.
+    /// Time from which no byte of the request may be sent any more.
     pub deadline: Instant,
-    /// The wall clock.
+    /// Wall clock that converts the deadline for the record.
     pub wall_clock: WallClock,
 }
 
-/// How patient a driver is.
+/// Settings of a [`Driver`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Settings {
-    /// How long the claim may take before the request is refused.
+    /// Timeout for the claim, after which the request is refused.
     pub claim_timeout: Duration,
-    /// How many times the claim's row is written or read before the request is refused.
+    /// Maximum number of reads of the claim's row before the request is refused.
     pub claim_tries: u8,
-    /// How many times the final state is written before it is left as it is.
+    /// Maximum number of retries of the final state's write, or of clearing a claim, before the row is left as it is.
     pub record_tries: u8,
-    /// The wait after the first failed write of the final state; it doubles each time.
+    /// Backoff after the first failed write of the final state; it doubles with each failure.
     pub backoff: Duration,
-    /// The longest wait between two writes of the final state.
+    /// Maximum backoff between two writes of the final state.
     pub backoff_limit: Duration,
-    /// What a refused caller is told to wait.
+    /// Time after which a caller may retry, if its request did not run or is in progress.
     pub retry_after: Duration,
-    /// The longest body that is kept in the row, in bytes; longer ones go to the object store.
+    /// Maximum length of a body that is stored in the row, in bytes; longer ones are put into the object store.
     pub max_inline_bytes: usize,
 }
 
@@ -83,49 +83,49 @@
     }
 }
 
-/// Where a driver stands.
+/// Phase of a driver.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Phase {
-    /// Not asked yet.
+    /// [`Event::Ask`] has not arrived yet.
     Idle,
-    /// The claim is being written over the row's version `base`.
+    /// The claim is being written over version `base` of the row.
     Claiming { base: u64 },
-    /// The row is being read to learn who holds it.
-    Settling,
-    /// The request was given out for sending; the row stands at `version`.
+    /// The row is being read to determine which attempt holds the claim.
+    Resolving,
+    /// The request is being sent; the row has version `version`.
     Sending { version: u64 },
-    /// The answer's body is on its way to the object store.
+    /// The answer's body is being put into the object store.
     Storing {
         version: u64,
         answer: crate::answer::Answer,
     },
     /// The final state is being written.
     Recording(Recording),
-    /// The driver gave up before sending, and its claim may still land in the table.
+    /// The driver gave up before sending, and a write of its claim may still take effect.
     Clearing,
-    /// Nothing is left to do.
+    /// The driver has finished.
     Closed,
 }
 
-/// Drives one sending of a non-repeatable request.
+/// State machine for one non-repeatable request.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Driver {
     request: Request,
     settings: Settings,
     phase: Phase,
-    /// The operation whose result is awaited; results of others are stale.
+    /// Operation whose result is awaited; the results of others are stale.
     op: Op,
-    /// When [`Event::Woke`] counts.
+    /// Time from which [`Event::Woke`] is handled.
     due: Option<Instant>,
     tries: u8,
-    /// Some write of the claim had an unknown ending, so it may land later.
-    doubt: bool,
-    /// Another sending's row was in the way.
-    contested: bool,
+    /// Whether a write of the claim had an unknown ending, so that it may still take effect.
+    has_unknown_write: bool,
+    /// Whether the last write of the claim conflicted, so that a row with the key exists.
+    is_contested: bool,
 }
 
 impl Driver {
-    /// Makes a driver that waits for [`Event::Ask`].
+    /// Creates a driver that waits for [`Event::Ask`].
     pub const fn new(request: Request, settings: Settings) -> Self {
         Self {
             request,
@@ -134,8 +134,8 @@
             op: Op::FIRST,
             due: None,
             tries: 0,
-            doubt: false,
-            contested: false,
+            has_unknown_write: false,
+            is_contested: false,
         }
     }
 
@@ -144,32 +144,32 @@
         &self.request
     }
 
-    /// Returns whether nothing is left to do.
+    /// Returns whether the driver has finished.
     pub const fn is_closed(&self) -> bool {
         matches!(self.phase, Phase::Closed)
     }
 
-    /// Returns whether the result of this operation still matters.
+    /// Returns whether the driver awaits the result of `op`; other results are ignored.
     pub fn awaits(&self, op: Op) -> bool {
         self.op == op && !self.is_closed()
     }
 
-    /// Returns when the driver wants [`Event::Woke`], if it waits for that.
+    /// Returns the time at which the driver expects [`Event::Woke`], if it has set a timer.
     pub const fn due(&self) -> Option<Instant> {
         self.due
     }
 
-    /// Takes an event in and returns what is to be done about it, in order.
+    /// Handles an event and returns the actions to perform, in order.
     pub fn on(&mut self, now: Instant, event: Event) -> Vec<Action> {
         match event {
-            Event::Ask => self.asked(now),
+            Event::Ask => self.start(now),
             Event::Written { op, ending } if op == self.op => self.written(now, &ending),
-            Event::Rows { op, row } if op == self.op => self.rows(now, row),
+            Event::Rows { op, row } if op == self.op => self.row_read(now, row),
             Event::Stored { op, is_stored } if op == self.op => self.stored(is_stored),
-            Event::Completed(verdict) => self.endpoint(verdict),
+            Event::Completed(completion) => self.completed(completion),
             Event::Cancel => self.cancelled(now),
             Event::Woke if self.due.is_some_and(|due| now >= due) => self.woke(now),
-            // A stale result, or a timer that was replaced.
+            // Stale results, and timers that were replaced.
             Event::Written { .. } | Event::Rows { .. } | Event::Stored { .. } | Event::Woke => Vec::new(),
         }
     }
@@ -177,7 +177,7 @@
     fn woke(&mut self, now: Instant) -> Vec<Action> {
         self.due = None;
         match &self.phase {
-            Phase::Claiming { .. } | Phase::Settling => self.give_up(now, Reason::Table),
+            Phase::Claiming { .. } | Phase::Resolving => self.give_up(now, Reason::Table),
             Phase::Recording(_) => self.write_final(),
             Phase::Clearing => self.read(),
             Phase::Idle | Phase::Sending { .. } | Phase::Storing { .. } | Phase::Closed => Vec::new(),
@@ -192,15 +192,15 @@
         }
     }
 
-    fn rows(&mut self, now: Instant, row: Reading) -> Vec<Action> {
+    fn row_read(&mut self, now: Instant, row: Reading) -> Vec<Action> {
         match self.phase {
-            Phase::Settling => self.settled(now, row),
-            Phase::Clearing => self.cleared(now, row),
+            Phase::Resolving => self.claim_read(now, row),
+            Phase::Clearing => self.clearing_read(now, row),
             _ => Vec::new(),
         }
     }
 
-    /// Starts the next operation; results of earlier ones become stale.
+    /// Returns the number of a new operation; the results of earlier ones become stale.
     fn next_op(&mut self) -> Op {
         self.op = self.op.next();
         self.op
--- a/bergamotshift-claim/src/driver/recording.rs
+++ b/bergamotshift-claim/src/driver/recording.rs
@@ -1,4 +1,4 @@
-//! From the endpoint's verdict, or from giving up, to the final state in the table.
+//! Phases from the endpoint call's result, or from giving up, to the final state in the table.
 
 use bergamotshift_core::clock::Instant;
 use bergamotshift_core::table::Ending;
@@ -14,22 +14,23 @@
 use crate::answer::Body;
 use crate::record::State;
 
-/// A final state on its way into the table.
+/// Final state that is being written to the table.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct Recording {
-    /// The row's version that is written over; 0 if there is no row.
+    /// Version of the row that is written over; 0 if the row does not exist.
     version: u64,
     state: State,
-    /// Whether a lost claim is being cleared, which a conflict does not end.
-    clearing: bool,
+    /// Whether a claim is being cleared, in which case a conflict means that the row has to be read again.
+    is_clearing: bool,
 }
 
 impl Driver {
-    pub(super) fn endpoint(&mut self, verdict: Completion) -> Vec<Action> {
+    /// Replies to the caller and records the result of the endpoint call.
+    pub(super) fn completed(&mut self, completion: Completion) -> Vec<Action> {
         let Phase::Sending { version } = self.phase else {
             return Vec::new();
         };
-        match verdict {
+        match completion {
             Completion::Answered(answer) => {
                 let mut actions = vec![Action::Reply(Reply::Answer(answer.clone()))];
                 actions.extend(self.store(version, answer));
@@ -50,7 +51,7 @@
         }
     }
 
-    /// Records the answer, with a long body in the object store first.
+    /// Records the answer, after a long body was put into the object store.
     fn store(&mut self, version: u64, mut answer: Answer) -> Vec<Action> {
         let body = match &mut answer.body {
             Body::Inline(bytes) if bytes.len() > self.settings.max_inline_bytes => core::mem::take(bytes),
@@ -66,6 +67,7 @@
         vec![Action::Store { op, key, body }]
     }
 
+    /// Records the answer after the attempt to put its body into the object store.
     pub(super) fn stored(&mut self, is_stored: bool) -> Vec<Action> {
         let Phase::Storing { version, answer } = &self.phase else {
             return Vec::new();
@@ -78,22 +80,22 @@
         self.finish(version, State::Done(answer))
     }
 
-    /// Writes the final state over the row's version.
+    /// Writes the final state over version `version` of the row.
     pub(super) fn finish(&mut self, version: u64, state: State) -> Vec<Action> {
         self.tries = 0;
         self.record_state(Recording {
             version,
             state,
-            clearing: false,
+            is_clearing: false,
         })
     }
 
-    /// Takes back a claim that will never be sent; `version` is 0 when it has not landed yet.
+    /// Withdraws a claim under which nothing will be sent; `version` is 0 if its write has not taken effect yet.
     pub(super) fn clear(&mut self, version: u64) -> Vec<Action> {
         self.record_state(Recording {
             version,
             state: State::Withdrawn,
-            clearing: true,
+            is_clearing: true,
         })
     }
 
@@ -103,6 +105,7 @@
         self.write_final()
     }
 
+    /// Writes the final state, or retries the write.
     pub(super) fn write_final(&mut self) -> Vec<Action> {
         let Phase::Recording(recording) = &self.phase else {
             return Vec::new();
@@ -112,32 +115,33 @@
         vec![Action::Write { op, write }]
     }
 
+    /// Handles the ending of the final state's write.
     pub(super) fn final_written(&mut self, now: Instant, ending: &Ending) -> Vec<Action> {
         let Phase::Recording(recording) = &self.phase else {
             return Vec::new();
         };
         match ending {
-            // The late claim landed in between: its row has to be read again.
-            Ending::Conflict(_) if recording.clearing => {
+            // The late write of the claim took effect in between, so the row has to be read again.
+            Ending::Conflict(_) if recording.is_clearing => {
                 self.phase = Phase::Clearing;
                 self.back_off(now)
             }
-            // Nobody else writes over this attempt's row, so an earlier write of the same state took effect.
+            // No other process writes over this attempt's row, so an earlier write of the same state took effect.
             Ending::Applied | Ending::Conflict(_) => self.close(),
             Ending::Refused | Ending::Unknown => self.back_off(now),
         }
     }
 
-    /// Waits before the next try of the phase, or gives the row up after the last.
+    /// Waits before the next try of the phase, or closes the driver after the last one.
     ///
-    /// A row given up stays `sent`: callers who ask again are told that the outcome is unknown.
+    /// The row then stays `sent`, and callers that retry are told that the outcome is unknown.
     pub(super) fn back_off(&mut self, now: Instant) -> Vec<Action> {
         if self.tries >= self.settings.record_tries {
             return self.close();
         }
-        let doubled = self.settings.backoff.saturating_mul(1 << self.tries.min(16));
+        let backoff = self.settings.backoff.saturating_mul(1 << self.tries.min(16));
         self.tries += 1;
-        let due = now + doubled.min(self.settings.backoff_limit);
+        let due = now + backoff.min(self.settings.backoff_limit);
         self.due = Some(due);
         vec![Action::Wake(due)]
     }
