--- a/bergamotshift-claim/src/job/id.rs
+++ b/bergamotshift-claim/src/job/id.rs
@@ -1,4 +1,4 @@
-//! Job identifiers, and where a job's rows are.
+//! Job identifiers and the table keys of a job's rows.
 
 use core::fmt;
 use core::str::FromStr;
@@ -13,23 +13,23 @@
 use crate::digest::Digest;
 use crate::scope::Scope;
 
-/// The number of partitions over which jobs are spread; each is listed by one entry.
+/// Number of table partitions over which jobs are distributed; each is listed by one entry.
 pub const SHARDS: u8 = 64;
 
-/// Identifies a job, and tells where its rows are.
+/// Identifier of a job, which determines the keys of its rows.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Serialize, Deserialize)]
 pub struct Id(attempt::Id);
 
 impl Id {
-    /// Makes an identifier from 128 random bits.
+    /// Creates an identifier from 128 random bits.
     pub const fn new(bits: u128) -> Self {
         Self(attempt::Id::new(bits))
     }
 
-    /// Returns the identifier of the job that a caller's idempotency key belongs to.
+    /// Returns the identifier of the job for a caller's idempotency key.
     ///
-    /// A re-send of the same key thus finds the job that the first sending left.
+    /// A retry with the same key thus finds the job of the first request.
     pub fn of(scope: &Scope) -> Self {
         let organisation = scope.organisation.as_str().as_bytes();
         let service = scope.service.as_str().as_bytes();
@@ -37,23 +37,23 @@
         Self::new(digest.leading_bits())
     }
 
-    /// Returns the partition's number.
+    /// Returns the number of the job's partition.
     pub const fn shard(self) -> u8 {
         (self.0.get() >> 120) as u8 % SHARDS
     }
 
-    /// Returns where the record is.
+    /// Returns the table key of the record.
     pub fn record_row(self) -> table::Key {
         table::Key::new(format_smolstr!("job/{:02x}", self.shard()), self.to_string())
     }
 
-    /// Returns where the open row is.
+    /// Returns the table key of the open row.
     pub fn open_row(self) -> table::Key {
         table::Key::new(open_partition(self.shard()), self.to_string())
     }
 }
 
-/// Returns the name of the partition that holds a shard's open rows.
+/// Returns the name of the partition with a shard's open rows.
 pub fn open_partition(shard: u8) -> SmolStr {
     format_smolstr!("open/{shard:02x}")
 }
--- a/bergamotshift-claim/src/job/mod.rs
+++ b/bergamotshift-claim/src/job/mod.rs
@@ -1,9 +1,9 @@
-//! Deferred jobs: kept in the table from the 202 to the result, whichever entry runs them.
+//! Deferred jobs, which are stored in the table from the 202 response to the result, whichever entry runs them.
 //!
-//! A job has two rows. The [`Record`] holds the request and at last the result; the [`Open`] row exists only while
-//! the job is open and holds the lease. Entries list open rows alone, so finished jobs cost no scan. The result is
-//! written together with the removal of the open row at the version its holder knows: a holder that paused past its
-//! lease finds another version and leaves no second result.
+//! A job has two rows. The [`Record`] contains the request and finally the result. The [`Open`] row contains the lease
+//! and exists only while the job is open. Entries list only open rows, so completed jobs do not slow down the scan. One
+//! transaction writes the result and deletes the open row, on condition that the open row has the version that the
+//! holder wrote last. A holder that was paused past its lease finds another version and writes no second result.
 
 mod id;
 mod record;
--- a/bergamotshift-claim/src/job/record.rs
+++ b/bergamotshift-claim/src/job/record.rs
@@ -1,4 +1,4 @@
-//! A job's two rows.
+//! Record and open row of a job.
 
 use core::time::Duration;
 
@@ -20,91 +20,91 @@
 use crate::codec;
 use crate::digest::Digest;
 
-/// What a job asks for, and what became of it.
+/// Request and state of a job.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 #[derive(Serialize, Deserialize)]
 pub struct Record {
-    /// The job.
+    /// Identifier of the job.
     pub id: Id,
-    /// Whose job it is; nobody else may see it.
+    /// Organisation that the job belongs to; no other one may see it.
     pub organisation: name::Organisation,
-    /// The service that runs it.
+    /// Service that executes the job.
     pub service: name::Service,
-    /// The digest of what is asked for.
+    /// Digest of the request.
     pub digest: Digest,
-    /// The request.
+    /// Request to execute.
     pub request: Request,
-    /// The caller's idempotency key.
+    /// Idempotency key sent by the caller.
     pub key: Option<SmolStr>,
-    /// Whether running it twice does no harm.
+    /// Whether the request may be executed more than once without harm.
     pub repeatable: bool,
-    /// When it was accepted, in milliseconds since the Unix epoch.
+    /// Time at which the job was accepted, in milliseconds since the Unix epoch.
     pub accepted: u64,
-    /// What became of it.
+    /// State of the job.
     pub state: State,
 }
 
-/// The request that a job sends.
+/// Request of a job.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 #[derive(Serialize, Deserialize)]
 pub struct Request {
-    /// The HTTP method.
+    /// HTTP method.
     pub method: SmolStr,
-    /// The path with its query.
+    /// Path, with the query.
     pub path: SmolStr,
-    /// The end-to-end headers.
+    /// End-to-end headers.
     pub headers: Vec<Header>,
-    /// The body or where it is kept.
+    /// Body, or the place where it is stored.
     pub body: Body,
 }
 
-/// What became of a job.
+/// State of a job.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 #[derive(Serialize, Deserialize)]
 pub enum State {
-    /// It waits or runs.
+    /// The job is waiting or running.
     Open,
-    /// It ran, and this was its answer.
+    /// The job was executed.
     Done {
-        /// The run that brought the answer.
+        /// Run that received the answer.
         run: attempt::Id,
-        /// The answer.
+        /// Answer of the endpoint.
         answer: Answer,
     },
-    /// It was given up.
+    /// The job was given up.
     Failed {
-        /// The run that was the last.
+        /// Last run.
         run: attempt::Id,
-        /// Whether it may have run.
+        /// Whether the request may have been executed.
         outcome: Outcome,
     },
-    /// The caller cancelled it.
+    /// The caller cancelled the job.
     Cancelled,
 }
 
-/// The row that exists while a job is open.
+/// Row that exists while a job is open.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 #[derive(Serialize, Deserialize)]
 pub struct Open {
-    /// How soon the result is needed.
+    /// Urgency of the result.
     pub urgency: Urgency,
-    /// When it is needed, in milliseconds since the Unix epoch.
+    /// Time at which the result is needed, in milliseconds since the Unix epoch.
     pub deadline: u64,
-    /// How many runs were started, but for those that certainly did not run.
+    /// Number of runs that were started, without those that certainly did not execute the request.
     pub fence: u64,
-    /// Who runs it, if anybody does.
+    /// Lease of the entry that runs the job, if any.
     pub lease: Option<Lease>,
 }
 
-/// Who runs a job.
+/// Lease of a job.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 #[derive(Serialize, Deserialize)]
 pub struct Lease {
-    /// The entry.
+    /// Entry that runs the job.
     pub holder: name::Entry,
-    /// The run, drawn at random: another life of the same entry has others.
+    /// Identifier of the run, generated at random; it distinguishes runs before and after a restart of the entry.
     pub run: attempt::Id,
-    /// How long the row may stand unchanged before the holder counts as gone, in milliseconds.
+    /// Time for which the row may stay unchanged before the lease expires, in milliseconds.
     pub length: u32,
 }
 
@@ -118,12 +118,12 @@
     ///
     /// # Errors
     ///
-    /// Returns an error when the body is empty, has an unknown layout or does not decode.
+    /// Returns an error if the body is empty, has an unknown layout or cannot be decoded.
     pub fn decode(body: &[u8]) -> Result<Self, codec::Error> {
         codec::decode(body)
     }
 
-    /// Returns the transaction that accepts the job; it is durable once this took effect.
+    /// Returns the transaction that accepts the job, which is durable once the transaction is applied.
     pub fn accept(&self, open: &Open) -> Vec<Write> {
         vec![
             put(self.id, Condition::Absent, self),
@@ -131,9 +131,9 @@
         ]
     }
 
-    /// Returns the transaction that closes the job with a state, if its open row still has this version.
+    /// Returns the transaction that closes the job with a final state if the open row has version `open_version`.
     pub fn close(&self, state: State, open_version: u64) -> Vec<Write> {
-        /// The record is written twice in its life.
+        /// Version of the record after the job was accepted; it is only written again when the job is closed.
         const ACCEPTED: Condition = Condition::Version(1);
         let closed = Self { state, ..self.clone() };
         let remove = Write {
@@ -145,6 +145,7 @@
     }
 }
 
+/// Returns the write that stores a record.
 fn put(id: Id, condition: Condition, record: &Record) -> Write {
     Write {
         key: id.record_row(),
@@ -154,7 +155,7 @@
 }
 
 impl Open {
-    /// Encodes the row's body.
+    /// Encodes the open row's body.
     pub fn encode(&self) -> Vec<u8> {
         codec::encode(self)
     }
@@ -163,12 +164,12 @@
     ///
     /// # Errors
     ///
-    /// Returns an error when the body is empty, has an unknown layout or does not decode.
+    /// Returns an error if the body is empty, has an unknown layout or cannot be decoded.
     pub fn decode(body: &[u8]) -> Result<Self, codec::Error> {
         codec::decode(body)
     }
 
-    /// Returns the write that puts this row.
+    /// Returns the write that stores this row.
     pub fn write(&self, id: Id, condition: Condition) -> Write {
         Write {
             key: id.open_row(),
@@ -177,14 +178,14 @@
         }
     }
 
-    /// Returns whether this run holds the lease.
+    /// Returns whether `run` holds the lease.
     pub fn is_held_by(&self, run: attempt::Id) -> bool {
         self.lease.as_ref().is_some_and(|lease| lease.run == run)
     }
 }
 
 impl Lease {
-    /// Returns how long the row may stand unchanged.
+    /// Returns the time for which the row may stay unchanged before the lease expires.
     pub const fn length(&self) -> Duration {
         Duration::from_millis(self.length as u64)
     }
--- a/bergamotshift-claim/src/job/runner.rs
+++ b/bergamotshift-claim/src/job/runner.rs
@@ -1,9 +1,9 @@
-//! Takes one open job from its lease to its recorded result.
+//! State machine that runs one open job, from taking its lease to recording its result.
 //!
-//! The lease only keeps entries from doing the same work twice at a time. What keeps a second result away is the open
-//! row's version: every write of the holder is conditional on the version it wrote last. So a holder whose lease
-//! lapsed while it was paused, or while the table was down, may go on: either nobody took the job over, and its result
-//! counts, or its next write conflicts, and it stops.
+//! The lease only prevents entries from doing the same work at the same time. The version of the open row prevents a
+//! second result: each write of the holder is conditional on the version that it wrote last. A holder whose lease
+//! expired while it was paused, or while the table was unavailable, may therefore continue. If no other entry took the
+//! job over, its result is recorded; otherwise its next write conflicts, and it stops.
 
 use core::time::Duration;
 
@@ -25,14 +25,15 @@
 use crate::answer::Answer;
 use crate::driver::Unreachable;
 
-/// How jobs are run.
+/// Settings of a [`Runner`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Settings {
-    /// How long a lease stands without renewal.
+    /// Time for which a lease is valid without renewal.
     pub lease: Duration,
-    /// How many runs a job gets before it is given up; a run that certainly did not run is not counted.
+    /// Maximum number of runs before a job is given up; a run that certainly did not execute the request is not
+    /// counted.
     pub max_runs: u64,
-    /// The wait between two tries of a write, and before a job that did not run is taken again.
+    /// Wait between two tries of a write, and before a job whose request was not executed is taken again.
     pub backoff: Duration,
 }
 
@@ -46,60 +47,64 @@
     }
 }
 
-/// How a run ended.
+/// Result of a run.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Completion {
-    /// With a whole answer.
+    /// A complete answer was received.
     Answered(Answer),
-    /// Without one, and it certainly did not run.
+    /// No answer was received, and the request was certainly not executed.
     NotRun,
-    /// Not at all: the request cannot be made here, as its service or its body is not known.
+    /// The request cannot be sent from this entry, because its service or its body is unknown.
     Unsendable,
-    /// Without one, and it may have run.
+    /// No answer was received, and the request may have been executed.
     Unknown,
 }
 
-/// Something that happened.
+/// Input of a runner.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// The job is to be run here.
+    /// The job is to be run by this entry.
     Take,
     /// The last transaction ended.
     Written(Ending),
-    /// The last read brought the record and the open row.
+    /// The last read ended, with the record and the open row.
     Rows(Result<[Option<Row>; 2], Unreachable>),
-    /// The run that [`Action::Start`] began ended.
+    /// The run started by [`Action::Start`] ended.
     Completed(Completion),
-    /// The entry leaves: the job is to go elsewhere.
+    /// The entry is leaving, so another one should run the job.
     Leave,
-    /// The time of the last [`Action::Wake`] has come.
+    /// The time of the last [`Action::Wake`] was reached.
     Woke,
 }
 
-/// Something to do.
+/// Action that the runner requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Carry out a transaction; [`Event::Written`] tells how it ended.
+    /// Performs a transaction; [`Event::Written`] reports the ending.
     Transact(Vec<Write>),
-    /// Read the record and the open row consistently; [`Event::Rows`] brings them.
+    /// Reads the record and the open row with consistent reads; [`Event::Rows`] reports them.
     Read([Key; 2]),
-    /// Run the request; through a claim under the job's own id if it is not repeatable.
+    /// Runs the request, through a claim under the job's id if it is not repeatable; [`Event::Completed`] reports the
+    /// result.
     Start(Box<Record>),
-    /// Break the run off; [`Event::Completed`] does not matter any more.
+    /// Cancels the run; a later [`Event::Completed`] is ignored.
     Stop,
-    /// Wake the runner after this time; replaces the earlier one.
+    /// Sets the timer for [`Event::Woke`], replacing an earlier one.
     Wake(Instant),
 }
 
-/// What the runner is about to write, or has written last.
+/// Change that the runner is about to write, or wrote last.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Goal {
+    /// Take the lease.
     Take,
+    /// Renew the lease.
     Renew,
-    /// Leave the job to whoever is there first.
+    /// Remove the lease, so that any entry can take the job at once.
     Release,
-    /// Leave the job to whoever is there first after the backoff, and take the run back from the count.
-    Pause,
+    /// Set the lease's length to the backoff, after which any entry can take the job, and do not count the run.
+    Postpone,
+    /// Delete the open row and record the final state.
     Close(State),
 }
 
@@ -117,21 +122,21 @@
 pub struct Runner {
     settings: Settings,
     id: Id,
-    /// The open row as this runner wrote it last.
+    /// Open row with this runner's lease.
     open: Open,
     version: u64,
     run: attempt::Id,
     record: Option<Box<Record>>,
     goal: Goal,
     phase: Phase,
-    running: bool,
+    is_running: bool,
     due: Instant,
-    /// How the run ended while a write was on its way.
-    next: Option<Goal>,
+    /// Goal to write after the renewal in flight.
+    next_goal: Option<Goal>,
 }
 
 impl Runner {
-    /// Makes a runner for an open job that was listed at `version`; `run` is drawn at random for it alone.
+    /// Creates a runner for an open job that was listed at `version`; `run` is generated at random for it alone.
     pub fn new(settings: Settings, id: Id, listed: &Open, version: u64, holder: name::Entry, run: attempt::Id) -> Self {
         let length = u32::try_from(settings.lease.as_millis()).unwrap_or(u32::MAX);
         let open = Open {
@@ -148,53 +153,56 @@
             record: None,
             goal: Goal::Take,
             phase: Phase::Idle,
-            running: false,
+            is_running: false,
             due: Instant::ZERO,
-            next: None,
+            next_goal: None,
         }
     }
 
-    /// Returns the job.
+    /// Returns the job's identifier.
     pub const fn id(&self) -> Id {
         self.id
     }
 
-    /// Returns the number of this run of the job; higher than those of all earlier runs that may have run.
+    /// Returns the fencing number of this run, which is higher than those of all earlier runs that may have executed
+    /// the request.
     pub const fn fence(&self) -> u64 {
         self.open.fence
     }
 
-    /// Returns whether nothing is left to do.
+    /// Returns whether the runner has finished.
     pub const fn is_closed(&self) -> bool {
         matches!(self.phase, Phase::Closed)
     }
 
-    /// Takes an event in and returns what is to be done about it, in order.
+    /// Handles an event and returns the actions to perform, in order.
     pub fn on(&mut self, now: Instant, event: Event) -> Vec<Action> {
         match (event, self.phase) {
             (_, Phase::Closed) => Vec::new(),
             (Event::Take, Phase::Idle) => self.write(),
             (Event::Written(ending), Phase::Writing) => self.written(now, &ending),
-            (Event::Rows(rows), Phase::Reading) => self.rows(now, rows),
-            (Event::Completed(ran), _) if self.running => self.ended(ran),
-            (Event::Leave, _) if self.running => self.leave(),
+            (Event::Rows(rows), Phase::Reading) => self.rows_read(now, rows),
+            (Event::Completed(completion), _) if self.is_running => self.completed(completion),
+            (Event::Leave, _) if self.is_running => self.leave(),
             (Event::Woke, Phase::Waiting) if now >= self.due => self.write(),
             _ => Vec::new(),
         }
     }
 
+    /// Writes the current goal.
     fn write(&mut self) -> Vec<Action> {
         self.phase = Phase::Writing;
         let condition = Condition::Version(self.version);
         let writes = match (&self.goal, &self.record) {
             (Goal::Close(state), Some(record)) => record.close(state.clone(), self.version),
             (Goal::Release, _) => vec![self.released().write(self.id, condition)],
-            (Goal::Pause, _) => vec![self.paused().write(self.id, condition)],
+            (Goal::Postpone, _) => vec![self.postponed().write(self.id, condition)],
             _ => vec![self.open.write(self.id, condition)],
         };
         vec![Action::Transact(writes)]
     }
 
+    /// Returns the open row without a lease.
     fn released(&self) -> Open {
         Open {
             lease: None,
@@ -202,12 +210,13 @@
         }
     }
 
-    /// Returns the row of a job that did not run.
+    /// Returns the open row of a job whose request was not executed.
     ///
-    /// While its service has no endpoint, a job is taken over and over. Counted and free at once, it would be given up
-    /// within a few looks, though its endpoint may be back a second later. A lease that nobody renews keeps every
-    /// entry away for the backoff, by each entry's own clock, so nothing more has to be remembered.
-    fn paused(&self) -> Open {
+    /// While its service has no endpoint, a job is taken repeatedly. If these runs were counted and the job were
+    /// available at once, it would be given up within a few scans, although an endpoint may return a second later. The
+    /// lease's length is therefore set to the backoff and not renewed, so that no entry takes the job earlier, by that
+    /// entry's own clock. This needs no further state.
+    fn postponed(&self) -> Open {
         let length = u32::try_from(self.settings.backoff.as_millis()).unwrap_or(u32::MAX);
         Open {
             fence: self.open.fence - 1,
@@ -237,34 +246,34 @@
                 self.version += 1;
                 self.renewed(now)
             }
-            // The job is out of this runner's hands, or another entry was faster and nothing was started here.
-            (Ending::Applied, Goal::Release | Goal::Pause | Goal::Close(_))
+            // This runner does not hold the job any more, or another entry took it first and no run was started here.
+            (Ending::Applied, Goal::Release | Goal::Postpone | Goal::Close(_))
             | (Ending::Conflict(_) | Ending::Refused, Goal::Take) => self.close(),
             (Ending::Refused, _) => self.wait(now, self.settings.backoff),
             (Ending::Conflict(_) | Ending::Unknown, _) => self.read(),
         }
     }
 
-    fn rows(&mut self, now: Instant, rows: Result<[Option<Row>; 2], Unreachable>) -> Vec<Action> {
+    fn rows_read(&mut self, now: Instant, rows: Result<[Option<Row>; 2], Unreachable>) -> Vec<Action> {
         let Ok([record, open]) = rows else {
             return self.wait(now, self.settings.backoff);
         };
         let open = open.and_then(|row| Some((row.version, Open::decode(&row.body).ok()?)));
         let Some((version, _)) = open.filter(|(_, open)| open.is_held_by(self.run)) else {
-            // The job is closed or somebody else's: a result of this run would be a second one.
-            return self.lost();
+            // The job is closed or held by another run, so a result of this run would be a second one.
+            return self.abandon();
         };
-        let settled = version != self.version || self.goal == Goal::Take;
+        let has_taken_effect = version != self.version || self.goal == Goal::Take;
         self.version = version;
         if self.goal == Goal::Take {
             let Some(record) = record.and_then(|row| Record::decode(&row.body).ok()) else {
-                return self.lost();
+                return self.abandon();
             };
             return self.start(now, record);
         }
-        // The write that was lost took effect if the version moved on. A pause leaves the row held too: written once
-        // more, it begins anew and harms nobody.
-        if settled && self.goal == Goal::Renew {
+        // A write with an unknown ending took effect if the version changed. A postponed job's row is held by this run
+        // as well; writing it again only restarts the backoff.
+        if has_taken_effect && self.goal == Goal::Renew {
             return self.renewed(now);
         }
         self.write()
@@ -272,7 +281,7 @@
 
     fn start(&mut self, now: Instant, record: Record) -> Vec<Action> {
         self.record = Some(Box::new(record.clone()));
-        self.running = true;
+        self.is_running = true;
         self.goal = Goal::Renew;
         let mut actions = vec![Action::Start(Box::new(record))];
         actions.extend(self.wait(now, self.settings.lease / 3));
@@ -280,7 +289,7 @@
     }
 
     fn renewed(&mut self, now: Instant) -> Vec<Action> {
-        match self.next.take() {
+        match self.next_goal.take() {
             Some(goal) => {
                 self.goal = goal;
                 self.write()
@@ -289,51 +298,54 @@
         }
     }
 
-    fn ended(&mut self, ran: Completion) -> Vec<Action> {
-        self.running = false;
+    /// Writes the result of the run.
+    fn completed(&mut self, completion: Completion) -> Vec<Action> {
+        self.is_running = false;
         let repeatable = self.record.as_ref().is_some_and(|record| record.repeatable);
         let run = self.run;
-        let spent = self.open.fence >= self.settings.max_runs;
-        let goal = match ran {
+        let is_exhausted = self.open.fence >= self.settings.max_runs;
+        let goal = match completion {
             Completion::Answered(answer) => Goal::Close(State::Done { run, answer }),
-            Completion::NotRun => Goal::Pause,
-            Completion::Unsendable if !spent => Goal::Release,
+            Completion::NotRun => Goal::Postpone,
+            Completion::Unsendable if !is_exhausted => Goal::Release,
             Completion::Unsendable => Goal::Close(State::Failed {
                 run,
                 outcome: Outcome::NotRun,
             }),
-            Completion::Unknown if repeatable && !spent => Goal::Release,
+            Completion::Unknown if repeatable && !is_exhausted => Goal::Release,
             Completion::Unknown => Goal::Close(State::Failed {
                 run,
                 outcome: Outcome::Unknown,
             }),
         };
-        self.turn_to(goal)
+        self.pursue(goal)
     }
 
+    /// Cancels the run and releases the job, if its request is repeatable.
     fn leave(&mut self) -> Vec<Action> {
-        // What is not repeatable may be running at an endpoint: its claim would only tell the next entry that.
+        // A non-repeatable request may be running at an endpoint. The next entry could not run it, as its claim exists.
         if !self.record.as_ref().is_some_and(|record| record.repeatable) {
             return Vec::new();
         }
-        self.running = false;
+        self.is_running = false;
         let mut actions = vec![Action::Stop];
-        actions.extend(self.turn_to(Goal::Release));
+        actions.extend(self.pursue(Goal::Release));
         actions
     }
 
-    /// Writes the goal, after the renewal that may be on its way.
-    fn turn_to(&mut self, goal: Goal) -> Vec<Action> {
+    /// Writes the goal, or keeps it until the renewal in flight has ended.
+    fn pursue(&mut self, goal: Goal) -> Vec<Action> {
         if self.phase == Phase::Waiting {
             self.goal = goal;
             return self.write();
         }
-        self.next = Some(goal);
+        self.next_goal = Some(goal);
         Vec::new()
     }
 
-    fn lost(&mut self) -> Vec<Action> {
-        let stop = core::mem::take(&mut self.running);
+    /// Cancels the run, if there is one, and closes the runner without a write.
+    fn abandon(&mut self) -> Vec<Action> {
+        let stop = core::mem::take(&mut self.is_running);
         self.phase = Phase::Closed;
         if stop { vec![Action::Stop] } else { Vec::new() }
     }
--- a/bergamotshift-claim/src/job/watch.rs
+++ b/bergamotshift-claim/src/job/watch.rs
@@ -1,7 +1,7 @@
-//! Finds the open jobs that nobody runs.
+//! Detection of open jobs that no entry runs.
 //!
-//! A lease has lapsed when its row stood unchanged for the lease's length on the watcher's own clock, so clocks of
-//! different VMs are never compared.
+//! A lease has expired when its row stayed unchanged for the lease's length by the clock of the entry that lists it, so
+//! clocks of different VMs are never compared.
 
 use core::time::Duration;
 use std::collections::BTreeMap;
@@ -15,64 +15,69 @@
 use super::Open;
 use super::SHARDS;
 
-/// A job that can be taken.
+/// Open job that can be taken.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Candidate {
-    /// The job.
+    /// Identifier of the job.
     pub id: Id,
-    /// Its open row.
+    /// Open row of the job.
     pub open: Open,
-    /// The open row's version.
+    /// Version of the open row.
     pub version: u64,
 }
 
+/// Version of an open row, and the time since which it is known.
 #[derive(Clone, Copy, Debug)]
-struct Sight {
+struct Observation {
     version: u64,
     since: Instant,
 }
 
-/// Watches the open rows of the shards that an entry lists.
+/// Observed open rows of the shards that an entry lists.
 #[derive(Clone, Debug, Default)]
 pub struct Watch {
-    sights: BTreeMap<Id, Sight>,
+    observations: BTreeMap<Id, Observation>,
 }
 
 impl Watch {
-    /// Takes in all open rows of a shard and returns those that can be taken, most pressing first.
+    /// Records all open rows of a shard and returns the jobs that can be taken, by urgency and deadline.
     pub fn update(&mut self, now: Instant, shard: u8, rows: &[(Id, Row)]) -> Vec<Candidate> {
-        let listed = |id: &Id| rows.iter().any(|(listed, _)| listed == id);
-        self.sights.retain(|id, _| id.shard() != shard || listed(id));
-        let mut found = rows
+        let is_listed = |id: &Id| rows.iter().any(|(listed, _)| listed == id);
+        self.observations.retain(|id, _| id.shard() != shard || is_listed(id));
+        let mut candidates = rows
             .iter()
-            .filter_map(|(id, row)| self.sighted(now, *id, row))
+            .filter_map(|(id, row)| self.observe(now, *id, row))
             .collect::<Vec<_>>();
-        found.sort_by_key(|candidate| (candidate.open.urgency, candidate.open.deadline, candidate.id));
-        found
+        candidates.sort_by_key(|candidate| (candidate.open.urgency, candidate.open.deadline, candidate.id));
+        candidates
     }
 
-    /// Forgets the shards that another entry lists from now on.
+    /// Forgets the open rows of all shards but `shards`.
     pub fn retain_shards(&mut self, shards: &[u8]) {
-        self.sights.retain(|id, _| shards.contains(&id.shard()));
+        self.observations.retain(|id, _| shards.contains(&id.shard()));
     }
 
-    fn sighted(&mut self, now: Instant, id: Id, row: &Row) -> Option<Candidate> {
+    /// Records an open row and returns its job if it can be taken.
+    fn observe(&mut self, now: Instant, id: Id, row: &Row) -> Option<Candidate> {
         let version = row.version;
-        let sight = self.sights.entry(id).or_insert(Sight { version, since: now });
-        if sight.version != version {
-            *sight = Sight { version, since: now };
+        let observation = self
+            .observations
+            .entry(id)
+            .or_insert(Observation { version, since: now });
+        if observation.version != version {
+            *observation = Observation { version, since: now };
         }
         let open = Open::decode(&row.body).ok()?;
-        let wait = open.lease.as_ref().map_or(Duration::ZERO, super::Lease::length);
-        let free = now.since(sight.since) >= wait;
-        free.then_some(Candidate { id, open, version })
+        let length = open.lease.as_ref().map_or(Duration::ZERO, super::Lease::length);
+        let is_free = now.since(observation.since) >= length;
+        is_free.then_some(Candidate { id, open, version })
     }
 }
 
 /// Returns the shards that `entry` lists among the live `members`, by rendezvous hash.
 ///
-/// Each shard is listed by one entry; when members differ in their view, it is listed by two or, for a while, by
-/// none, and neither harms a job.
+/// Each shard is listed by one entry. While entries disagree on the members, a shard may be listed by two entries or by
+/// none, which harms no job.
 pub fn shards(entry: &name::Entry, members: &[name::Entry]) -> Vec<u8> {
     let weight = |member: &name::Entry, shard: u8| Fingerprint::of(member.as_str(), "open", "", &[shard]);
     (0..SHARDS)
