--- a/bergamotshift-claim/src/job/runner.rs
+++ b/bergamotshift-claim/src/job/runner.rs
@@ -214,7 +214,7 @@
     ///
     /// While its service has no endpoint, a job is taken repeatedly. If these runs were counted and the job were
     /// available at once, it would be given up within a few scans, although an endpoint may return a second later. The
-    /// lease's length is therefore set to the backoff and not renewed, so that no entry takes the job earlier, by that
+    /// lease is therefore limited to the backoff and not renewed, so that no entry takes the job earlier, by that
     /// entry's own clock. This needs no further state.
     fn postponed(&self) -> Open {
         let length = u32::try_from(self.settings.backoff.as_millis()).unwrap_or(u32::MAX);
--- a/bergamotshift-claim/src/lease/keeper.rs
+++ b/bergamotshift-claim/src/lease/keeper.rs
@@ -1,4 +1,4 @@
-//! Holds one duty's lease, or watches who does.
+//! State machine that holds a duty's lease, or watches the lease of another holder.
 
 use core::time::Duration;
 
@@ -16,27 +16,28 @@
 use super::record;
 use crate::driver::Reading;
 
-/// How leases are kept.
+/// Settings of a [`Keeper`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Settings {
-    /// How long a lease stands without renewal.
+    /// Time for which a lease is valid without renewal.
     pub length: Duration,
-    /// The time between two renewals.
+    /// Interval between two renewals.
     pub renewal_interval: Duration,
-    /// How long before the lease's end no order is given any more; covers what clocks drift apart in a lease.
+    /// Time before the lease expires in which no order is permitted any more. It covers the drift between clocks during
+    /// a lease.
     pub margin: Duration,
-    /// The longest pause of a process between the permission for an order and its last byte, and the longest way of
-    /// that order to its endpoint.
+    /// Maximum time from the permission for an order until it arrives at its endpoint, which includes a pause of the
+    /// process before the order's last byte is sent.
     pub max_order_delay: Duration,
-    /// The time between two looks at a lease that somebody else holds.
+    /// Interval between two reads of a lease that another entry holds.
     pub poll_interval: Duration,
-    /// The longest wait between two tries while the table does not answer.
+    /// Maximum backoff while the table does not answer.
     pub backoff_limit: Duration,
-    /// The share of each wait that is drawn at random, in percent.
+    /// Random share of each wait, in percent.
     pub jitter_percent: u32,
-    /// Until when a lease that was given back is taken only once it has lapsed. A process that gave it back and was
-    /// started again would otherwise follow its own successor within a lease, and whoever takes orders without
-    /// checking numbers could not tell the two apart.
+    /// Time until which a released lease is taken only after it has expired. Otherwise an entry that releases its lease
+    /// and restarts could follow its own successor within the length of a lease, and receivers that do not check
+    /// fencing numbers could not distinguish its orders from its earlier ones.
     pub cooldown_until: Instant,
 }
 
@@ -55,128 +56,140 @@
     }
 }
 
-/// Something that happened.
+/// Input of a keeper.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// The keeper starts, or the time of the last [`Action::Wake`] has come.
+    /// The keeper starts, or the time of the last [`Action::Wake`] was reached.
     Woke,
     /// The last read ended.
     Rows(Reading),
     /// The last write ended.
     Written(Ending),
-    /// The duty is to go to another entry; no order of this one is on its way any more.
+    /// The duty is to be released in the table; none of this entry's orders is in flight any more.
     Resign,
-    /// The duty is to go to another entry though the table cannot be told; no order of this one is on its way any more.
+    /// The duty is to be given up without a write to the table; none of this entry's orders is in flight any more.
     GiveUp,
-    /// Another entry said something of the lease just now.
+    /// A notice about the lease was received from another entry.
     Received(Notice),
 }
 
-/// Something to do.
+/// Action that the keeper requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Read the lease's row consistently; [`Event::Rows`] brings it.
+    /// Reads the lease's row with a consistent read; [`Event::Rows`] reports it.
     Read(Key),
-    /// Carry out a write; [`Event::Written`] tells how it ended.
+    /// Performs a write; [`Event::Written`] reports the ending.
     Write(Write),
-    /// Wake the keeper at this time; replaces the earlier one.
+    /// Sets the timer for [`Event::Woke`], replacing an earlier one.
     Wake(Instant),
-    /// This entry holds the duty under a new number: read the state that it is about, then correct it.
+    /// Starts the duty under a new fencing number: the caller reads the duty's current state, then corrects it.
     Begin {
-        /// The fencing number.
+        /// Fencing number of the lease.
         number: u64,
     },
-    /// Another entry holds the duty now.
+    /// Stops the duty, as this entry does not hold it any more.
     End,
 }
 
+/// Phase of a keeper.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Phase {
+    /// The timer is set.
     Waiting,
+    /// The lease's row is being read.
     Reading,
+    /// The lease's row is being written.
     Writing,
+    /// The duty is released for good.
     Resigned,
 }
 
-/// A lease that this entry holds.
+/// Lease that this entry holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct Held {
     number: u64,
     version: u64,
-    /// When the lease ends, by this entry's clock, counted from before the write that last renewed it.
+    /// Time at which the lease expires by this entry's clock, counted from before the write that last renewed it.
     until: Instant,
-    /// From when on endpoints that ignore the number may get orders.
-    settled: Instant,
+    /// Time from which orders may be sent to endpoints that do not check fencing numbers.
+    unfenced_from: Instant,
 }
 
-/// What a watcher saw last.
+/// Version of another holder's row, and the time since which it is known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-struct Sight {
+struct Observation {
     version: u64,
     since: Instant,
 }
 
-/// What another entry said last of a lease, and when.
+/// Last notice from another entry, and the time at which it was received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-struct Heard {
-    word: Notice,
+struct Received {
+    notice: Notice,
     at: Instant,
 }
 
-impl Heard {
-    /// Returns when the lease that was seen ends as its holder said; `None` when nothing was said of it.
-    fn ends(self, found: u64, seen: u64) -> Option<Instant> {
-        match self.word {
-            Notice::Holds { number, version, left } if (number, version) == (found, seen) => Some(self.at + left),
+impl Received {
+    /// Returns the time at which a lease expires according to its holder; `None` if the notice is about another number
+    /// or version.
+    fn expires_at(self, found_number: u64, found_version: u64) -> Option<Instant> {
+        match self.notice {
+            Notice::Holds { number, version, left } if (number, version) == (found_number, found_version) => {
+                Some(self.at + left)
+            }
             _ => None,
         }
     }
 
-    fn is_given_up(self, found: u64) -> bool {
-        self.word == Notice::GaveUp { number: found }
+    /// Returns whether the holder gave up the lease with this number.
+    fn is_given_up(self, found_number: u64) -> bool {
+        self.notice == Notice::GaveUp { number: found_number }
     }
 }
 
-/// Keeps or watches one duty's lease at one entry.
+/// State machine of one entry that holds or watches a duty's lease.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Keeper {
     settings: Settings,
     duty: SmolStr,
     holder: name::Entry,
-    life: attempt::Id,
+    incarnation: attempt::Id,
     phase: Phase,
     held: Option<Held>,
-    sight: Option<Sight>,
-    heard: Option<Heard>,
-    /// The number under which this entry acts no more, though its row may say otherwise.
+    observation: Option<Observation>,
+    received: Option<Received>,
+    /// Fencing number that this entry gave up, although its row may still name it as the holder.
     gave_up: Option<u64>,
-    /// The number and the time of the write on its way, and whether its predecessor let the duty go.
-    attempted: Attempted,
+    last_put: Put,
     failures: u32,
 }
 
+/// Write of the lease that is in flight, or was sent last.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
-struct Attempted {
+struct Put {
     number: u64,
+    /// Version of the row that the write replaces.
     base: u64,
+    /// Time at which the write was first sent.
     at: Instant,
+    /// Whether the former holder had released the duty.
     released: bool,
 }
 
 impl Keeper {
-    /// Makes a keeper; `life` is drawn at random when the process starts.
-    pub const fn new(settings: Settings, duty: SmolStr, holder: name::Entry, life: attempt::Id) -> Self {
+    /// Creates a keeper; `incarnation` is generated at random when the process starts.
+    pub const fn new(settings: Settings, duty: SmolStr, holder: name::Entry, incarnation: attempt::Id) -> Self {
         Self {
             settings,
             duty,
             holder,
-            life,
+            incarnation,
             phase: Phase::Waiting,
             held: None,
-            sight: None,
-            heard: None,
+            observation: None,
+            received: None,
             gave_up: None,
-            attempted: Attempted {
+            last_put: Put {
                 number: 0,
                 base: 0,
                 at: Instant::ZERO,
@@ -186,23 +199,24 @@
         }
     }
 
-    /// Returns the fencing number under which an order may be given now.
+    /// Returns the fencing number under which an order may be sent now.
     ///
-    /// `checks` tells whether the endpoint refuses orders with old numbers.
-    pub fn permit(&self, now: Instant, checks: bool) -> Option<u64> {
+    /// `checks_fencing` tells whether the endpoint refuses orders with old numbers.
+    pub fn permit(&self, now: Instant, checks_fencing: bool) -> Option<u64> {
         let held = self.held?;
-        // A holder that was paused wakes up believing in its lease: only its clock tells that the lease has lapsed.
-        let inside = now + self.settings.margin < held.until;
-        let settled = checks || now >= held.settled;
-        (inside && settled).then_some(held.number)
+        // A holder that was paused still has the lease in its state; only its clock shows that the lease has expired.
+        let is_valid = now + self.settings.margin < held.until;
+        let may_order = checks_fencing || now >= held.unfenced_from;
+        (is_valid && may_order).then_some(held.number)
     }
 
-    /// Returns when the lease that is held ends by this entry's clock; an order that was not answered by then is given up.
+    /// Returns the time at which the held lease expires by this entry's clock; an order that was not answered by then
+    /// has to be cancelled.
     pub fn expires_at(&self) -> Option<Instant> {
         self.held.map(|held| held.until)
     }
 
-    /// Returns what the other entries are to be told of the lease.
+    /// Returns the notice about the lease to send to the other entries.
     pub fn notice(&self, now: Instant) -> Option<Notice> {
         let gave_up = self.gave_up.map(|number| Notice::GaveUp { number });
         let holds = self.held.map(|held| Notice::Holds {
@@ -213,20 +227,20 @@
         holds.or(gave_up)
     }
 
-    /// Takes an event in and returns what is to be done about it, in order.
+    /// Handles an event and returns the actions to perform, in order.
     pub fn on(&mut self, now: Instant, event: Event, random: &mut impl Rng) -> Vec<Action> {
         match (event, self.phase) {
             (Event::Woke, Phase::Waiting) if self.held.is_some() => self.renew(now),
             (Event::Woke, Phase::Waiting) => self.read(),
             (Event::Rows(Ok(row)), Phase::Reading) => {
                 self.failures = 0;
-                self.seen(now, row, random)
+                self.row_read(now, row, random)
             }
             (Event::Rows(Err(_)), Phase::Reading) => self.back_off(now, random),
             (Event::Written(ending), Phase::Writing) => self.written(now, &ending, random),
             (Event::Resign, _) => self.resign(),
             (Event::GiveUp, _) => self.give_up(now),
-            (Event::Received(word), _) => self.hear(now, word),
+            (Event::Received(notice), _) => self.receive(now, notice),
             _ => Vec::new(),
         }
     }
@@ -243,26 +257,28 @@
         self.put(now, held.number, held.version, false)
     }
 
+    /// Writes the lease, not released, over version `base` of the row.
     fn put(&mut self, at: Instant, number: u64, base: u64, released: bool) -> Vec<Action> {
         self.phase = Phase::Writing;
-        // A write that was lost may still land, and others count the lease from then. So the same write counts from
-        // its first try, or this entry would believe in its lease after its successor took over.
-        let tried = self.attempted.number == number && self.attempted.base == base;
-        let at = if tried { self.attempted.at } else { at };
-        self.attempted = Attempted {
+        // A write with an unknown ending may take effect at any time, and other entries count the lease from then on. A
+        // retry is therefore counted from the first try; otherwise this entry would assume that it holds the lease
+        // after its successor took over.
+        let is_retry = self.last_put.number == number && self.last_put.base == base;
+        let at = if is_retry { self.last_put.at } else { at };
+        self.last_put = Put {
             number,
             base,
             at,
             released,
         };
         let record = self.record(number, false);
-        vec![Action::Write(record.over(&self.duty, base))]
+        vec![Action::Write(record.write_over(&self.duty, base))]
     }
 
     fn record(&self, number: u64, released: bool) -> Record {
         Record {
             holder: self.holder.clone(),
-            life: self.life,
+            incarnation: self.incarnation,
             number,
             length: u32::try_from(self.settings.length.as_millis()).unwrap_or(u32::MAX),
             released,
@@ -273,32 +289,32 @@
         match ending {
             Ending::Applied => {
                 self.failures = 0;
-                self.took(now, self.attempted.base + 1, random)
+                self.acquired(now, self.last_put.base + 1, random)
             }
             Ending::Refused => self.back_off(now, random),
             Ending::Conflict(_) | Ending::Unknown => self.read(),
         }
     }
 
-    /// The last write took effect, whenever that was: the lease counts from before it was sent.
-    fn took(&mut self, now: Instant, version: u64, random: &mut impl Rng) -> Vec<Action> {
-        let Attempted {
+    /// Records that the last write took effect; the lease counts from before it was first sent.
+    fn acquired(&mut self, now: Instant, version: u64, random: &mut impl Rng) -> Vec<Action> {
+        let Put {
             number, at, released, ..
-        } = self.attempted;
+        } = self.last_put;
         if self.gave_up == Some(number) {
             return self.wait(now, self.settings.poll_interval, random);
         }
         let until = at + self.settings.length;
-        self.sight = None;
+        self.observation = None;
         let wait = self.wait(now, self.settings.renewal_interval, random);
         if let Some(held) = &mut self.held {
             held.version = version;
             held.until = until;
             return wait;
         }
-        // The predecessor may have got permission for an order at the end of its lease and been paused before the
-        // order left. An endpoint that ignores the number would follow it after one of ours.
-        let settled = if released {
+        // The former holder may have been paused between the permission for an order at the end of its lease and
+        // sending it. An endpoint that ignores the number would execute that order after one of this entry.
+        let unfenced_from = if released {
             now
         } else {
             now + self.settings.max_order_delay
@@ -307,14 +323,15 @@
             number,
             version,
             until,
-            settled,
+            unfenced_from,
         });
         let mut actions = vec![Action::Begin { number }];
         actions.extend(wait);
         actions
     }
 
-    fn seen(
+    /// Acts on the lease's row: takes, renews or watches the lease.
+    fn row_read(
         &mut self,
         now: Instant,
         row: Option<bergamotshift_core::table::Row>,
@@ -326,97 +343,109 @@
         let Ok(found) = Record::decode(&row.body) else {
             return self.wait(now, self.settings.poll_interval, random);
         };
-        let ours = found.life == self.life && !found.released && self.gave_up != Some(found.number);
-        if ours && found.number == self.attempted.number && row.version > self.attempted.base {
-            return self.took(now, row.version, random);
+        let is_own = found.incarnation == self.incarnation && !found.released && self.gave_up != Some(found.number);
+        if is_own && found.number == self.last_put.number && row.version > self.last_put.base {
+            return self.acquired(now, row.version, random);
         }
-        if ours && self.held.is_some_and(|held| held.number == found.number) {
+        if is_own && self.held.is_some_and(|held| held.number == found.number) {
             return self.renew(now);
         }
         let mut actions = Vec::new();
         if self.held.take().is_some() {
-            self.rest(now);
+            self.start_cooldown(now);
             actions.push(Action::End);
         }
         actions.extend(self.watch(now, &found, row.version, random));
         actions
     }
 
-    /// Waits until the holder is gone, then takes its place.
+    /// Waits until the holder's lease is released, given up or expired, then takes the duty.
     ///
-    /// Failure: a holder is killed, and whoever watches begins to wait out its lease only when it misses the holder.
-    /// Symptom: for two thirds of a lease more nobody does the duty. A holder says how long its lease stands without
-    /// renewal; what it says is heard later than it was said, so it has ended by then, and a row of another version shows
-    /// that it was renewed since.
+    /// If a watcher counted the lease only from its own first read of a row version, nobody would perform the duty of a
+    /// killed holder for up to two thirds of a lease longer. It therefore also uses the expiry time from the holder's
+    /// notice. A notice is received later than it was sent, so the lease has expired by then, unless a different
+    /// version of the row shows that it was renewed since.
     fn watch(&mut self, now: Instant, found: &Record, version: u64, random: &mut impl Rng) -> Vec<Action> {
-        let since = match self.sight {
-            Some(sight) if sight.version == version => sight.since,
+        let since = match self.observation {
+            Some(observation) if observation.version == version => observation.since,
             _ => now,
         };
-        self.sight = Some(Sight { version, since });
-        let ends = self.heard.and_then(|heard| heard.ends(found.number, version));
-        let lapsed = now.since(since) >= found.length() || ends.is_some_and(|ends| now >= ends);
-        let is_given_up = self.heard.is_some_and(|heard| heard.is_given_up(found.number));
+        self.observation = Some(Observation { version, since });
+        let expires_at = self
+            .received
+            .and_then(|received| received.expires_at(found.number, version));
+        let has_expired = now.since(since) >= found.length() || expires_at.is_some_and(|at| now >= at);
+        let is_given_up = self.received.is_some_and(|received| received.is_given_up(found.number));
         let is_free = (found.released || is_given_up) && now >= self.settings.cooldown_until;
-        if is_free || lapsed {
+        if is_free || has_expired {
             return self.put(now, found.number + 1, version, found.released);
         }
-        let left = ends.map_or(self.settings.poll_interval, |ends| ends.since(now));
-        self.wait(now, self.settings.poll_interval.min(left), random)
+        let remaining = expires_at.map_or(self.settings.poll_interval, |at| at.since(now));
+        self.wait(now, self.settings.poll_interval.min(remaining), random)
     }
 
-    fn hear(&mut self, now: Instant, word: Notice) -> Vec<Action> {
-        if self.heard.is_some_and(|heard| !word.replaces(heard.word)) {
+    /// Records a notice, unless a newer one was received before.
+    fn receive(&mut self, now: Instant, notice: Notice) -> Vec<Action> {
+        if self
+            .received
+            .is_some_and(|received| !notice.supersedes(received.notice))
+        {
             return Vec::new();
         }
-        self.heard = Some(Heard { word, at: now });
-        match word {
+        self.received = Some(Received { notice, at: now });
+        match notice {
             Notice::GaveUp { .. } if self.phase == Phase::Waiting && self.held.is_none() => vec![Action::Wake(now)],
             _ => Vec::new(),
         }
     }
 
-    /// Acts no more under the number that is held. The row goes on saying that this entry holds the duty, and a renewal
-    /// whose answer was lost may still land; whoever hears of it need not wait for the lease to lapse.
+    /// Gives up the held lease without a write to the table.
+    ///
+    /// The row still names this entry as the holder, and a renewal with an unknown ending may still take effect. An
+    /// entry that receives the notice does not have to wait until the lease expires.
     fn give_up(&mut self, now: Instant) -> Vec<Action> {
         let Some(held) = self.held.take() else {
             return Vec::new();
         };
         self.gave_up = Some(held.number);
-        self.rest(now);
+        self.start_cooldown(now);
         vec![Action::End]
     }
 
-    /// Leaves a duty that others give up alone for the length of a lease: whoever takes orders without checking numbers
-    /// could not tell this entry's last ones under the old number from the first under the new one.
-    fn rest(&mut self, now: Instant) {
+    /// Prevents this entry from taking a released duty early for the length of a lease.
+    ///
+    /// A receiver that does not check fencing numbers could not distinguish this entry's last orders under the old
+    /// number from its first ones under a new number.
+    fn start_cooldown(&mut self, now: Instant) {
         self.settings.cooldown_until = self.settings.cooldown_until.max(now + self.settings.length);
     }
 
+    /// Releases the duty in the table for good.
     fn resign(&mut self) -> Vec<Action> {
         self.phase = Phase::Resigned;
         let Some(held) = self.held.take() else {
             return Vec::new();
         };
         let record = self.record(held.number, true);
-        vec![Action::End, Action::Write(record.over(&self.duty, held.version))]
+        vec![Action::End, Action::Write(record.write_over(&self.duty, held.version))]
     }
 
-    /// Waits longer after each failure: an outage ends for all entries at the same moment.
+    /// Waits twice as long after each failure, because an outage ends for all entries at the same time.
     fn back_off(&mut self, now: Instant, random: &mut impl Rng) -> Vec<Action> {
-        let first = if self.held.is_some() {
+        let interval = if self.held.is_some() {
             self.settings.renewal_interval
         } else {
             self.settings.poll_interval
         };
-        let doubled = first.saturating_mul(1 << self.failures.min(8));
+        let backoff = interval.saturating_mul(1 << self.failures.min(8));
         self.failures += 1;
-        self.wait(now, doubled.min(self.settings.backoff_limit), random)
+        self.wait(now, backoff.min(self.settings.backoff_limit), random)
     }
 
+    /// Sets the timer to `time` from now, reduced by the jitter.
     fn wait(&mut self, now: Instant, time: Duration, random: &mut impl Rng) -> Vec<Action> {
         self.phase = Phase::Waiting;
-        let drawn = random.next_u32() % (self.settings.jitter_percent + 1);
-        vec![Action::Wake(now + time * (100 - drawn) / 100)]
+        let jitter = random.next_u32() % (self.settings.jitter_percent + 1);
+        vec![Action::Wake(now + time * (100 - jitter) / 100)]
     }
 }
--- a/bergamotshift-claim/src/lease/mod.rs
+++ b/bergamotshift-claim/src/lease/mod.rs
@@ -1,16 +1,17 @@
 //! Leases for control duties, with fencing numbers.
 //!
-//! A duty (the capacity of a service in an availability zone, the placement of its models) is done by one entry at a
-//! time. Its row holds who does it and a number that grows with each holder. Three safeguards stand behind each
-//! other:
+//! A duty, such as the capacity of a service in an availability zone or the placement of its models, is performed by
+//! one entry at a time. Its row contains the holder and a fencing number that increases with each holder. There are
+//! three safeguards:
 //!
-//! - An endpoint that checks refuses an order with a lower number than it has seen.
-//! - For endpoints that ignore the number, a holder gives orders only well inside its lease, by its own clock, and a
-//!   successor waits out the lease, the longest pause and the longest way of an order before its first one.
-//! - Orders are desired state and safe to repeat; a new holder reads the state again and corrects it.
+//! - An endpoint that checks fencing numbers refuses an order with a lower number than it has seen.
+//! - For endpoints that ignore the number, a holder sends orders only well before its lease expires, by its own clock.
+//!   A successor waits until the lease has expired and then for the longest time that an order may take, including a
+//!   pause of the sending process, before it sends its first one.
+//! - Orders describe a desired state and are safe to repeat. A new holder reads the current state and corrects it.
 //!
-//! The second one rests on a bound on pauses, which no program can promise. The first does not, and the third
-//! repairs what slips through.
+//! The second safeguard assumes a limit on pauses, which no process can guarantee. The first one does not, and the
+//! third one corrects the effects of an order that arrives late all the same.
 
 mod keeper;
 mod notice;
--- a/bergamotshift-claim/src/lease/notice.rs
+++ b/bergamotshift-claim/src/lease/notice.rs
@@ -1,39 +1,39 @@
-//! What a holder tells the other entries of its lease.
+//! Notices about a lease that entries send to each other.
 
 use core::time::Duration;
 
 use serde::Deserialize;
 use serde::Serialize;
 
-/// What an entry says of the lease that it holds, or held.
+/// Notice of an entry about a lease that it holds or held.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 #[derive(Serialize, Deserialize)]
 pub enum Notice {
-    /// It holds the lease.
+    /// The sender holds the lease.
     Holds {
-        /// The fencing number.
+        /// Fencing number of the lease.
         number: u64,
-        /// The version of the row that it wrote last.
+        /// Version of the row that the sender wrote last.
         version: u64,
-        /// How long the lease stands from now on, unless it is renewed.
+        /// Time until the lease expires if it is not renewed.
         left: Duration,
     },
-    /// It acts no more under this fencing number, and nothing that it ordered is still to be given up.
+    /// The sender gave the lease up. It sends no more orders under this fencing number, and none is in flight.
     GaveUp {
-        /// The fencing number.
+        /// Fencing number of the lease.
         number: u64,
     },
 }
 
 impl Notice {
-    /// Returns the fencing number that it is about.
+    /// Returns the fencing number of the lease.
     const fn number(self) -> u64 {
         match self {
             Self::Holds { number, .. } | Self::GaveUp { number } => number,
         }
     }
 
-    /// Returns what it says some time after it was heard.
+    /// Returns the notice adjusted to the time `elapsed` since it was received.
     #[must_use]
     pub const fn aged(self, elapsed: Duration) -> Self {
         match self {
@@ -46,10 +46,11 @@
         }
     }
 
-    /// Returns whether it is to be believed after `before`: words of an earlier holder, and of a holder from before it
-    /// gave up, may be heard late.
-    pub fn replaces(self, before: Self) -> bool {
-        let gave_up = matches!(before, Self::GaveUp { .. });
-        self.number() > before.number() || (self.number() == before.number() && !gave_up)
+    /// Returns whether the notice supersedes the one received before.
+    ///
+    /// A notice of an earlier holder, or one that the holder sent before it gave the lease up, may arrive late.
+    pub fn supersedes(self, previous: Self) -> bool {
+        let gave_up = matches!(previous, Self::GaveUp { .. });
+        self.number() > previous.number() || (self.number() == previous.number() && !gave_up)
     }
 }
--- a/bergamotshift-claim/src/lease/record.rs
+++ b/bergamotshift-claim/src/lease/record.rs
@@ -1,4 +1,4 @@
-//! The lease's row.
+//! Record of a lease in the platform's table.
 
 use core::time::Duration;
 
@@ -14,19 +14,20 @@
 
 use crate::codec;
 
-/// Who does a duty.
+/// Record of a duty's lease.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 #[derive(Serialize, Deserialize)]
 pub struct Record {
-    /// The entry.
+    /// Entry that holds the lease.
     pub holder: name::Entry,
-    /// Which life of that entry, drawn at random when its process starts.
-    pub life: attempt::Id,
-    /// The fencing number; it grows with each holder.
+    /// Incarnation of that entry, generated at random when its process starts.
+    #[serde(rename = "life")]
+    pub incarnation: attempt::Id,
+    /// Fencing number, which increases with each holder.
     pub number: u64,
-    /// How long the row may stand unchanged before the holder counts as gone, in milliseconds.
+    /// Time for which the row may stay unchanged before the lease expires, in milliseconds.
     pub length: u32,
-    /// Whether the holder gave the duty up, with none of its orders on their way any more.
+    /// Whether the holder released the duty, with none of its orders in flight any more.
     pub released: bool,
 }
 
@@ -40,18 +41,18 @@
     ///
     /// # Errors
     ///
-    /// Returns an error when the body is empty, has an unknown layout or does not decode.
+    /// Returns an error if the body is empty, has an unknown layout or cannot be decoded.
     pub fn decode(body: &[u8]) -> Result<Self, codec::Error> {
         codec::decode(body)
     }
 
-    /// Returns how long the row may stand unchanged.
+    /// Returns the time for which the row may stay unchanged before the lease expires.
     pub const fn length(&self) -> Duration {
         Duration::from_millis(self.length as u64)
     }
 
-    /// Returns the write that puts this record over the row's version `base`, where 0 means that no row exists.
-    pub fn over(&self, duty: &str, base: u64) -> Write {
+    /// Returns the write that stores this record if the row has version `base`; 0 requires that the row does not exist.
+    pub fn write_over(&self, duty: &str, base: u64) -> Write {
         let condition = match base {
             0 => Condition::Absent,
             version => Condition::Version(version),
@@ -64,14 +65,14 @@
     }
 }
 
-/// Returns where a duty's lease is.
+/// Returns the table key of a duty's lease.
 pub fn row(duty: &str) -> Key {
     Key::new("lease", duty)
 }
 
-/// Returns how many of the live `members` come before `entry` for this duty, by rendezvous hash.
+/// Returns how many of the live `members` precede `entry` for a duty, by rendezvous hash.
 ///
-/// Only the first few keep watch over a duty, so reads do not grow with the entries.
+/// Only the entries of the lowest ranks watch a duty, so the number of reads does not grow with the number of entries.
 pub fn rank(duty: &str, entry: &name::Entry, members: &[name::Entry]) -> usize {
     let weight = |member: &name::Entry| (Fingerprint::of(duty, member.as_str(), "", b""), member.clone());
     let own = weight(entry);
--- a/bergamotshift-claim/tests/lease.rs
+++ b/bergamotshift-claim/tests/lease.rs
@@ -30,7 +30,7 @@
 fn row(number: u64, released: bool) -> Row {
     let record = lease::Record {
         holder: "entry-2".into(),
-        life: attempt::Id::new(9),
+        incarnation: attempt::Id::new(9),
         number,
         length: 15_000,
         released,
