--- a/bergamotshift-forward/src/daemon/mod.rs
+++ b/bergamotshift-forward/src/daemon/mod.rs
@@ -39,12 +39,12 @@
 /// Interval at which a stop checks whether requests are in flight.
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Time without requests in flight after which a drain is complete. A request that a caller sent before it learnt of the
-/// stop is read within this time.
+/// Time without requests in flight after which a drain is complete. A request that a caller sent before it learnt of
+/// the stop is read within this time.
 const DRAIN_IDLE_TIME: Duration = Duration::from_millis(1_500);
 
-/// Time after the request to stop for which new requests are accepted. Callers learn of the stop within two seconds, and
-/// the requests that they send until then have time to complete within the grace period.
+/// Time after the request to stop for which new requests are accepted. Callers learn of the stop within two seconds,
+/// and the requests that they send until then have time to complete within the grace period.
 const ACCEPT_TIME: Duration = Duration::from_millis(2_700);
 
 /// Error of starting a daemon.
@@ -87,8 +87,8 @@
     pub started: Option<oneshot::Sender<Listen>>,
 }
 
-/// Runs a daemon on the current thread's runtime until it is requested to stop. Returns the number of requests that were
-/// in flight when the drain ended, and are cut.
+/// Runs a daemon on the current thread's runtime until it is requested to stop. Returns the number of requests that
+/// were in flight when the drain ended, and are cut.
 ///
 /// # Errors
 ///
@@ -162,9 +162,9 @@
     for task in tasks {
         task.cancel();
     }
-    // The end of the server is not awaited. It takes a third of a second, during which the sockets stay open and callers
-    // that connect get no answer; a closed port sends them to another entry at once. No requests are in flight any more,
-    // or the grace period is over, so nothing is lost by not waiting.
+    // The end of the server is not awaited. It takes a third of a second, during which the sockets stay open and
+    // callers that connect get no answer; a closed port sends them to another entry at once. No requests are in flight
+    // any more, or the grace period is over, so nothing is lost by not waiting.
     drop(server.stop(false));
     info!(shared.log.always(), "stopped"; "cut" => cut);
     Ok(cut)
@@ -196,8 +196,8 @@
         "seeds" => settings.peers.seeds.len(), "grace_s" => settings.stop.grace_s);
 }
 
-/// Continues to serve until no requests are in flight, or until the drain timeout. Returns the number of requests that are
-/// still in flight.
+/// Continues to serve until no requests are in flight, or until the drain timeout. Returns the number of requests that
+/// are still in flight.
 async fn drain(shared: &Shared) -> usize {
     shared.stopping.store(true, Ordering::Release);
     shared.stop.notify_waiters();
--- a/bergamotshift-forward/src/observe/clock.rs
+++ b/bergamotshift-forward/src/observe/clock.rs
@@ -6,8 +6,8 @@
 
 /// Reads the time since boot, including the time for which the VM was suspended (`CLOCK_BOOTTIME`).
 ///
-/// The monotonic clock does not advance while a VM is suspended, so a process would resume with a lease that expired long
-/// ago and consider it valid.
+/// The monotonic clock does not advance while a VM is suspended, so a process would resume with a lease that expired
+/// long ago and consider it valid.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Clock;
 
--- a/bergamotshift-forward/src/settings/mod.rs
+++ b/bergamotshift-forward/src/settings/mod.rs
@@ -60,8 +60,8 @@
     pub name: name::Entry,
     /// Availability zone of the entry.
     pub zone: name::Zone,
-    /// Share of a CPU core that the entry may use. In a large fleet, an entry with the largest share becomes the keeper of
-    /// its zone.
+    /// Share of a CPU core that the entry may use. In a large fleet, an entry with the largest share becomes the keeper
+    /// of its zone.
     #[serde(default = "whole_core")]
     pub core_share: f64,
     /// Name of the platform adapter, which connects to the store and the cloud API.
--- a/bergamotshift-forward/tests/daemon/abandoned.rs
+++ b/bergamotshift-forward/tests/daemon/abandoned.rs
@@ -1,4 +1,4 @@
-//! Exchanges with endpoints, and calls under the duties' lease, that are given up.
+//! Cancelled exchanges with endpoints, and cancelled calls under the lease of the duties.
 
 use core::time::Duration;
 use std::io::ErrorKind;
@@ -23,10 +23,9 @@
 use smol_str::SmolStr;
 use tokio::time::timeout;
 
-/// A caller is told that its request failed, and the request runs seconds later.
-///
-/// The endpoint's zone is cut off, so the rest of the request waits at the entry; the entry gives the request up; the cut
-/// heals. What was not delivered must not come any more, or the endpoint runs what its caller was told is over.
+/// Guards against a request that runs after its caller was told that it failed. The endpoint's zone is cut off, so a
+/// part of the request is still buffered at the entry when the exchange is cancelled; it must not be delivered after
+/// the cut.
 #[ntex::test]
 async fn a_request_that_is_given_up_delivers_nothing_more() {
     let endpoint = silent::Receiver::start().unwrap();
@@ -47,12 +46,9 @@
     assert_eq!(received.failure, Some(ErrorKind::ConnectionReset), "{received:?}");
 }
 
-/// A request reaches an endpoint three seconds after a cut healed, long after the endpoint left and the caller was told that
-/// the request failed.
-///
-/// The endpoint's zone is cut off, and a connection that was idle till then gets a request. The system finds the peer silent
-/// and ends the connection without a reset, so what the cut held back is delivered after all. Only this program gives a
-/// connection up, which resets it, whether it was used before or not.
+/// Guards against a request that reaches an endpoint three seconds after a network cut, long after its caller was told
+/// that it failed. An operating system that finds the peer silent ends the connection without a reset and delivers
+/// buffered data after the cut. So only this program ends a connection with a request in flight, by a reset.
 #[ntex::test]
 async fn the_system_gives_up_no_connection_with_a_request_under_way() {
     let endpoint = silent::Receiver::start().unwrap();
@@ -69,8 +65,8 @@
     assert!(!connection.is_watched().unwrap(), "one with a request is");
 }
 
-/// A request is sent over a connection whose peer went silent without a word while it was idle, and is lost. Nobody watches
-/// idle connections, so one that was idle for longer than a moment is not used again.
+/// Guards against requests that are lost on an idle connection whose peer became unreachable. Nothing detects this
+/// while a connection is idle, so one that was idle for more than about a second is not reused.
 #[ntex::test]
 async fn a_connection_that_was_idle_for_long_is_not_used_again() {
     let endpoint = silent::Receiver::start().unwrap();
@@ -86,10 +82,9 @@
     }
 }
 
-/// The operator sees an order under an old fencing number after one under a newer number.
-///
-/// The holder orders in time, the cloud does not answer, and the lease ends meanwhile. The call has to end with the lease,
-/// whatever the call's own time limit is: a successor may order from then on.
+/// Guards against an order with an old fencing number after one with a newer number. The holder's call is not answered
+/// until its lease ends, and a successor may order from then on; so the call has to end with the lease, whatever its
+/// own timeout.
 #[ntex::test]
 async fn a_call_under_the_lease_ends_with_the_lease() {
     let connect = bergamotshift_core::plugin::find::<Kind>("memory").unwrap().connect;
--- a/bergamotshift-forward/tests/daemon/answers.rs
+++ b/bergamotshift-forward/tests/daemon/answers.rs
@@ -1,26 +1,26 @@
-//! Answers of endpoints that break off, make no sense, or prove that nothing ran.
+//! Answers of endpoints that are incomplete or invalid, or prove that the request did not run.
 
 use std::io::Write;
 use std::net::Shutdown;
 
-use crate::endpoint::After;
+use crate::endpoint::Connection;
 use crate::endpoint::Endpoint;
 use crate::outside::lock;
 use crate::site::Caller;
 use crate::site::Site;
 
 fn failing(id: &str) -> Endpoint {
-    Endpoint::start(id, |seen, _, stream| {
-        stream.write_all(seen.answer("500 Internal Server Error", "", "no").as_bytes())?;
-        Ok(After::Keep)
+    Endpoint::start(id, |request, _, stream| {
+        stream.write_all(request.answer("500 Internal Server Error", "", "no").as_bytes())?;
+        Ok(Connection::Keep)
     })
 }
 
-/// An endpoint reads a request that must not run twice and closes the connection without a word. It may have run, so
-/// the caller gets 502, which promises nothing, and no endpoint gets the request again.
+/// Guards against a request that runs twice. An endpoint reads it and closes the connection without an answer, so it
+/// may have run: no endpoint gets it again, and the caller gets 502, which does not say that it did not run.
 #[test]
 fn what_may_have_run_is_neither_repeated_nor_called_unrun() {
-    let closing = |id| Endpoint::start(id, |_, _, _| Ok(After::Close));
+    let closing = |id| Endpoint::start(id, |_, _, _| Ok(Connection::Close));
     let (one, two) = (closing("e1"), closing("e2"));
     let site = Site::new(&[&one, &two]);
     let daemon = site.start();
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn an_idempotent_request_that_an_endpoint_failed_gets_the_answer_of_another() {
+fn a_failed_idempotent_request_is_retried_at_another_endpoint() {
     let (one, two) = (failing("e1"), Endpoint::plain("e2", "done"));
     let site = Site::new(&[&one, &two]);
     let daemon = site.start();
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn a_failure_that_no_other_endpoint_mends_reaches_the_caller_as_it_is() {
+fn a_failure_at_all_endpoints_reaches_the_caller_unchanged() {
     let (one, two) = (failing("e1"), failing("e2"));
     let site = Site::new(&[&one, &two]);
     let daemon = site.start();
@@ -51,15 +51,15 @@
     assert_eq!(answer.header("bergamotshift-seal"), Some("s1"));
 }
 
-/// All endpoints are full and prove with a header that they did not run the request. The caller gets 503 and the time
-/// to come back, since its request surely did not run, also where it must not run twice.
+/// Guards against an ambiguous status for a request that did not run. All endpoints are full and prove it with a
+/// header, so the caller may retry also a request that must not run twice, and gets 503 with the time to retry.
 #[test]
 fn a_request_that_surely_did_not_run_is_refused_with_the_time_to_come_back() {
     let full = |id| {
-        Endpoint::start(id, |seen, _, stream| {
+        Endpoint::start(id, |request, _, stream| {
             let extra = "bergamotshift-not-run: 1\r\n";
-            stream.write_all(seen.answer("503 Service Unavailable", extra, "").as_bytes())?;
-            Ok(After::Keep)
+            stream.write_all(request.answer("503 Service Unavailable", extra, "").as_bytes())?;
+            Ok(Connection::Keep)
         })
     };
     let (one, two) = (full("e1"), full("e2"));
@@ -70,13 +70,13 @@
     assert!(answer.header("retry-after").is_some());
 }
 
-/// The address of an endpoint that is gone belongs to another one, which refuses with 421. The request goes to an
-/// endpoint that is there, and the gone one gets no more.
+/// Guards against failed or misdirected requests when the address of an endpoint that is gone belongs to another one,
+/// which refuses with 421. The request is sent to a different endpoint, and that address gets no more requests.
 #[test]
 fn an_address_that_changed_hands_is_tried_once() {
-    let other = Endpoint::start("e1", |seen, _, stream| {
-        stream.write_all(seen.answer("421 Misdirected Request", "", "").as_bytes())?;
-        Ok(After::Keep)
+    let other = Endpoint::start("e1", |request, _, stream| {
+        stream.write_all(request.answer("421 Misdirected Request", "", "").as_bytes())?;
+        Ok(Connection::Keep)
     });
     let there = Endpoint::plain("e2", "done");
     let site = Site::new(&[&other, &there]);
@@ -90,16 +90,16 @@
 }
 
 #[test]
-fn a_success_without_seal_or_with_a_coding_is_no_success() {
-    let bare = Endpoint::start("e1", |seen, before, stream| {
-        let id = seen.header("bergamotshift-request").unwrap_or_default().to_owned();
-        let answer = if before == 0 {
+fn a_success_without_seal_or_with_content_coding_is_rejected() {
+    let bare = Endpoint::start("e1", |request, earlier, stream| {
+        let id = request.header("bergamotshift-request").unwrap_or_default().to_owned();
+        let answer = if earlier == 0 {
             format!("HTTP/1.1 200 OK\r\nbergamotshift-request: {id}\r\ncontent-length: 2\r\n\r\nok")
         } else {
-            seen.answer("200 OK", "content-encoding: gzip\r\n", "ok")
+            request.answer("200 OK", "content-encoding: gzip\r\n", "ok")
         };
         stream.write_all(answer.as_bytes())?;
-        Ok(After::Keep)
+        Ok(Connection::Keep)
     });
     let site = Site::new(&[&bare]);
     let daemon = site.start();
@@ -108,15 +108,15 @@
     assert_eq!(caller.ask("POST", "/confirm/1", "r-2", "x").status, 502);
 }
 
-/// An endpoint answers a request twice. The second answer lies on the connection when the next caller's request goes
-/// out. That caller gets its own answer, not the one before it.
+/// Guards against answers to the wrong caller. An endpoint answers a request twice, so the second answer is already in
+/// the connection's buffer when the next caller's request is sent.
 #[test]
 fn a_second_answer_reaches_nobody() {
-    let twice = Endpoint::start("e1", |seen, _, stream| {
-        let body = seen.header("bergamotshift-request").unwrap_or_default().to_owned();
-        let answer = seen.answer("200 OK", "", &body);
+    let twice = Endpoint::start("e1", |request, _, stream| {
+        let body = request.header("bergamotshift-request").unwrap_or_default().to_owned();
+        let answer = request.answer("200 OK", "", &body);
         stream.write_all(answer.repeat(2).as_bytes())?;
-        Ok(After::Keep)
+        Ok(Connection::Keep)
     });
     let site = Site::new(&[&twice]);
     let daemon = site.start();
@@ -129,15 +129,15 @@
 }
 
 #[test]
-fn an_answer_of_another_request_is_read_over() {
-    let late = Endpoint::start("e1", |seen, before, stream| {
-        if before == 1 {
+fn an_answer_to_another_request_is_skipped() {
+    let late = Endpoint::start("e1", |request, earlier, stream| {
+        if earlier == 1 {
             let stray = "HTTP/1.1 200 OK\r\nbergamotshift-request: old\r\nbergamotshift-seal: s\r\n\
                          content-length: 3\r\n\r\nold";
             stream.write_all(stray.as_bytes())?;
         }
-        stream.write_all(seen.answer("200 OK", "", "own").as_bytes())?;
-        Ok(After::Keep)
+        stream.write_all(request.answer("200 OK", "", "own").as_bytes())?;
+        Ok(Connection::Keep)
     });
     let site = Site::new(&[&late]);
     let daemon = site.start();
@@ -150,10 +150,10 @@
 
 #[test]
 fn an_answer_without_length_ends_with_its_connection() {
-    let open = Endpoint::start("e1", |seen, _, stream| {
-        stream.write_all((seen.open("200 OK", "") + "to the end").as_bytes())?;
+    let open = Endpoint::start("e1", |request, _, stream| {
+        stream.write_all((request.answer_head("200 OK", "") + "to the end").as_bytes())?;
         stream.shutdown(Shutdown::Both)?;
-        Ok(After::Close)
+        Ok(Connection::Close)
     });
     let site = Site::new(&[&open]);
     let daemon = site.start();
@@ -162,10 +162,10 @@
 }
 
 #[test]
-fn an_answer_that_breaks_off_never_looks_whole() {
-    let short = Endpoint::start("e1", |seen, _, stream| {
-        stream.write_all((seen.open("200 OK", "content-length: 50\r\n") + "half").as_bytes())?;
-        Ok(After::Close)
+fn an_incomplete_answer_never_looks_complete() {
+    let short = Endpoint::start("e1", |request, _, stream| {
+        stream.write_all((request.answer_head("200 OK", "content-length: 50\r\n") + "half").as_bytes())?;
+        Ok(Connection::Close)
     });
     let site = Site::new(&[&short]);
     let daemon = site.start();
@@ -173,7 +173,7 @@
 }
 
 #[test]
-fn bytes_that_are_no_answer_are_told_as_a_broken_one() {
+fn an_invalid_answer_gets_a_bad_gateway_status() {
     for bytes in [
         "garbage\r\n\r\n",
         "HTTP/1.1 200 OK\r\ncontent-length: 1\r\ncontent-length: 2\r\n\r\nab",
@@ -183,7 +183,7 @@
     ] {
         let wild = Endpoint::start("e1", move |_, _, stream| {
             stream.write_all(bytes.as_bytes())?;
-            Ok(After::Close)
+            Ok(Connection::Close)
         });
         let site = Site::new(&[&wild]);
         let daemon = site.start();
@@ -200,11 +200,11 @@
     let mut caller = Caller::new(&daemon);
     let mut leaving = one.registration("staff");
     leaving.leaving = true;
-    lock(&site.world).register(leaving);
-    let mut in_a_row = 0;
-    crate::site::until("all go to the other one", || {
+    lock(&site.backend).register(leaving);
+    let mut consecutive = 0;
+    crate::site::wait_until("all go to the other one", || {
         let text = caller.ask("GET", "/checkin/1", "r", "").text();
-        in_a_row = if text == "two" { in_a_row + 1 } else { 0 };
-        in_a_row == 50
+        consecutive = if text == "two" { consecutive + 1 } else { 0 };
+        consecutive == 50
     });
 }
--- a/bergamotshift-forward/tests/daemon/bad_input.rs
+++ b/bergamotshift-forward/tests/daemon/bad_input.rs
@@ -1,4 +1,4 @@
-//! Callers that send what is no request.
+//! Invalid requests of callers.
 
 use std::io::Read;
 use std::io::Write;
@@ -12,11 +12,11 @@
 fn status(daemon: &crate::site::Daemon, bytes: &str) -> Option<u16> {
     let mut caller = Caller::new(daemon);
     caller.0.write_all(bytes.as_bytes()).expect("it is sent");
-    caller.answer().map(|answer| answer.status)
+    caller.read_answer().map(|answer| answer.status)
 }
 
-/// A caller hides a second request inside the body of the first by giving its length in two ways. No endpoint sees
-/// either of them.
+/// Guards against request smuggling by ambiguous framing: a second request hidden in the body of the first by two
+/// lengths. No endpoint may receive either of them.
 #[test]
 fn a_request_with_two_lengths_reaches_no_endpoint() {
     let endpoint = Endpoint::plain("e1", "done");
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn what_is_no_http_is_refused() {
+fn invalid_http_is_refused() {
     let endpoint = Endpoint::plain("e1", "done");
     let site = Site::new(&[&endpoint]);
     let daemon = site.start();
@@ -48,21 +48,21 @@
 }
 
 #[test]
-fn a_body_over_the_bound_is_refused_and_reaches_no_endpoint() {
+fn a_body_over_the_size_limit_is_refused_and_reaches_no_endpoint() {
     let endpoint = Endpoint::plain("e1", "done");
     let site = Site::new(&[&endpoint]);
     let mut document = crate::site::document(2);
     document.bounds.body = 10;
-    lock(&site.world).put(document);
+    lock(&site.backend).put_document(document);
     let daemon = site.start();
     let answer = Caller::new(&daemon).ask("POST", "/confirm/1", "r-1", "more than ten bytes");
     assert_eq!(answer.status, 413);
     assert_eq!(endpoint.count(), 0);
 }
 
-/// A caller sends half a head and leaves. Nothing is sent on, and the daemon serves the next caller.
+/// Guards against effects on other callers when one disconnects in the middle of a head.
 #[test]
-fn half_a_head_harms_nobody() {
+fn an_incomplete_head_does_not_affect_other_callers() {
     let endpoint = Endpoint::plain("e1", "done");
     let site = Site::new(&[&endpoint]);
     let daemon = site.start();
@@ -76,15 +76,15 @@
     assert_eq!(endpoint.count(), 1);
 }
 
-/// A caller sends half a body and leaves. No endpoint sees the request.
+/// Guards against a request that is forwarded although its caller disconnects in the middle of the body.
 #[test]
-fn half_a_body_reaches_no_endpoint() {
+fn an_incomplete_body_reaches_no_endpoint() {
     let endpoint = Endpoint::plain("e1", "done");
     let site = Site::new(&[&endpoint]);
     let daemon = site.start();
     let mut half = Caller::new(&daemon);
     half.send("POST", "/confirm/1", "r-1", "x-more: 1\r\n", "");
-    assert_eq!(half.answer().expect("the empty one is whole").status, 200);
+    assert_eq!(half.read_answer().expect("the empty one is whole").status, 200);
     let head = format!(
         "POST /confirm/2 HTTP/1.1\r\nhost: staff.example\r\nauthorization: Bearer {KEY}\r\ncontent-length: 9\r\n\r\nabc"
     );
--- a/bergamotshift-forward/tests/daemon/duties.rs
+++ b/bergamotshift-forward/tests/daemon/duties.rs
@@ -1,4 +1,4 @@
-//! The duties that one entry has for all.
+//! Duties that one entry performs for the fleet.
 
 use std::collections::BTreeMap;
 
@@ -8,20 +8,20 @@
 use crate::outside::lock;
 use crate::site::Caller;
 use crate::site::Site;
-use crate::site::until;
+use crate::site::wait_until;
 
-/// The entry that reports usage is stopped for an update. It gives the duty back, and the other one goes on under the
-/// next number after a look, not after the seconds that a lease lasts and that others take to miss its holder. No window
-/// gets two figures on the way.
+/// Guards against usage reports that stop until the lease expires and its holder is missed, after a planned stop of
+/// that entry. It releases the lease, and the other entry takes it with the next fencing number at its next poll. No
+/// window is reported with two counts.
 #[test]
 fn a_reporter_that_stops_hands_over_at_once() {
     let endpoint = Endpoint::plain("e1", "done");
     let site = Site::new(&[&endpoint]);
     let first = site.launch("entry-a", &[]);
     let second = site.launch("entry-b", &[first.listen.peers]);
-    until("both are ready", || first.is_ready() && second.is_ready());
-    until("a window is reported", || !lock(&site.world).reports.is_empty());
-    let holder = lock(&site.world).reports[0].0.clone();
+    wait_until("both are ready", || first.is_ready() && second.is_ready());
+    wait_until("a window is reported", || !lock(&site.backend).reports.is_empty());
+    let holder = lock(&site.backend).reports[0].0.clone();
     let (leaving, staying) = if holder.entry.as_str() == "entry-a" {
         (first, second)
     } else {
@@ -29,8 +29,8 @@
     };
     leaving.stop();
     let leases = || -> Vec<lease::Record> {
-        let world = lock(&site.world);
-        let leases = world.written.iter().filter(|(key, _)| key.partition == "lease");
+        let backend = lock(&site.backend);
+        let leases = backend.writes.iter().filter(|(key, _)| key.partition == "lease");
         let decoded = leases.map(|(_, body)| lease::Record::decode(body).expect("it is a lease"));
         decoded.collect()
     };
@@ -39,7 +39,7 @@
             .iter()
             .any(|lease| lease.holder != holder.entry && !lease.released)
     };
-    until("the other one has the duty", is_taken);
+    wait_until("the other one has the duty", is_taken);
     let leases = leases();
     let taken = leases
         .iter()
@@ -50,23 +50,23 @@
     leaving.join();
     staying.stop();
     staying.join();
-    let world = lock(&site.world);
+    let backend = lock(&site.backend);
     let mut windows = BTreeMap::new();
-    for (_, usage) in &world.reports {
+    for (_, usage) in &backend.reports {
         let before = windows.insert(usage.window, usage.counts.clone());
         assert!(before.is_none_or(|before| before == usage.counts));
     }
 }
 
-/// Two entries serve an organisation. One of them reports each window's requests of both, once, under one number. When
-/// it loses the store, the other one takes over under a higher number and reports no window with other figures.
+/// Guards against windows that are reported with different counts, and reports with an old fencing number, when the
+/// entry that reports the requests of both loses the store and the other one takes over.
 #[test]
 fn each_window_is_reported_once_also_when_its_reporter_loses_the_store() {
     let endpoint = Endpoint::plain("e1", "done");
     let site = Site::new(&[&endpoint]);
     let first = site.launch("entry-a", &[]);
     let second = site.launch("entry-b", &[first.listen.peers]);
-    until("both are ready", || first.is_ready() && second.is_ready());
+    wait_until("both are ready", || first.is_ready() && second.is_ready());
     for number in 0..10 {
         for daemon in [&first, &second] {
             let status = Caller::new(daemon)
@@ -76,22 +76,22 @@
         }
     }
     let reported = || -> u64 {
-        let world = lock(&site.world);
-        let counts = world.reports.iter().flat_map(|(_, usage)| usage.counts.values());
+        let backend = lock(&site.backend);
+        let counts = backend.reports.iter().flat_map(|(_, usage)| usage.counts.values());
         counts.sum()
     };
-    until("all requests are reported", || reported() == 20);
-    let holder = lock(&site.world).reports[0].0.clone();
-    lock(&site.world).cut.push(holder.entry.as_str().into());
+    wait_until("all requests are reported", || reported() == 20);
+    let holder = lock(&site.backend).reports[0].0.clone();
+    lock(&site.backend).disconnected.push(holder.entry.as_str().into());
     let is_taken_over = || {
-        let world = lock(&site.world);
-        world.reports.iter().any(|(other, _)| other.entry != holder.entry)
+        let backend = lock(&site.backend);
+        backend.reports.iter().any(|(other, _)| other.entry != holder.entry)
     };
-    until("the other one reports", is_taken_over);
-    let world = lock(&site.world);
+    wait_until("the other one reports", is_taken_over);
+    let backend = lock(&site.backend);
     let mut windows = BTreeMap::new();
     let mut highest = 0;
-    for (by, usage) in &world.reports {
+    for (by, usage) in &backend.reports {
         assert!(by.number >= highest, "an old number came after a new one");
         highest = by.number;
         let before = windows.insert(usage.window, usage.counts.clone());
--- a/bergamotshift-forward/tests/daemon/endpoint.rs
+++ b/bergamotshift-forward/tests/daemon/endpoint.rs
@@ -1,4 +1,4 @@
-//! Endpoints whose answers a test writes byte by byte.
+//! Endpoints whose answers are scripted byte by byte.
 
 use core::net::SocketAddr;
 use std::io;
@@ -15,35 +15,35 @@
 
 use crate::outside::lock;
 
-/// A request as an endpoint got it.
+/// Request that an endpoint received.
 #[derive(Clone, Debug)]
-pub struct Seen {
-    /// The head, with its lines as sent.
+pub struct Request {
+    /// Head, unchanged.
     pub head: String,
-    /// The body.
+    /// Body.
     pub body: Vec<u8>,
 }
 
-impl Seen {
+impl Request {
     /// Returns a header's value.
     pub fn header(&self, name: &str) -> Option<&str> {
         header(&self.head, name)
     }
 
-    /// Returns a sealed answer that echoes the request's identifier.
+    /// Returns an answer that echoes the request's identifier and carries the seal header.
     pub fn answer(&self, status: &str, extra: &str, body: &str) -> String {
         let length = format!("content-length: {}\r\n", body.len());
-        self.open(status, &format!("{length}{extra}")) + body
+        self.answer_head(status, &format!("{length}{extra}")) + body
     }
 
-    /// Returns the head of a sealed answer without any framing.
-    pub fn open(&self, status: &str, extra: &str) -> String {
+    /// Returns the head of such an answer, without framing headers.
+    pub fn answer_head(&self, status: &str, extra: &str) -> String {
         let id = self.header("bergamotshift-request").unwrap_or_default();
         format!("HTTP/1.1 {status}\r\nbergamotshift-request: {id}\r\nbergamotshift-seal: s1\r\n{extra}\r\n")
     }
 }
 
-/// Returns a header's value out of a head.
+/// Returns the value of a header in a head.
 pub fn header<'a>(head: &'a str, name: &str) -> Option<&'a str> {
     let mut lines = head.lines().filter_map(|line| line.split_once(':'));
     lines
@@ -51,57 +51,57 @@
         .map(|(_, value)| value.trim())
 }
 
-/// What an endpoint does with the connection after a request.
+/// Handling of the connection after a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum After {
+pub enum Connection {
     Keep,
     Close,
 }
 
-/// An endpoint that runs until the test's process ends.
+/// Endpoint that runs until the test process ends.
 #[derive(Clone, Debug)]
 pub struct Endpoint {
     pub address: SocketAddr,
-    pub seen: Arc<Mutex<Vec<Seen>>>,
-    /// Connections that the other side closed.
+    pub requests: Arc<Mutex<Vec<Request>>>,
+    /// Number of connections that the client closed.
     pub closed: Arc<Mutex<usize>>,
     id: String,
 }
 
 impl Endpoint {
-    /// Starts an endpoint with a script; the script gets the request and how many came before.
+    /// Starts an endpoint that answers by a script, which gets the request and the number of earlier requests.
     pub fn start(
         id: &str,
-        script: impl Fn(&Seen, usize, &mut TcpStream) -> io::Result<After> + Send + Sync + 'static,
+        script: impl Fn(&Request, usize, &mut TcpStream) -> io::Result<Connection> + Send + Sync + 'static,
     ) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port is free");
         let endpoint = Self {
             address: listener.local_addr().expect("it is bound"),
-            seen: Arc::default(),
+            requests: Arc::default(),
             closed: Arc::default(),
             id: id.to_owned(),
         };
-        let served = endpoint.clone();
+        let server = endpoint.clone();
         let script = Arc::new(script);
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                let served = served.clone();
+                let server = server.clone();
                 let script = Arc::clone(&script);
-                thread::spawn(move || served.serve(stream, &*script));
+                thread::spawn(move || server.serve(stream, &*script));
             }
         });
         endpoint
     }
 
-    /// Starts an endpoint that answers everything with one body.
+    /// Starts an endpoint that answers every request with 200 and the same body.
     pub fn plain(id: &str, body: &'static str) -> Self {
-        Self::start(id, move |seen, _, stream| {
-            stream.write_all(seen.answer("200 OK", "", body).as_bytes())?;
-            Ok(After::Keep)
+        Self::start(id, move |request, _, stream| {
+            stream.write_all(request.answer("200 OK", "", body).as_bytes())?;
+            Ok(Connection::Keep)
         })
     }
 
-    /// Returns its registration for a service.
+    /// Returns the endpoint's registration for a service.
     pub fn registration(&self, service: &str) -> Registration {
         Registration {
             id: self.id.as_str().into(),
@@ -117,33 +117,33 @@
         }
     }
 
-    /// Returns how many requests came.
+    /// Returns the number of requests received.
     pub fn count(&self) -> usize {
-        lock(&self.seen).len()
+        lock(&self.requests).len()
     }
 
     fn serve(
         &self,
         mut stream: TcpStream,
-        script: &(dyn Fn(&Seen, usize, &mut TcpStream) -> io::Result<After> + Send + Sync),
+        script: &(dyn Fn(&Request, usize, &mut TcpStream) -> io::Result<Connection> + Send + Sync),
     ) {
-        while let Ok(Some(seen)) = read(&mut stream) {
-            let before = {
-                let mut all = lock(&self.seen);
-                all.push(seen.clone());
+        while let Ok(Some(request)) = read(&mut stream) {
+            let earlier = {
+                let mut all = lock(&self.requests);
+                all.push(request.clone());
                 all.len() - 1
             };
-            match script(&seen, before, &mut stream) {
-                Ok(After::Keep) => {}
-                Ok(After::Close) | Err(_) => return,
+            match script(&request, earlier, &mut stream) {
+                Ok(Connection::Keep) => {}
+                Ok(Connection::Close) | Err(_) => return,
             }
         }
         *lock(&self.closed) += 1;
     }
 }
 
-/// Reads one request; `None` at the connection's end.
-fn read(stream: &mut TcpStream) -> io::Result<Option<Seen>> {
+/// Reads one request; `None` when the connection has ended.
+fn read(stream: &mut TcpStream) -> io::Result<Option<Request>> {
     let Some(head) = head(stream)? else {
         return Ok(None);
     };
@@ -152,10 +152,10 @@
         .unwrap_or(0);
     let mut body = vec![0; length];
     stream.read_exact(&mut body)?;
-    Ok(Some(Seen { head, body }))
+    Ok(Some(Request { head, body }))
 }
 
-/// Reads up to the blank line behind a head; `None` at the connection's end.
+/// Reads a head with its final blank line; `None` when the connection has ended.
 pub fn head(stream: &mut TcpStream) -> io::Result<Option<String>> {
     let mut head = Vec::new();
     let mut byte = [0];
--- a/bergamotshift-forward/tests/daemon/large.rs
+++ b/bergamotshift-forward/tests/daemon/large.rs
@@ -1,4 +1,4 @@
-//! A fleet so large that one entry decides for all of its zone.
+//! Fleets so large that one entry of each zone, the keeper, makes decisions for the others.
 
 use std::io::Write;
 use std::net::TcpStream;
@@ -12,53 +12,55 @@
 use bergamotshift_forward::limits::keeper::Generation;
 use bergamotshift_forward::limits::keeper::Question;
 
-use crate::endpoint::After;
+use crate::endpoint::Connection;
 use crate::endpoint::Endpoint;
 use crate::outside::lock;
 use crate::site::Caller;
 use crate::site::Daemon;
 use crate::site::Site;
-use crate::site::until;
+use crate::site::wait_until;
 
-/// One more than the most entries that do without a keeper.
+/// Smallest number of entries with which a fleet has keepers.
 const ENTRIES: usize = keeper::MAX_WITHOUT_KEEPER + 1;
 
-/// What the endpoints are like where they are model engines.
+/// Engine of the endpoints in tests with generations.
 const ENGINE: Engine = Engine {
     slots: 8,
     memory: 500_000,
     transfer: None,
 };
 
-/// What one request without a size counts.
-const PLAIN: u32 = 10;
+/// Units that a request without a size counts.
+const UNITS_WITHOUT_SIZE: u32 = 10;
 
-fn name(number: usize) -> name::Entry {
+fn entry_name(number: usize) -> name::Entry {
     name::Entry::new(format!("entry-{number:02}"))
 }
 
-/// Starts a large fleet whose callers share a limit, and waits until each entry is let in by the keeper.
-fn fleet(endpoint: &Endpoint, rate: f64, burst: f64) -> Vec<Daemon> {
-    fleet_of(&[endpoint], rate, burst, None)
+/// Starts a large fleet with a limit for its organisation, and waits until the keeper admits a request of each entry.
+fn start_fleet(endpoint: &Endpoint, rate: f64, burst: f64) -> Vec<Daemon> {
+    start_fleet_of(&[endpoint], rate, burst, None)
 }
 
-fn fleet_of(endpoints: &[&Endpoint], rate: f64, burst: f64, engine: Option<Engine>) -> Vec<Daemon> {
+fn start_fleet_of(endpoints: &[&Endpoint], rate: f64, burst: f64, engine: Option<Engine>) -> Vec<Daemon> {
     let site = Site::new(endpoints);
     let mut document = crate::site::document(2);
     document.services[0].engine = engine;
     document.organisations[0].limit = Some(Limit {
         rate,
         burst,
-        unit: Unit::Tokens { plain: PLAIN },
+        unit: Unit::Tokens {
+            plain: UNITS_WITHOUT_SIZE,
+        },
     });
-    lock(&site.world).put(document);
+    lock(&site.backend).put_document(document);
     let mut daemons: Vec<Daemon> = Vec::new();
     for number in 0..ENTRIES {
         let seeds: Vec<_> = daemons.first().map(|first| first.listen.peers).into_iter().collect();
-        daemons.push(site.launch(name(number).as_str(), &seeds));
+        daemons.push(site.launch(entry_name(number).as_str(), &seeds));
     }
     for daemon in &daemons {
-        until("an entry is let in", || status(daemon) == 200);
+        wait_until("an entry is let in", || status(daemon) == 200);
     }
     daemons
 }
@@ -67,49 +69,50 @@
     Caller::new(daemon).ask("GET", "/checkin/1", "r", "").status
 }
 
-/// Callers of one organisation come to every entry of a large fleet. Together they get what the limit holds, and whoever
-/// comes after that is refused at once, at whichever entry: no entry has a limit of its own.
+/// Guards against entries of a large fleet that each apply the limit by themselves, so that callers who use all entries
+/// get a multiple of it.
 #[test]
 fn a_limit_is_one_for_all_entries_of_a_large_fleet() {
     let endpoint = Endpoint::plain("e1", "done");
     let burst = 1_000.0;
-    let daemons = fleet(&endpoint, 1.0, burst);
-    let asked = 3 * ENTRIES * 5;
-    let served = (0..asked)
+    let daemons = start_fleet(&endpoint, 1.0, burst);
+    let sent = 3 * ENTRIES * 5;
+    let served = (0..sent)
         .filter(|number| status(&daemons[number % ENTRIES]) == 200)
         .count();
-    let most = burst as usize / PLAIN as usize + ENTRIES;
-    assert!(served < asked, "nothing is refused");
+    let max_served = burst as usize / UNITS_WITHOUT_SIZE as usize + ENTRIES;
+    assert!(served < sent, "nothing is refused");
     assert!(
-        endpoint.count() <= most,
-        "{} of at most {most} were let in",
+        endpoint.count() <= max_served,
+        "{} of at most {max_served} were let in",
         endpoint.count()
     );
 }
 
-/// Guards against a keeper that places generations beyond the rate that an endpoint names, and entries that follow it.
+/// Guards against a keeper that places generations at an endpoint beyond its rate limit, and entries that send them
+/// there.
 #[test]
 fn in_a_large_fleet_a_rate_is_one_budget_for_generations_that_a_keeper_places() {
-    let scarce = Endpoint::start("e1", |seen, _, stream| {
+    let limited = Endpoint::start("e1", |request, _, stream| {
         let extra = "bergamotshift-limit: 0.001\r\n";
-        stream.write_all(seen.answer("200 OK", extra, "scarce").as_bytes())?;
-        Ok(After::Keep)
+        stream.write_all(request.answer("200 OK", extra, "scarce").as_bytes())?;
+        Ok(Connection::Keep)
     });
     let other = Endpoint::plain("e2", "done");
-    let daemons = fleet_of(&[&scarce, &other], 1e6, 1e6, Some(ENGINE));
-    let before = scarce.count();
+    let daemons = start_fleet_of(&[&limited, &other], 1e6, 1e6, Some(ENGINE));
+    let before = limited.count();
     for number in 0..10 * ENTRIES {
         let mut caller = Caller::new(&daemons[number % ENTRIES]);
         let extra = "bergamotshift-size: 100,10\r\nbergamotshift-prompt: 1:50,2:50\r\n";
         caller.send("POST", "/confirm/1", &format!("r-{number}"), extra, "x");
-        assert_eq!(caller.answer().expect("an answer comes").status, 200);
+        assert_eq!(caller.read_answer().expect("an answer comes").status, 200);
     }
-    let count = scarce.count() - before;
+    let count = limited.count() - before;
     assert!(count <= ENTRIES + 1, "{count} requests reached it");
 }
 
-/// Asks a keeper for an endpoint, and returns the one that it chose.
-fn placed(keeper: &Daemon, avoided: &[u64]) -> Option<u64> {
+/// Asks a keeper to place a generation, and returns the endpoint that it chose.
+fn place_generation(keeper: &Daemon, avoided: &[u64]) -> Option<u64> {
     let question = Question {
         entry: "entry-asking".into(),
         deputy: false,
@@ -131,28 +134,28 @@
     );
     connection.0.write_all(head.as_bytes()).expect("it takes the question");
     connection.0.write_all(&body).expect("it takes the question");
-    let answer = connection.answer().expect("it answers");
+    let answer = connection.read_answer().expect("it answers");
     assert_eq!(answer.status, 200);
     let answer: keeper::Answer = postcard::from_bytes(&answer.body).expect("it is decoded");
     answer.placement.map(|placement| placement.endpoint)
 }
 
-/// Guards against a keeper that takes an endpoint for idle which only the asking entry knows to leave, and places all
-/// generations there.
+/// Guards against a keeper that places all generations at an endpoint that seems idle, although the entry that asks
+/// knows that it is leaving.
 #[test]
 fn a_keeper_places_nothing_at_endpoints_that_the_asking_entry_avoids() {
     let (one, two) = (Endpoint::plain("e1", "done"), Endpoint::plain("e2", "done"));
-    let daemons = fleet_of(&[&one, &two], 1e6, 1e6, Some(ENGINE));
-    let keeper = &daemons[keeper_place()];
-    let first = placed(keeper, &[]).expect("one takes work");
-    let second = placed(keeper, &[first]).expect("the other one takes work");
+    let daemons = start_fleet_of(&[&one, &two], 1e6, 1e6, Some(ENGINE));
+    let keeper = &daemons[keeper_index()];
+    let first = place_generation(keeper, &[]).expect("one takes work");
+    let second = place_generation(keeper, &[first]).expect("the other one takes work");
     assert_ne!(first, second);
-    assert_eq!(placed(keeper, &[first, second]), None);
+    assert_eq!(place_generation(keeper, &[first, second]), None);
 }
 
-/// Returns the place of the entry that keeps the zone while all live.
-fn keeper_place() -> usize {
-    let names: Vec<_> = (0..ENTRIES).map(name).collect();
+/// Returns the index of the entry that is the keeper while all entries are alive.
+fn keeper_index() -> usize {
+    let names: Vec<_> = (0..ENTRIES).map(entry_name).collect();
     let candidates = names.iter().map(|entry| Candidate {
         entry,
         core_share: 1_000,
@@ -161,12 +164,12 @@
     names.iter().position(|name| *name == first).expect("it is one of them")
 }
 
-/// The entry that keeps the zone ends. Callers of all others are served on: they ask the deputy, which follows it.
+/// Guards against callers that are refused when the keeper of the zone stops; the entries have to ask its deputy.
 #[test]
 fn the_deputy_lets_callers_in_when_the_keeper_is_gone() {
     let endpoint = Endpoint::plain("e1", "done");
-    let mut daemons = fleet(&endpoint, 1e6, 1e6);
-    let keeper = daemons.remove(keeper_place());
+    let mut daemons = start_fleet(&endpoint, 1e6, 1e6);
+    let keeper = daemons.remove(keeper_index());
     keeper.stop();
     assert_eq!(keeper.join(), 0);
     for daemon in &daemons {
--- a/bergamotshift-forward/tests/daemon/link.rs
+++ b/bergamotshift-forward/tests/daemon/link.rs
@@ -1,4 +1,4 @@
-//! A narrow link in front of one entry: what other entries answer it comes byte by byte over it.
+//! Proxy in front of one entry that limits the bandwidth of the answers from other entries.
 
 use core::net::SocketAddr;
 use core::time::Duration;
@@ -22,43 +22,43 @@
 use crate::endpoint::header;
 use crate::outside::lock;
 
-/// Where entries tell one another what they know.
-const EXCHANGE: &str = " /exchange ";
+/// Path of the exchange of states between entries, as it appears in a request line.
+const EXCHANGE_PATH: &str = " /exchange ";
 
-/// How much comes at a time, in bytes.
-const PIECE: usize = 5_000;
+/// Size of the chunks that are sent at once, in bytes.
+const CHUNK_SIZE: usize = 5_000;
 
-/// The time between two pieces: 250 kB a second.
-const GAP: Duration = Duration::from_millis(20);
+/// Time between two chunks, which limits the bandwidth to 250 kB per second.
+const CHUNK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// An answer from this size on is a copy of the document and not what entries tell one another anyway, in bytes.
-pub const LARGE: usize = 64 * 1_024;
+/// Minimum size of an answer that counts as a copy of the document, in bytes; exchanged states are smaller.
+pub const MIN_LARGE_ANSWER: usize = 64 * 1_024;
 
-/// A narrow link; all answers share its width. Whoever is behind it is heard, and knows the entries before it by the link's
-/// addresses alone.
+/// Link with a bandwidth limit that all answers share. The entry behind it can send to the others, and knows them only
+/// by the addresses of the link.
 #[derive(Clone, Debug)]
 pub struct Link {
-    /// One address of the link for each entry before it.
+    /// Address of the link for each of the other entries.
     pub addresses: Vec<SocketAddr>,
     shared: Arc<Shared>,
 }
 
 #[derive(Debug)]
 struct Shared {
-    /// The link's address of each entry.
-    names: HashMap<SocketAddr, SocketAddr>,
-    /// Where nobody listens.
-    nowhere: SocketAddr,
-    /// Held by whoever has a piece on the link.
-    width: Mutex<()>,
-    /// Large answers that began.
-    large: AtomicUsize,
-    /// Whether large answers stop after their first piece.
-    is_stuck: AtomicBool,
+    /// Address of the link by the address of the entry.
+    link_addresses: HashMap<SocketAddr, SocketAddr>,
+    /// Address on which nobody listens.
+    unused_address: SocketAddr,
+    /// Held while a chunk is sent.
+    bandwidth: Mutex<()>,
+    /// Number of large answers that were started.
+    large_answers: AtomicUsize,
+    /// Whether large answers stop after their first chunk.
+    is_stalled: AtomicBool,
 }
 
 impl Link {
-    /// Makes a link from these entries.
+    /// Creates a link to these entries.
     pub fn from(entries: &[SocketAddr]) -> Self {
         let listeners: Vec<_> = entries
             .iter()
@@ -66,14 +66,14 @@
             .collect();
         let address = |listener: &TcpListener| listener.local_addr().expect("it is bound");
         let addresses: Vec<SocketAddr> = listeners.iter().map(address).collect();
-        let nowhere = TcpListener::bind("127.0.0.1:0").expect("a port is free");
+        let unused_address = TcpListener::bind("127.0.0.1:0").expect("a port is free");
         let link = Self {
             shared: Arc::new(Shared {
-                names: entries.iter().copied().zip(addresses.iter().copied()).collect(),
-                nowhere: address(&nowhere),
-                width: Mutex::default(),
-                large: AtomicUsize::new(0),
-                is_stuck: AtomicBool::new(false),
+                link_addresses: entries.iter().copied().zip(addresses.iter().copied()).collect(),
+                unused_address: address(&unused_address),
+                bandwidth: Mutex::default(),
+                large_answers: AtomicUsize::new(0),
+                is_stalled: AtomicBool::new(false),
             }),
             addresses,
         };
@@ -82,84 +82,89 @@
             thread::spawn(move || {
                 for stream in listener.incoming().flatten() {
                     let shared = Arc::clone(&shared);
-                    // A connection that breaks concerns its two ends alone.
-                    thread::spawn(move || drop(shared.carry(stream, entry)));
+                    // A broken connection affects only its two ends.
+                    thread::spawn(move || drop(shared.forward(stream, entry)));
                 }
             });
         }
         link
     }
 
-    /// Stops large answers after their first piece.
-    pub fn stick(&self) {
-        self.shared.is_stuck.store(true, Ordering::Relaxed);
+    /// Stops large answers after their first chunk.
+    pub fn stall_large_answers(&self) {
+        self.shared.is_stalled.store(true, Ordering::Relaxed);
     }
 
-    /// Returns how many large answers began.
-    pub fn large(&self) -> usize {
-        self.shared.large.load(Ordering::Relaxed)
+    /// Returns the number of large answers that were started.
+    pub fn large_answers(&self) -> usize {
+        self.shared.large_answers.load(Ordering::Relaxed)
     }
 }
 
 impl Shared {
-    fn carry(&self, mut near: TcpStream, entry: SocketAddr) -> io::Result<()> {
-        let mut far = TcpStream::connect(entry)?;
-        while let Some(question) = head(&mut near)? {
-            let body = body(&mut near, &question)?;
-            let is_exchange = question.contains(EXCHANGE);
-            let body = if is_exchange { self.question(&body) } else { body };
-            send(&mut far, &question, &body)?;
-            let Some(answer) = head(&mut far)? else {
+    fn forward(&self, mut client: TcpStream, entry: SocketAddr) -> io::Result<()> {
+        let mut server = TcpStream::connect(entry)?;
+        while let Some(query) = head(&mut client)? {
+            let body = read_body(&mut client, &query)?;
+            let is_exchange = query.contains(EXCHANGE_PATH);
+            let body = if is_exchange { self.rewrite_query(&body) } else { body };
+            send(&mut server, &query, &body)?;
+            let Some(answer) = head(&mut server)? else {
                 return Ok(());
             };
-            let body = self::body(&mut far, &answer)?;
-            let body = if is_exchange { self.answer(&body) } else { body };
-            self.send_slowly(&mut near, &answer, &body)?;
+            let body = read_body(&mut server, &answer)?;
+            let body = if is_exchange { self.rewrite_answer(&body) } else { body };
+            self.send_slowly(&mut client, &answer, &body)?;
         }
         Ok(())
     }
 
-    /// Lets nobody before the link know how to reach the entry behind it.
-    fn question(&self, body: &[u8]) -> Vec<u8> {
+    /// Replaces the sender's address in a state, so that other entries cannot reach the entry behind the link.
+    fn rewrite_query(&self, body: &[u8]) -> Vec<u8> {
         let mut state: State = postcard::from_bytes(body).expect("entries tell a state");
-        state.address = self.nowhere;
+        state.address = self.unused_address;
         postcard::to_stdvec(&state).expect("it can be encoded")
     }
 
-    /// Puts the link's addresses in the place of the entries'.
-    fn answer(&self, body: &[u8]) -> Vec<u8> {
+    /// Replaces the addresses of the entries by those of the link.
+    fn rewrite_answer(&self, body: &[u8]) -> Vec<u8> {
         let Ok(mut reply) = postcard::from_bytes::<Reply>(body) else {
             return body.to_vec();
         };
-        let shown = |address: SocketAddr| self.names.get(&address).copied().unwrap_or(self.nowhere);
-        reply.state.address = shown(reply.state.address);
+        let translate = |address: SocketAddr| {
+            self.link_addresses
+                .get(&address)
+                .copied()
+                .unwrap_or(self.unused_address)
+        };
+        reply.state.address = translate(reply.state.address);
         for member in &mut reply.state.members {
-            member.address = shown(member.address);
+            member.address = translate(member.address);
         }
         postcard::to_stdvec(&reply).expect("it can be encoded")
     }
 
-    fn send_slowly(&self, near: &mut TcpStream, answer: &str, body: &[u8]) -> io::Result<()> {
-        near.write_all(with_length(answer, body.len()).as_bytes())?;
-        let is_large = body.len() >= LARGE;
+    fn send_slowly(&self, client: &mut TcpStream, answer: &str, body: &[u8]) -> io::Result<()> {
+        client.write_all(with_length(answer, body.len()).as_bytes())?;
+        let is_large = body.len() >= MIN_LARGE_ANSWER;
         if is_large {
-            self.large.fetch_add(1, Ordering::Relaxed);
+            self.large_answers.fetch_add(1, Ordering::Relaxed);
         }
-        for piece in body.chunks(PIECE) {
-            let width = lock(&self.width);
-            thread::sleep(GAP.mul_f64(piece.len() as f64 / PIECE as f64));
-            near.write_all(piece)?;
-            drop(width);
-            if is_large && self.is_stuck.load(Ordering::Relaxed) {
-                // Until whoever waits for the rest hangs up.
-                near.read_exact(&mut [0])?;
+        for chunk in body.chunks(CHUNK_SIZE) {
+            let bandwidth = lock(&self.bandwidth);
+            thread::sleep(CHUNK_INTERVAL.mul_f64(chunk.len() as f64 / CHUNK_SIZE as f64));
+            client.write_all(chunk)?;
+            drop(bandwidth);
+            if is_large && self.is_stalled.load(Ordering::Relaxed) {
+                // Blocks until the client gives up and closes the connection.
+                client.read_exact(&mut [0])?;
             }
         }
         Ok(())
     }
 }
 
-fn body(stream: &mut TcpStream, head: &str) -> io::Result<Vec<u8>> {
+fn read_body(stream: &mut TcpStream, head: &str) -> io::Result<Vec<u8>> {
     let length = header(head, "content-length").and_then(|text| text.parse().ok());
     let mut body = vec![0; length.unwrap_or(0)];
     stream.read_exact(&mut body)?;
@@ -171,7 +176,7 @@
     stream.write_all(body)
 }
 
-/// Returns a head with the length of a body that was changed on the way.
+/// Returns a head with its content length set to the length of the rewritten body.
 fn with_length(head: &str, length: usize) -> String {
     let is_length = |line: &&str| line.to_ascii_lowercase().starts_with("content-length:");
     let lines = head.lines().filter(|line| !line.is_empty());
--- a/bergamotshift-forward/tests/daemon/main.rs
+++ b/bergamotshift-forward/tests/daemon/main.rs
@@ -1,4 +1,4 @@
-//! Whole forwarding daemons between callers and endpoints on loopback.
+//! Tests of complete forwarding daemons with callers and endpoints on loopback addresses.
 
 mod abandoned;
 mod answers;
--- a/bergamotshift-forward/tests/daemon/outside.rs
+++ b/bergamotshift-forward/tests/daemon/outside.rs
@@ -1,4 +1,4 @@
-//! A store and a cloud in memory, with faults on order.
+//! Store and cloud in memory, with fault injection.
 
 use core::time::Duration;
 use std::collections::BTreeMap;
@@ -40,46 +40,46 @@
 use bergamotshift_rollout::order::State;
 use smol_str::SmolStr;
 
-/// What the store holds, and what the cloud was told.
+/// Contents of the store, and the calls that the cloud received.
 #[derive(Debug, Default)]
-pub struct World {
+pub struct Backend {
     pub document: Option<Document>,
     pub registrations: BTreeMap<SmolStr, Registration>,
-    /// Orders to roll a version out, with what the operators were told of each.
+    /// Rollout orders, with the state that was last reported of each.
     pub rollouts: Vec<(Rollout, State)>,
     pub rows: BTreeMap<Key, Row>,
-    /// All that was written, in order.
-    pub written: Vec<(Key, Vec<u8>)>,
+    /// All writes to rows, in order.
+    pub writes: Vec<(Key, Vec<u8>)>,
     pub reports: Vec<(FencingToken, Usage)>,
     pub orders: Vec<(FencingToken, Order)>,
-    /// Entries, by the name after `@` in their store's address, to which no call is answered.
-    pub cut: Vec<SmolStr>,
+    /// Names of the entries whose calls to the store fail; the name follows the `@` in the store's address.
+    pub disconnected: Vec<SmolStr>,
     changes: u64,
 }
 
-/// A world that tests and daemons share.
-pub type Shared = Arc<Mutex<World>>;
+/// Backend shared by tests and daemons.
+pub type Shared = Arc<Mutex<Backend>>;
 
-static WORLDS: LazyLock<Mutex<HashMap<SmolStr, Shared>>> = LazyLock::new(Mutex::default);
+static BACKENDS: LazyLock<Mutex<HashMap<SmolStr, Shared>>> = LazyLock::new(Mutex::default);
 
-/// Makes a world that daemons find under a name.
-pub fn world(name: &str) -> Shared {
-    Arc::clone(lock(&WORLDS).entry(SmolStr::new(name)).or_default())
+/// Returns the backend with a name, and creates it if it does not exist.
+pub fn backend(name: &str) -> Shared {
+    Arc::clone(lock(&BACKENDS).entry(SmolStr::new(name)).or_default())
 }
 
-/// Locks, whatever happened to the thread before.
+/// Locks a mutex, also after another thread panicked while it held the lock.
 pub fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-impl World {
-    /// Puts a document that the operators wrote.
-    pub fn put(&mut self, document: Document) {
+impl Backend {
+    /// Stores a document of the operators.
+    pub fn put_document(&mut self, document: Document) {
         self.document = Some(document);
         self.changes += 1;
     }
 
-    /// Orders a version of a service.
+    /// Stores an order to roll out a version of a service.
     pub fn roll_out(&mut self, service: &str, to: &str, duration: Duration) {
         self.changes += 1;
         let order = Rollout {
@@ -91,7 +91,7 @@
         self.rollouts.push((order, State::Running));
     }
 
-    fn written(&self) -> Instructions {
+    fn instructions(&self) -> Instructions {
         Instructions {
             document: self.document.clone(),
             rollouts: self.rollouts.clone(),
@@ -99,13 +99,13 @@
         }
     }
 
-    /// Registers an endpoint, or takes its registration away.
+    /// Registers an endpoint, or replaces its registration.
     pub fn register(&mut self, registration: Registration) {
         self.registrations.insert(registration.id.clone(), registration);
         self.changes += 1;
     }
 
-    /// Takes an endpoint's registration away.
+    /// Removes an endpoint's registration.
     pub fn remove(&mut self, id: &str) {
         self.registrations.remove(id);
         self.changes += 1;
@@ -122,7 +122,7 @@
         .split_once('@')
         .unwrap_or((addresses.store.as_str(), ""));
     let store = Rc::new(Store {
-        world: world(name),
+        backend: backend(name),
         entry: SmolStr::new(entry),
     });
     Clients {
@@ -135,112 +135,117 @@
 
 #[derive(Debug)]
 struct Store {
-    world: Shared,
+    backend: Shared,
     entry: SmolStr,
 }
 
 impl Store {
-    fn reach(&self) -> Result<MutexGuard<'_, World>, Error> {
-        let world = lock(&self.world);
-        if world.cut.contains(&self.entry) {
+    fn access(&self) -> Result<MutexGuard<'_, Backend>, Error> {
+        let backend = lock(&self.backend);
+        if backend.disconnected.contains(&self.entry) {
             return Err(Error::Refused("cut off".to_owned()));
         }
-        Ok(world)
+        Ok(backend)
     }
 }
 
 impl Operators for Store {
     fn read(&self) -> Future<'_, Result<(Instructions, Cursor), Error>> {
-        let answer = self.reach().map(|world| (world.written(), Cursor(world.changes)));
+        let answer = self
+            .access()
+            .map(|backend| (backend.instructions(), Cursor(backend.changes)));
         Box::pin(async move { answer })
     }
 
     fn wait_for_change(&self, _after: Cursor, wait: Duration) -> Future<'_, Result<(Instructions, Cursor), Gap>> {
-        const LOOK: Duration = Duration::from_millis(20);
+        const POLL_INTERVAL: Duration = Duration::from_millis(20);
         Box::pin(async move {
-            tokio::time::sleep(wait.min(LOOK)).await;
-            let world = self.reach()?;
-            Ok((world.written(), Cursor(world.changes)))
+            tokio::time::sleep(wait.min(POLL_INTERVAL)).await;
+            let backend = self.access()?;
+            Ok((backend.instructions(), Cursor(backend.changes)))
         })
     }
 
     fn report_rollout(&self, order: Rollout, state: State) -> Future<'_, Result<State, Error>> {
-        let told = self.reach().map(|mut world| {
-            let known = world.rollouts.iter_mut().find(|(one, _)| one.number == order.number);
-            let Some((_, known)) = known.filter(|(_, known)| !known.is_final()) else {
+        let reported = self.access().map(|mut backend| {
+            let last = backend
+                .rollouts
+                .iter_mut()
+                .find(|(other, _)| other.number == order.number);
+            let Some((_, last)) = last.filter(|(_, last)| !last.is_final()) else {
                 return state;
             };
-            *known = state;
+            *last = state;
             state
         });
-        Box::pin(async move { told })
+        Box::pin(async move { reported })
     }
 }
 
 impl Registry for Store {
     fn registrations(&self) -> Future<'_, Result<(Vec<Change>, Cursor), Error>> {
-        let list = |world: MutexGuard<'_, World>| {
-            let all = world.registrations.values().cloned().map(Change::Written).collect();
-            (all, Cursor(world.changes))
+        let list = |backend: MutexGuard<'_, Backend>| {
+            let all = backend.registrations.values().cloned().map(Change::Written).collect();
+            (all, Cursor(backend.changes))
         };
-        let answer = self.reach().map(list);
+        let answer = self.access().map(list);
         Box::pin(async move { answer })
     }
 
     fn changes(&self, _after: Cursor) -> Future<'_, Result<(Vec<Change>, Cursor), Gap>> {
-        // The history is gone each time, so that everything is read anew.
+        // The history is always reported as truncated, so that everything is read again.
         Box::pin(async { Err(Gap::Truncated) })
     }
 }
 
 impl bergamotshift_platform::table::Table for Store {
     fn transact(&self, writes: Vec<Write>) -> Future<'_, Ending> {
-        let ending = match self.reach() {
+        let ending = match self.access() {
             Err(_) => Ending::Refused,
-            Ok(mut world) => transact(&mut world, writes),
+            Ok(mut backend) => transact(&mut backend, writes),
         };
         Box::pin(async move { ending })
     }
 
     fn get(&self, keys: Vec<Key>) -> Future<'_, Result<Vec<Option<Row>>, Error>> {
-        let read = |world: MutexGuard<'_, World>| keys.iter().map(|key| world.rows.get(key).cloned()).collect();
-        let answer = self.reach().map(read);
+        let read = |backend: MutexGuard<'_, Backend>| keys.iter().map(|key| backend.rows.get(key).cloned()).collect();
+        let answer = self.access().map(read);
         Box::pin(async move { answer })
     }
 
     fn query(&self, partition: SmolStr, _after: Option<SmolStr>, _limit: u32) -> Future<'_, Result<Page, Error>> {
-        let read = |world: MutexGuard<'_, World>| {
-            let rows = world.rows.iter().filter(|(key, _)| key.partition == partition);
+        let read = |backend: MutexGuard<'_, Backend>| {
+            let rows = backend.rows.iter().filter(|(key, _)| key.partition == partition);
             Page {
                 rows: rows.map(|(key, row)| (key.sort.clone(), row.clone())).collect(),
                 next: None,
             }
         };
-        let answer = self.reach().map(read);
+        let answer = self.access().map(read);
         Box::pin(async move { answer })
     }
 }
 
-fn transact(world: &mut World, writes: Vec<Write>) -> Ending {
-    let version = |world: &World, key: &Key| world.rows.get(key).map(|row| row.version);
+fn transact(backend: &mut Backend, writes: Vec<Write>) -> Ending {
+    let version = |backend: &Backend, key: &Key| backend.rows.get(key).map(|row| row.version);
     let holds = |write: &Write| match write.condition {
         Condition::Any => true,
-        Condition::Absent => version(world, &write.key).is_none(),
-        Condition::Version(wanted) => version(world, &write.key) == Some(wanted),
+        Condition::Absent => version(backend, &write.key).is_none(),
+        Condition::Version(expected) => version(backend, &write.key) == Some(expected),
     };
-    let failed: Vec<usize> = (0..writes.len()).filter(|place| !holds(&writes[*place])).collect();
+    let failed: Vec<usize> = (0..writes.len()).filter(|index| !holds(&writes[*index])).collect();
     if !failed.is_empty() {
         return Ending::Conflict(failed);
     }
     for write in writes {
-        let next = version(world, &write.key).unwrap_or_default() + 1;
+        let next = version(backend, &write.key).unwrap_or_default() + 1;
         match write.change {
             table::Change::Put(body) => {
-                world.written.push((write.key.clone(), body.clone()));
-                world.rows.insert(write.key, Row { version: next, body });
+                backend.writes.push((write.key.clone(), body.clone()));
+                backend.rows.insert(write.key, Row { version: next, body });
             }
             table::Change::Delete => {
-                world.rows.remove(&write.key);
+                backend.rows.remove(&write.key);
             }
             table::Change::Check => {}
         }
@@ -250,12 +255,12 @@
 
 impl Duties for Store {
     fn report(&self, holder: FencingToken, usage: Usage) -> Future<'_, Result<(), Error>> {
-        lock(&self.world).reports.push((holder, usage));
+        lock(&self.backend).reports.push((holder, usage));
         Box::pin(async { Ok(()) })
     }
 
     fn order(&self, holder: FencingToken, order: Order) -> Future<'_, Result<(), Error>> {
-        lock(&self.world).orders.push((holder, order));
+        lock(&self.backend).orders.push((holder, order));
         Box::pin(async { Ok(()) })
     }
 }
--- a/bergamotshift-forward/tests/daemon/site.rs
+++ b/bergamotshift-forward/tests/daemon/site.rs
@@ -1,4 +1,4 @@
-//! A store, endpoints and daemons of one test, and callers.
+//! Test site with a store, endpoints and daemons, and callers that send requests to it.
 
 use core::net::SocketAddr;
 use core::time::Duration;
@@ -34,23 +34,27 @@
 use crate::outside::Shared;
 use crate::outside::lock;
 
-/// The longest that a test waits for something that is due at once.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// Time after which a test that waits for a condition fails.
+const TIMEOUT: Duration = Duration::from_secs(20);
 
-/// The key of the organisation `horeca`.
+/// API key of the organisation `horeca`.
 pub const KEY: &str = "key-1";
 
-/// Waits until something holds; a test that waits in vain fails.
-pub fn until(what: &str, mut holds: impl FnMut() -> bool) {
-    const LOOK: Duration = Duration::from_millis(5);
+/// Waits until a condition holds.
+///
+/// # Panics
+///
+/// Panics when the condition does not hold in time.
+pub fn wait_until(what: &str, mut condition: impl FnMut() -> bool) {
+    const POLL_INTERVAL: Duration = Duration::from_millis(5);
     let since = Instant::now();
-    while !holds() {
-        assert!(since.elapsed() < PATIENCE, "it did not come about: {what}");
-        thread::sleep(LOOK);
+    while !condition() {
+        assert!(since.elapsed() < TIMEOUT, "it did not come about: {what}");
+        thread::sleep(POLL_INTERVAL);
     }
 }
 
-/// A running daemon.
+/// Daemon that runs on its own thread.
 pub struct Daemon {
     pub listen: Listen,
     stop: mpsc::UnboundedSender<()>,
@@ -63,13 +67,13 @@
         self.stop.send(()).expect("it runs");
     }
 
-    /// Waits for its end, and returns how many requests it cut.
+    /// Waits for the daemon's end and returns the number of requests that it cut.
     pub fn join(self) -> usize {
         self.thread.join().expect("it ends in order")
     }
 
-    /// Returns how many other entries it has heard lately, by its metrics.
-    pub fn peers(&self) -> Option<usize> {
+    /// Returns the number of other entries with a recent state, read from the daemon's metrics.
+    pub fn peer_count(&self) -> Option<usize> {
         let mut caller = TcpStream::connect(self.listen.metrics).ok()?;
         caller
             .write_all(b"GET /metrics HTTP/1.1\r\nhost: m\r\nconnection: close\r\n\r\n")
@@ -81,7 +85,7 @@
         peers.trim().parse().ok()
     }
 
-    /// Returns whether it says that callers may come.
+    /// Returns whether the readiness check succeeds.
     pub fn is_ready(&self) -> bool {
         let Ok(mut caller) = TcpStream::connect(self.listen.ready) else {
             return false;
@@ -95,39 +99,39 @@
     }
 }
 
-/// One test's surroundings.
+/// Store and cloud of one test, in which daemons and endpoints run.
 pub struct Site {
-    pub world: Shared,
+    pub backend: Shared,
     name: String,
 }
 
 impl Site {
-    /// Makes surroundings with the usual routes, in which these endpoints run the service `staff`.
+    /// Creates a site with the default document, in which these endpoints run the service `staff`.
     pub fn new(endpoints: &[&Endpoint]) -> Self {
         static NUMBER: AtomicUsize = AtomicUsize::new(0);
         let name = format!("world-{}", NUMBER.fetch_add(1, Ordering::Relaxed));
-        let world = outside::world(&name);
-        lock(&world).put(document(1));
+        let backend = outside::backend(&name);
+        lock(&backend).put_document(document(1));
         for endpoint in endpoints {
-            lock(&world).register(endpoint.registration("staff"));
+            lock(&backend).register(endpoint.registration("staff"));
         }
-        Self { world, name }
+        Self { backend, name }
     }
 
     /// Starts a daemon and waits until it is ready.
     pub fn start(&self) -> Daemon {
         let daemon = self.launch("entry-1", &[]);
-        until("the daemon is ready", || daemon.is_ready());
+        wait_until("the daemon is ready", || daemon.is_ready());
         daemon
     }
 
-    /// Starts a daemon with a name and the addresses of others.
+    /// Starts a daemon with a name and the addresses of other entries.
     pub fn launch(&self, name: &str, seeds: &[SocketAddr]) -> Daemon {
         self.launch_with(name, seeds, "")
     }
 
-    /// Starts a daemon with a name, the addresses of others and more settings.
-    pub fn launch_with(&self, name: &str, seeds: &[SocketAddr], more: &str) -> Daemon {
+    /// Starts a daemon with a name, the addresses of other entries and additional settings.
+    pub fn launch_with(&self, name: &str, seeds: &[SocketAddr], extra_settings: &str) -> Daemon {
         let seeds: Vec<String> = seeds.iter().map(|seed| format!("\"{seed}\"")).collect();
         let text = format!(
             r#"
@@ -140,7 +144,7 @@
             peers = "127.0.0.1:0"
             metrics = "127.0.0.1:0"
             [store]
-            address = "{world}@{name}"
+            address = "{backend}@{name}"
             [cloud]
             address = "here"
             [peers]
@@ -150,9 +154,9 @@
             [duty]
             lease_ms = 1000
             usage_window_s = 1.0
-            {more}
+            {extra_settings}
             "#,
-            world = self.name,
+            backend = self.name,
             seeds = seeds.join(","),
         );
         let settings = Settings::parse(&text).expect("the settings are in order");
@@ -198,7 +202,7 @@
     }
 }
 
-/// Returns the usual document under a version.
+/// Returns the default document with the given version.
 pub fn document(version: u64) -> Document {
     let mut resumable = route("/draft/", Kind::Stream);
     resumable.resumable = true;
@@ -229,14 +233,14 @@
     }
 }
 
-/// An answer as a caller got it.
+/// Answer that a caller received.
 #[derive(Clone, Debug)]
 pub struct Answer {
     pub status: u16,
     pub head: String,
     pub body: Vec<u8>,
-    /// Whether the body ended as the head announced.
-    pub whole: bool,
+    /// Whether the body is complete according to its framing.
+    pub is_complete: bool,
 }
 
 impl Answer {
@@ -249,14 +253,14 @@
     }
 }
 
-/// A caller's connection.
+/// Connection of a caller.
 pub struct Caller(pub TcpStream);
 
 impl Caller {
     pub fn new(daemon: &Daemon) -> Self {
         let stream = TcpStream::connect(daemon.listen.callers).expect("the daemon listens");
         stream
-            .set_read_timeout(Some(PATIENCE))
+            .set_read_timeout(Some(TIMEOUT))
             .expect("a socket takes a timeout");
         Self(stream)
     }
@@ -271,36 +275,36 @@
         self.0.write_all(text.as_bytes()).expect("the connection stands");
     }
 
-    /// Reads an answer; `None` when the connection ends before its head.
-    pub fn answer(&mut self) -> Option<Answer> {
+    /// Reads an answer; `None` when the connection ends before the head is complete.
+    pub fn read_answer(&mut self) -> Option<Answer> {
         let head = head(&mut self.0).ok().flatten()?;
         let status = head.split(' ').nth(1)?.parse().ok()?;
-        let (body, whole) = match header(&head, "content-length") {
-            Some(length) => self.sized(length.parse().ok()?),
-            None if header(&head, "transfer-encoding").is_some() => self.chunked(),
+        let (body, is_complete) = match header(&head, "content-length") {
+            Some(length) => self.read_sized(length.parse().ok()?),
+            None if header(&head, "transfer-encoding").is_some() => self.read_chunked(),
             None => (Vec::new(), true),
         };
         Some(Answer {
             status,
             head,
             body,
-            whole,
+            is_complete,
         })
     }
 
     /// Sends a request and reads its answer.
     pub fn ask(&mut self, method: &str, path: &str, id: &str, body: &str) -> Answer {
         self.send(method, path, id, "", body);
-        self.answer().expect("an answer comes")
+        self.read_answer().expect("an answer comes")
     }
 
-    fn sized(&mut self, length: usize) -> (Vec<u8>, bool) {
+    fn read_sized(&mut self, length: usize) -> (Vec<u8>, bool) {
         let mut body = vec![0; length];
-        let whole = self.0.read_exact(&mut body).is_ok();
-        (body, whole)
+        let is_complete = self.0.read_exact(&mut body).is_ok();
+        (body, is_complete)
     }
 
-    fn chunked(&mut self) -> (Vec<u8>, bool) {
+    fn read_chunked(&mut self) -> (Vec<u8>, bool) {
         let mut body = Vec::new();
         loop {
             let mut line = Vec::new();
@@ -315,14 +319,14 @@
             let Ok(size) = usize::from_str_radix(text.trim(), 16) else {
                 return (body, false);
             };
-            let (piece, whole) = self.sized(size + 2);
-            if !whole {
+            let (chunk, is_complete) = self.read_sized(size + 2);
+            if !is_complete {
                 return (body, false);
             }
             if size == 0 {
                 return (body, true);
             }
-            body.extend_from_slice(&piece[..size]);
+            body.extend_from_slice(&chunk[..size]);
         }
     }
 }
--- a/bergamotshift-forward/tests/daemon/start.rs
+++ b/bergamotshift-forward/tests/daemon/start.rs
@@ -1,4 +1,4 @@
-//! Callers of an entry that starts.
+//! Callers of an entry during its start-up.
 
 use std::io::Write;
 
@@ -10,11 +10,11 @@
 use crate::site::Site;
 use crate::site::document;
 
-/// A site whose document is not written yet, an entry that starts there, and a caller that asks it at once. The caller's
-/// time is longer than any machine takes for what the tests wait for.
-fn ask_at_the_start(endpoint: &Endpoint, patience_ms: u64) -> (Site, Daemon, Caller) {
+/// Starts an entry while the store holds no document, and sends a request to it at once. The request's deadline is
+/// longer than anything that the tests wait for takes on any machine.
+fn request_at_startup(endpoint: &Endpoint, patience_ms: u64) -> (Site, Daemon, Caller) {
     let site = Site::new(&[endpoint]);
-    lock(&site.world).document = None;
+    lock(&site.backend).document = None;
     let daemon = site.launch_with("entry-1", &[], &format!("[start]\npatience_ms = {patience_ms}"));
     let mut caller = Caller::new(&daemon);
     let request = format!(
@@ -25,27 +25,26 @@
     (site, daemon, caller)
 }
 
-/// A caller comes back after all entries were killed, and gets its answer.
-///
-/// The entry listens before it has read the document. The caller's request is there first and the document second; an
-/// entry that refused it at once would do so for the second time, and the caller would not come again.
+/// Guards against callers that retry after all entries were killed, are refused a second time and give up. An entry
+/// listens before it has read the document, so it has to hold early requests until then.
 #[test]
 fn a_caller_waits_until_the_document_is_read() {
     let endpoint = Endpoint::plain("e1", "done");
-    let (site, daemon, mut caller) = ask_at_the_start(&endpoint, 60_000);
-    lock(&site.world).put(document(1));
-    let answer = caller.answer().expect("an answer comes");
+    let (site, daemon, mut caller) = request_at_startup(&endpoint, 60_000);
+    lock(&site.backend).put_document(document(1));
+    let answer = caller.read_answer().expect("an answer comes");
     assert_eq!((answer.status, answer.text().as_str()), (200, "done"));
     daemon.stop();
     daemon.join();
 }
 
-/// The store cannot be read, so the entry cannot serve. Once the time for its start is over, it says so at once.
+/// Guards against callers that wait for an entry which has no document after its start-up time; it has to refuse them
+/// at once.
 #[test]
-fn a_caller_of_an_entry_that_cannot_read_is_refused_at_once() {
+fn a_caller_of_an_entry_without_a_document_is_refused_at_once() {
     let endpoint = Endpoint::plain("e1", "done");
-    let (_site, daemon, mut caller) = ask_at_the_start(&endpoint, 0);
-    assert_eq!(caller.answer().expect("an answer comes").status, 503);
+    let (_site, daemon, mut caller) = request_at_startup(&endpoint, 0);
+    assert_eq!(caller.read_answer().expect("an answer comes").status, 503);
     daemon.stop();
     daemon.join();
 }
--- a/bergamotshift-forward/tests/kernel/settings.rs
+++ b/bergamotshift-forward/tests/kernel/settings.rs
@@ -1,8 +1,8 @@
-//! The settings file.
+//! Settings file.
 
 use bergamotshift_forward::settings::Settings;
 
-const WHOLE: &str = r#"
+const MINIMAL: &str = r#"
 name = "entry-1"
 zone = "one"
 outside = "memory"
@@ -17,8 +17,8 @@
 "#;
 
 #[test]
-fn what_is_not_given_has_a_default() {
-    let settings = Settings::parse(WHOLE).expect("it is whole");
+fn omitted_fields_have_defaults() {
+    let settings = Settings::parse(MINIMAL).expect("it is whole");
     assert!(settings.cloud.is_none());
     assert!(settings.peers.seeds.is_empty());
     assert_eq!(settings.duty.lease_ms, 3_000);
@@ -26,15 +26,15 @@
 
 #[test]
 fn a_missing_field_is_named_in_one_line() {
-    let text = WHOLE.replace("peers = \"127.0.0.1:3\"\n", "");
+    let text = MINIMAL.replace("peers = \"127.0.0.1:3\"\n", "");
     let error = Settings::parse(&text).expect_err("a field is missing").to_string();
     assert!(error.contains("missing field `peers`"), "{error}");
     assert_eq!(error.lines().count(), 1);
 }
 
 #[test]
-fn a_wrong_value_is_shown_in_one_line() {
-    let text = WHOLE.replace("127.0.0.1:2", "somewhere");
+fn an_invalid_value_is_shown_in_one_line() {
+    let text = MINIMAL.replace("127.0.0.1:2", "somewhere");
     let error = Settings::parse(&text).expect_err("an address is wrong").to_string();
     assert!(error.contains("somewhere"), "{error}");
     assert_eq!(error.lines().count(), 1);
