--- a/bergamotshift-forward/src/control/inner.rs
+++ b/bergamotshift-forward/src/control/inner.rs
@@ -8,7 +8,7 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-use bergamotshift_claim::lease::Word;
+use bergamotshift_claim::lease::Notice;
 use bergamotshift_core::prelude::*;
 use bergamotshift_limit::quarantine;
 use bergamotshift_limit::quarantine::Quarantine;
@@ -73,7 +73,7 @@
     /// Name of the entry.
     pub(super) entry: name::Entry,
     /// Time at which this was last reported.
-    pub(super) at: Instant,
+    pub(super) reported: Instant,
     /// Whether it holds the duties; an entry that stops reports that it no longer does.
     pub(super) holds: bool,
 }
@@ -112,9 +112,9 @@
     /// Whether this entry holds the duties.
     pub(super) holds_duties: bool,
     /// Notice about the duties' lease that this entry sends to others.
-    pub(super) lease_notice: Option<Word>,
+    pub(super) lease_notice: Option<Notice>,
     /// Latest notice about that lease from another entry, and when it arrived.
-    pub(super) peer_lease_notice: Option<(Word, Instant)>,
+    pub(super) peer_lease_notice: Option<(Notice, Instant)>,
     /// Other entry that was last known to hold the duties, or to have released them.
     pub(super) duty_holder: Option<DutyHolder>,
     /// Whether the list of entries has been read.
@@ -124,7 +124,7 @@
     /// Calls of the store whose last attempt failed.
     pub(super) failed_calls: BTreeSet<&'static str>,
     /// Random identifier of this process.
-    pub(super) life: u64,
+    pub(super) incarnation: u64,
     /// Keeper and deputy of the zone.
     pub(super) keepers: Keepers,
     /// Entries that grant requests to endpoints with an announced rate.
@@ -164,7 +164,7 @@
             entries_listed: false,
             busy_before_start: None,
             failed_calls: BTreeSet::new(),
-            life: random::generator().next_u64(),
+            incarnation: random::generator().next_u64(),
             keepers: Keepers::default(),
             granters: Arc::default(),
             last_tick: now,
@@ -198,7 +198,7 @@
             "before" => self.document.version, "from" => from, "routes" => document.routes.len(),
             "organisations" => document.organisations.len());
         let version = i64::try_from(document.version).unwrap_or(i64::MAX);
-        shared.metrics.document.set(version);
+        shared.metrics.document_version.set(version);
         let steps = steps.unwrap_or_else(|| vec![Difference::between(&self.document, &document)]);
         self.updates.push_steps(&document, steps);
         self.document = Arc::new(document);
@@ -223,7 +223,7 @@
             return;
         }
         let after = self.directory.endpoints().count();
-        if let Some((logger, left_out)) = shared.log.room(now, Topic::Belief) {
+        if let Some((logger, left_out)) = shared.log.rate_limited(now, Topic::State) {
             info!(logger, "endpoints changed"; "before" => before, "after" => after, "from" => from,
                 "cursor" => self.registrations_checkpoint.cursor().0, "left_out" => left_out);
         }
@@ -234,7 +234,7 @@
     fn handle_leaving(&mut self, now: Instant, shared: &Shared, leaving: &[Arc<Endpoint>], from: &str) {
         for endpoint in leaving {
             self.quarantine.announce(now, instance(endpoint));
-            if let Some((logger, left_out)) = shared.log.room(now, Topic::Belief) {
+            if let Some((logger, left_out)) = shared.log.rate_limited(now, Topic::State) {
                 info!(logger, "endpoint leaves"; "endpoint" => endpoint.registration.id.as_str(),
                     "service" => endpoint.registration.service.as_str(),
                     "zone" => endpoint.registration.zone.as_str(), "from" => from,
@@ -269,7 +269,7 @@
                 .note(PROMPT_DEMAND_WINDOW, service.requested_tokens.swap(0, Relaxed), span);
         }
         for entry in self.members.expire(now) {
-            if let Some((logger, left_out)) = shared.log.room(now, Topic::Belief) {
+            if let Some((logger, left_out)) = shared.log.rate_limited(now, Topic::State) {
                 info!(logger, "entry forgotten"; "entry" => entry.as_str(), "left_out" => left_out);
             }
             for organisation in self.organisations.values_mut() {
@@ -327,7 +327,7 @@
     pub(super) fn is_held_elsewhere(&self, now: Instant) -> bool {
         self.duty_holder
             .as_ref()
-            .is_some_and(|holder| holder.holds && now.since(holder.at) < STATE_TTL)
+            .is_some_and(|holder| holder.holds && now.since(holder.reported) < STATE_TTL)
     }
 
     /// Returns the time for which the state of another entry counts as current.
--- a/bergamotshift-forward/src/serve/attempt.rs
+++ b/bergamotshift-forward/src/serve/attempt.rs
@@ -221,9 +221,9 @@
         history.estimate = Some(estimate);
         self.shared.metrics.sends.inc();
         self.shared
-            .recall()
+            .cache_index()
             .record_choice(now, endpoint.hash, &job.metadata.parts);
-        guard = guard.with_witness(self.observer(job, choice));
+        guard = guard.with_observer(self.observer(job, choice));
         let envelope = Envelope {
             expected: &endpoint.registration.id,
             organisation: job.organisation.as_ref(),
@@ -369,7 +369,7 @@
                 failure.to_string()
             }
         };
-        if let Some((logger, left_out)) = self.shared.log.room(now, Topic::Attempt) {
+        if let Some((logger, left_out)) = self.shared.log.rate_limited(now, Topic::Attempt) {
             info!(logger, "attempt failed"; "request" => job.metadata.id.as_str(), "route" => job.route.name.as_str(),
                 "endpoint" => endpoint.registration.id.as_str(), "cause" => cause, "sends" => history.sends,
                 "expected_ms" => choice.cost as u64, "running" => endpoint.running(),
--- a/bergamotshift-forward/src/serve/choose.rs
+++ b/bergamotshift-forward/src/serve/choose.rs
@@ -167,8 +167,9 @@
         // Retries go to the version in force.
         let canary = service.canary_for(job.is_canary && history.tried.is_empty());
         let candidate = placed.or_else(|| {
-            let recall = self.shared.recall();
-            let choice = choice::choose_with_canary(&self.choice_settings, now, service, canary, &request, &recall)?;
+            let cache_index = self.shared.cache_index();
+            let choice =
+                choice::choose_with_canary(&self.choice_settings, now, service, canary, &request, &cache_index)?;
             Some(Candidate {
                 choice,
                 is_granted: false,
@@ -207,7 +208,13 @@
             .iter()
             .filter(|endpoint| endpoint.registration.zone == *zone);
         let endpoints: Vec<_> = endpoints.cloned().collect();
-        let choice = choice::choose(&self.choice_settings, now, &endpoints, request, &self.shared.recall());
+        let choice = choice::choose(
+            &self.choice_settings,
+            now,
+            &endpoints,
+            request,
+            &self.shared.cache_index(),
+        );
         choice.ok_or_else(|| {
             let refusal = self.closed_refusal(now, service, history);
             if refusal.reason == Reason::NoEndpoint {
@@ -220,7 +227,7 @@
 
     /// Logs why no endpoint is expected to respond in time.
     fn log_overload(&self, now: Instant, job: &Job, choice: &Choice, time_left: f64) {
-        if let Some((logger, left_out)) = self.shared.log.room(now, Topic::Limit) {
+        if let Some((logger, left_out)) = self.shared.log.rate_limited(now, Topic::Limit) {
             info!(logger, "no endpoint in time"; "request" => job.metadata.id.as_str(),
                 "route" => job.route.name.as_str(), "best" => choice.endpoint.registration.id.as_str(),
                 "expected_ms" => choice.cost as u64, "useful_ms" => time_left as u64,
--- a/bergamotshift-forward/src/serve/forwarder.rs
+++ b/bergamotshift-forward/src/serve/forwarder.rs
@@ -209,7 +209,7 @@
         if view.is_complete() {
             return view;
         }
-        let start_timeout = Duration::from_millis(self.shared.settings.start.patience_ms);
+        let start_timeout = Duration::from_millis(self.shared.settings.start.wait_timeout_ms);
         let time_left = (self.shared.started + start_timeout).since(self.shared.clock.now());
         let max_wait = metadata.time_left.unwrap_or(DEFAULT_TIMEOUT).mul_f64(MAX_WAIT_SHARE);
         let complete = async {
@@ -370,9 +370,9 @@
         } else {
             "endpoint_failed"
         };
-        self.shared.metrics.ended(&job.route.name, outcome);
+        self.shared.metrics.count_request(&job.route.name, outcome);
         let now = self.shared.clock.now();
-        if let Some((logger, left_out)) = self.shared.log.room(now, Topic::Served) {
+        if let Some((logger, left_out)) = self.shared.log.rate_limited(now, Topic::Served) {
             info!(logger, "request ended"; "request" => job.metadata.id.as_str(), "route" => job.route.name.as_str(),
                 "service" => job.service.as_str(), "status" => status.as_u16(), "outcome" => outcome,
                 "sends" => history.sends, "ms" => now.since(job.arrived).as_millis() as u64,
@@ -388,9 +388,9 @@
 
     /// Records a stream that its caller does not get completely.
     pub(super) fn record_cut(&self, job: &Job, history: &History, failure: &Failure) {
-        self.shared.metrics.ended(&job.route.name, "cut");
+        self.shared.metrics.count_request(&job.route.name, "cut");
         let now = self.shared.clock.now();
-        if let Some((logger, left_out)) = self.shared.log.room(now, Topic::Failed) {
+        if let Some((logger, left_out)) = self.shared.log.rate_limited(now, Topic::Failed) {
             info!(logger, "request ended"; "request" => job.metadata.id.as_str(), "route" => job.route.name.as_str(),
                 "service" => job.service.as_str(), "outcome" => "cut", "cause" => %failure,
                 "sends" => history.sends, "ms" => now.since(job.arrived).as_millis() as u64,
@@ -402,7 +402,7 @@
     fn log_over_limit(&self, organisation: Option<&Organisation>, metadata: &Metadata, refusal: Refusal, version: u64) {
         let now = self.shared.clock.now();
         let limit = organisation.and_then(|organisation| organisation.limit);
-        if let Some((logger, left_out)) = self.shared.log.room(now, Topic::Limit) {
+        if let Some((logger, left_out)) = self.shared.log.rate_limited(now, Topic::Limit) {
             info!(logger, "over the limit"; "request" => metadata.id.as_str(),
                 "organisation" => organisation.map(|organisation| organisation.name.as_str()),
                 "units" => limit.map(|limit| limit.units(metadata.size.map(crate::dialect::Size::total))),
@@ -414,10 +414,10 @@
 
     /// Records a refused request.
     fn record_refusal(&self, route: &str, id: &SmolStr, arrived: Instant, refusal: Refusal) {
-        self.shared.metrics.ended(route, refusal.reason.as_str());
+        self.shared.metrics.count_request(route, refusal.reason.as_str());
         let now = self.shared.clock.now();
         self.shared.metrics.refusal.observe(now.since(arrived).as_secs_f64());
-        if let Some((logger, left_out)) = self.shared.log.room(now, Topic::Failed) {
+        if let Some((logger, left_out)) = self.shared.log.rate_limited(now, Topic::Failed) {
             info!(logger, "request ended"; "request" => id.as_str(), "route" => route,
                 "status" => refusal.reason.status().as_u16(), "outcome" => refusal.reason.as_str(),
                 "retry_after_ms" => refusal.retry_after.map(|after| after.as_millis() as u64),
@@ -441,14 +441,14 @@
         self.callers.forget_closed();
         let view = self.shared.view.load();
         let is_known = |hash| view.endpoint(hash).is_some();
-        self.shared.recall().expire(self.shared.clock.now(), is_known);
+        self.shared.cache_index().expire(self.shared.clock.now(), is_known);
         let endpoints = view.by_hash.values();
         let mut addresses: Vec<_> = endpoints
             .filter(|endpoint| !endpoint.is_leaving())
             .map(|endpoint| endpoint.registration.address)
             .collect();
-        addresses.extend(view.keeping.deputy);
-        if let Keeper::Other(address) = view.keeping.keeper {
+        addresses.extend(view.keepers.deputy);
+        if let Keeper::Other(address) = view.keepers.keeper {
             addresses.push(address);
         }
         let now = self.shared.clock.now();
--- a/bergamotshift-forward/src/serve/keeper.rs
+++ b/bergamotshift-forward/src/serve/keeper.rs
@@ -104,7 +104,7 @@
     /// Asks the current keeper or its deputy; returns `None` without a decision.
     async fn ask_once(&self, question: &mut Question) -> Option<Answer> {
         let view = self.shared.view.load_full();
-        match view.keeping.keeper {
+        match view.keepers.keeper {
             Keeper::Own => return Some(peers::keep::decide(&self.permits, &view, question).await),
             Keeper::Other(address) if !self.is_backing_off(address) => {
                 question.deputy = false;
@@ -117,7 +117,7 @@
             Keeper::Other(_) | Keeper::Nobody | Keeper::Unknown => {}
         }
         question.deputy = true;
-        self.ask(view.keeping.deputy?, question).await.ok()
+        self.ask(view.keepers.deputy?, question).await.ok()
     }
 
     /// Reports the in-flight requests to the keeper shortly after they change, for the lifetime of the process.
@@ -130,8 +130,8 @@
             if self.last_report.get() > changed {
                 continue;
             }
-            let keeping = self.shared.view.load().keeping;
-            let Keeper::Other(address) = keeping.keeper else {
+            let keepers = self.shared.view.load().keepers;
+            let Keeper::Other(address) = keepers.keeper else {
                 continue;
             };
             if self.is_backing_off(address) {
@@ -199,8 +199,8 @@
     fn record_unreachable(&self, address: SocketAddr) {
         let now = self.shared.clock.now();
         self.keeper_backoff.set(Some((address, now + keeper::BACKOFF)));
-        self.shared.metrics.unanswered.inc();
-        if let Some((logger, left_out)) = self.shared.log.room(now, Topic::Belief) {
+        self.shared.metrics.keeper_unanswered.inc();
+        if let Some((logger, left_out)) = self.shared.log.rate_limited(now, Topic::State) {
             info!(logger, "keeper not reached"; "keeper" => %address,
                 "pause_ms" => keeper::BACKOFF.as_millis() as u64, "left_out" => left_out);
         }
--- a/bergamotshift-forward/src/serve/stream.rs
+++ b/bergamotshift-forward/src/serve/stream.rs
@@ -202,7 +202,7 @@
     /// Logs that a stream broke off.
     fn log_break(&self, now: Instant, failure: &Failure) {
         let shared = &self.forwarder.shared;
-        if let Some((logger, left_out)) = shared.log.room(now, Topic::Attempt) {
+        if let Some((logger, left_out)) = shared.log.rate_limited(now, Topic::Attempt) {
             info!(logger, "stream broke"; "request" => self.job.metadata.id.as_str(),
                 "route" => self.job.route.name.as_str(),
                 "endpoint" => self.guard.endpoint().registration.id.as_str(), "cause" => %failure,
