--- a/bergamotshift-forward/src/exchange/body.rs
+++ b/bergamotshift-forward/src/exchange/body.rs
@@ -1,4 +1,4 @@
-//! How an answer's body is framed.
+//! Framing of response bodies.
 
 use bytes::Buf;
 use bytes::Bytes;
@@ -10,30 +10,30 @@
 
 use super::failure::Failure;
 
-/// The longest line of a chunk's size, extensions included.
+/// Maximum length of the line with a chunk's size, including extensions, in bytes.
 const MAX_SIZE_LINE: usize = 256;
 
-/// How a body ends, and how much of it is still to come.
+/// Framing of a body: how it ends, and how much of it is still to come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Framing {
-    /// It has ended.
+    /// The body has ended.
     Done,
-    /// It has this many bytes more.
+    /// The body has this many bytes left.
     Length(u64),
-    /// The next bytes are a chunk's size.
+    /// The size of a chunk comes next.
     ChunkSize,
-    /// The chunk has this many bytes more, and a line end behind them.
+    /// The chunk has this many bytes left, followed by a line end.
     Chunk(u64),
-    /// The line end behind a chunk comes next.
+    /// The line end after a chunk comes next.
     ChunkEnd,
-    /// The lines behind the last chunk come next.
+    /// The trailer after the last chunk comes next.
     Trailer,
-    /// It ends with the connection.
+    /// The body ends with the connection.
     UntilClose,
 }
 
 impl Framing {
-    /// Returns how the body of an answer with this head ends.
+    /// Returns the framing of the body that follows a response head.
     pub(super) fn from_head(status: StatusCode, headers: &HeaderMap, method: &Method) -> Result<Self, Failure> {
         let empty = status.is_informational() || matches!(status, StatusCode::NO_CONTENT | StatusCode::NOT_MODIFIED);
         if empty || *method == Method::HEAD {
@@ -50,7 +50,7 @@
             return Ok(Self::UntilClose);
         };
         if lengths.any(|other| other.as_bytes() != length.as_bytes()) {
-            return Err(Failure::Malformed("it has two lengths"));
+            return Err(Failure::Malformed("it has two different lengths"));
         }
         let length = length
             .to_str()
@@ -59,16 +59,17 @@
         match length.and_then(|text| text.parse().ok()) {
             Some(0) => Ok(Self::Done),
             Some(length) => Ok(Self::Length(length)),
-            None => Err(Failure::Malformed("its length is no number")),
+            None => Err(Failure::Malformed("its length is not a number")),
         }
     }
 
-    /// Returns whether the body's end is told by something else than the connection's end.
+    /// Returns whether the end of the body is marked other than by the end of the connection.
     pub const fn is_framed(self) -> bool {
         !matches!(self, Self::UntilClose)
     }
 
-    /// Takes the next bytes of the body out of what was received; `None` when more is needed or it has ended.
+    /// Takes the next bytes of the body from `received`; returns `None` when more bytes are needed or the body has
+    /// ended.
     pub(super) fn take(&mut self, received: &mut BytesMut) -> Result<Option<Bytes>, Failure> {
         loop {
             match *self {
@@ -91,14 +92,14 @@
                         *self = if size == 0 { Self::Trailer } else { Self::Chunk(size) };
                     }
                     Ok(httparse::Status::Partial) if received.len() <= MAX_SIZE_LINE => return Ok(None),
-                    _ => return Err(Failure::Malformed("a chunk has no size")),
+                    _ => return Err(Failure::Malformed("the size of a chunk is invalid")),
                 },
                 Self::ChunkEnd => {
                     if received.len() < 2 {
                         return Ok(None);
                     }
                     if !received.starts_with(b"\r\n") {
-                        return Err(Failure::Malformed("a chunk has no end"));
+                        return Err(Failure::Malformed("a chunk does not end with a line end"));
                     }
                     received.advance(2);
                     *self = Self::ChunkSize;
@@ -117,6 +118,7 @@
     }
 }
 
+/// Takes up to `left` bytes from `received`; returns them with the number of bytes that are still to come.
 fn split(received: &mut BytesMut, left: u64) -> (Bytes, u64) {
     let length = received.len().min(usize::try_from(left).unwrap_or(usize::MAX));
     (received.split_to(length).freeze(), left - length as u64)
--- a/bergamotshift-forward/src/exchange/call.rs
+++ b/bergamotshift-forward/src/exchange/call.rs
@@ -1,4 +1,4 @@
-//! Calls between entries: short ones, and answers of any length.
+//! Calls between entries, with answers of any length.
 
 use core::cell::Cell;
 use core::cell::RefCell;
@@ -21,22 +21,22 @@
 use super::pool::Pool;
 use crate::observe::Clock;
 
-/// A whole answer of another entry.
+/// Complete answer of another entry.
 #[derive(Debug)]
 pub struct Reply {
-    /// The status.
+    /// HTTP status.
     pub status: StatusCode,
-    /// The headers.
+    /// Headers.
     pub headers: HeaderMap,
-    /// The body.
+    /// Body.
     pub body: Vec<u8>,
 }
 
-/// Sends a question to another entry and reads its whole answer.
+/// Sends a question to another entry and reads the complete answer.
 ///
 /// # Errors
 ///
-/// Returns what went wrong on the way; any status is an answer.
+/// Returns the failure of the exchange; an answer with any status is no failure.
 pub async fn call(
     connection: &mut Connection,
     address: SocketAddr,
@@ -46,12 +46,12 @@
     read(connection, address, path, question, &Cell::new(0)).await
 }
 
-/// Sends a question to another entry over an idle connection, or a new one that comes about within `connect_timeout`, reads the
-/// whole answer and gives the connection back.
+/// Sends a question to another entry over an idle connection, or over a new one that is opened within
+/// `connect_timeout`; reads the complete answer and returns the connection to the pool.
 ///
 /// # Errors
 ///
-/// Returns what went wrong on the way; any status is an answer.
+/// Returns the failure of the exchange; an answer with any status is no failure.
 pub async fn call_pooled(
     pool: &RefCell<Pool>,
     clock: Clock,
@@ -70,11 +70,12 @@
     Ok(reply)
 }
 
-/// Sends a question to another entry and reads its whole answer, however long that is, while it keeps throughput.
+/// Sends a question to another entry and reads the complete answer of any length while it sustains `throughput`.
 ///
 /// # Errors
 ///
-/// Returns [`Failure::Slow`] when it falls behind, and what else went wrong on the way; any status is an answer.
+/// Returns [`Failure::Slow`] when the answer falls behind, or another failure of the exchange; an answer with any
+/// status is no failure.
 pub async fn download(
     connection: &mut Connection,
     address: SocketAddr,
@@ -97,7 +98,7 @@
     }
 }
 
-/// Sends a question and reads its whole answer; `received` is how much of the answer's body has come so far.
+/// Sends a question and reads the complete answer; sets `received` to the number of bytes of the body so far.
 async fn read(
     connection: &mut Connection,
     address: SocketAddr,
@@ -119,7 +120,7 @@
     })
 }
 
-/// Sends a question and reads the head of its answer.
+/// Sends a question and reads the head of the answer.
 async fn send_question(
     connection: &mut Connection,
     address: SocketAddr,
--- a/bergamotshift-forward/src/exchange/connection.rs
+++ b/bergamotshift-forward/src/exchange/connection.rs
@@ -1,4 +1,4 @@
-//! A connection to an endpoint.
+//! Connection to an endpoint or another entry.
 
 use core::net::SocketAddr;
 use core::time::Duration;
@@ -18,37 +18,38 @@
 use super::failure::Failure;
 use super::head::Head;
 
-/// How much room there is for one read, in bytes.
+/// Buffer space for one read, in bytes.
 const READ_SIZE: usize = 8 * 1024;
 
-/// The largest head of an answer, in bytes.
+/// Maximum size of a response head, in bytes.
 const MAX_HEAD: usize = 16 * 1024;
 
-/// The largest answer to somebody else that is read over to get at one's own, in bytes.
+/// Maximum body size of a response to another request that is skipped, in bytes.
 const MAX_SKIPPED: u64 = 64 * 1024;
 
-/// A connection to an endpoint, with what was received and not taken yet.
+/// Connection to an endpoint or another entry, with the received bytes that have not been consumed yet.
 #[derive(Debug)]
 pub struct Connection {
     stream: TcpStream,
     received: BytesMut,
-    /// How many bytes ever came.
+    /// Number of bytes received since it was opened.
     total_received: usize,
     /// Whether it cannot carry another exchange.
     unusable: bool,
 }
 
 impl Connection {
-    /// Opens a connection, which only this program gives up.
+    /// Opens a connection that only this program closes.
     ///
-    /// Failure: a network partition swallows a request, and the system gives the silent connection up by itself, by
-    /// keep-alive or for unacknowledged bytes, without a reset. Symptom: the partition heals, and the request reaches an
-    /// endpoint that left long ago, or runs after its caller was told otherwise. Every exchange has a limit of its own, and
-    /// what is given up at that is reset; an idle connection is not used again for long.
+    /// The operating system may give up a silent connection on its own and without a reset, because of keep-alive
+    /// probes or unacknowledged bytes. A request that a network partition held back would then reach the endpoint after
+    /// the partition heals: an endpoint that left long ago, or one that runs it although the caller was told otherwise.
+    /// Therefore every exchange has its own timeout, a connection that is given up is reset, and an idle connection is
+    /// reused only for a short time.
     ///
     /// # Errors
     ///
-    /// Returns [`Failure::Connect`] when none comes about in time.
+    /// Returns [`Failure::Connect`] when no connection is opened in time.
     pub async fn open(address: SocketAddr, connect_timeout: Duration) -> Result<Self, Failure> {
         let failed = |error: io::Error| Failure::Connect(error.to_string());
         let stream = match timeout(connect_timeout, TcpStream::connect(address)).await {
@@ -65,25 +66,25 @@
         })
     }
 
-    /// Returns whether the system gives it up by itself when the peer is silent.
+    /// Returns whether the operating system closes the connection on its own when the peer is silent.
     ///
     /// # Errors
     ///
-    /// Returns the system's error when the options cannot be read.
+    /// Returns the system's error when the socket options cannot be read.
     pub fn has_system_timeout(&self) -> io::Result<bool> {
         let socket = SockRef::from(&self.stream);
         Ok(socket.keepalive()? || socket.tcp_user_timeout()?.is_some_and(|timeout| !timeout.is_zero()))
     }
 
-    /// Returns how many bytes ever came.
+    /// Returns the number of bytes received since the connection was opened.
     pub const fn bytes_received(&self) -> usize {
         self.total_received
     }
 
     /// Returns whether another exchange may follow on the connection.
     ///
-    /// Failure: an endpoint closes an idle connection, or sends a second answer after a whole one. Symptom: the next
-    /// request is lost, or gets somebody else's answer. Bytes or an end on an idle connection show both.
+    /// If an endpoint closes an idle connection or sends a second response after a complete one, the next request would
+    /// be lost or get the response to another request. An end or bytes on the idle connection reveal both.
     pub fn is_reusable(&self) -> bool {
         if self.unusable || !self.received.is_empty() {
             return false;
@@ -92,14 +93,14 @@
         matches!(self.stream.try_read(&mut byte), Err(error) if error.kind() == io::ErrorKind::WouldBlock)
     }
 
-    /// Sends a request and returns the head of the answer that `is_expected`.
+    /// Sends a request and returns the head of the response for which `is_expected` returns `true`.
     ///
-    /// An endpoint may answer before it has read all of the request; the connection is not used again then, since the
-    /// rest of the request is still due on it.
+    /// An endpoint may respond before it has read the whole request. The connection is not reused then, since the rest
+    /// of the request would still have to be sent on it.
     ///
     /// # Errors
     ///
-    /// Returns what went wrong; after all but [`Failure::Connect`] the request may have run.
+    /// Returns the failure of the exchange; after any but [`Failure::Connect`], the request may have run.
     pub async fn send(
         &mut self,
         request: &[u8],
@@ -136,11 +137,11 @@
         }
     }
 
-    /// Reads the next bytes of an answer's body; `None` at its end.
+    /// Reads the next bytes of a response body; returns `None` at its end.
     ///
     /// # Errors
     ///
-    /// Returns [`Failure::Broken`] when the connection ends before the body does.
+    /// Returns [`Failure::Broken`] when the connection ends before the body.
     pub async fn body(&mut self, framing: &mut Framing) -> Result<Option<Bytes>, Failure> {
         loop {
             if let Some(piece) = framing.take(&mut self.received)? {
@@ -161,10 +162,11 @@
         }
     }
 
-    /// Reads over an answer that belongs to an exchange before this one.
+    /// Skips a response that belongs to an earlier exchange.
     ///
-    /// Failure: an endpoint answers a request twice, and the second answer stands where the next one is expected.
-    /// Symptom: a caller gets another caller's answer. Its identifier shows whose it is, and the right one follows.
+    /// If an endpoint responds to a request twice, the second response arrives where the next one is expected, and a
+    /// caller would get the response to another caller. The identifier in its head shows which request it belongs to,
+    /// and the expected response follows.
     async fn skip(&mut self, mut framing: Framing) -> Result<(), Failure> {
         let mut skipped = 0;
         if !framing.is_framed() {
@@ -180,7 +182,8 @@
         Ok(())
     }
 
-    /// Sends what the system takes, unless the endpoint says something first; returns how many bytes left.
+    /// Writes as many bytes of the request as the system accepts, unless bytes from the peer can be read first; returns
+    /// the number of bytes written.
     async fn write_or_read(&mut self, request: &[u8]) -> Result<usize, Failure> {
         let interest = Interest::READABLE | Interest::WRITABLE;
         let ready = self.stream.ready(interest).await.map_err(|error| broken(&error))?;
@@ -199,6 +202,7 @@
         }
     }
 
+    /// Waits until bytes can be read, and reads them; returns 0 at the end of the connection.
     async fn read(&mut self) -> Result<usize, Failure> {
         loop {
             self.stream.readable().await.map_err(|error| broken(&error))?;
@@ -210,6 +214,7 @@
         }
     }
 
+    /// Reads the available bytes without waiting.
     fn read_available(&mut self) -> io::Result<usize> {
         self.received.reserve(READ_SIZE);
         let length = self.stream.try_read_buf(&mut self.received)?;
--- a/bergamotshift-forward/src/exchange/event.rs
+++ b/bergamotshift-forward/src/exchange/event.rs
@@ -1,24 +1,27 @@
-//! Splits an event stream into whole events.
+//! Splits an event stream into complete events.
 
 use bytes::Bytes;
 use bytes::BytesMut;
 
-/// The largest event, in bytes; a longer one is passed on in no case.
+/// Maximum size of an event, in bytes; a larger one is never forwarded.
 const MAX_EVENT: usize = 256 * 1024;
 
-/// Collects bytes of an event stream and gives out whole events.
+/// Splitter that collects the bytes of an event stream and returns complete events.
 ///
-/// Failure: an endpoint dies in the middle of an event, and the stream goes on at another one. Symptom: the caller sees
-/// half an event with a whole one glued to it. Only whole events are passed on, so the next endpoint starts at one.
+/// An endpoint may fail in the middle of an event, and the stream is resumed at another one. If partial events were
+/// forwarded, the caller would see half an event joined with a complete one. Only complete events are forwarded, so the
+/// next endpoint begins with a complete event.
 #[derive(Debug, Default)]
 pub struct Events {
     received: BytesMut,
+    /// Number of received bytes in which no event ends.
     scanned: usize,
+    /// Identifier of the last complete event that has one.
     last_id: Option<u64>,
 }
 
 impl Events {
-    /// Makes a splitter for a stream whose receiver has all events up to `last`.
+    /// Creates a splitter for a stream whose receiver has all events up to `last`.
     pub fn after(last: Option<u64>) -> Self {
         Self {
             last_id: last,
@@ -26,7 +29,7 @@
         }
     }
 
-    /// Takes bytes in and returns the whole events that they complete, or `None` when there are none.
+    /// Adds bytes, and returns the events that they complete, or `None` if there are none.
     pub fn push(&mut self, bytes: &[u8]) -> Option<Bytes> {
         self.received.extend_from_slice(bytes);
         let end = self.find_last_end()?;
@@ -38,28 +41,28 @@
         Some(whole)
     }
 
-    /// Returns the identifier of the last whole event.
+    /// Returns the identifier of the last complete event that has one.
     pub const fn last_id(&self) -> Option<u64> {
         self.last_id
     }
 
-    /// Drops the beginning of an event that will not be completed.
+    /// Drops a partial event that will not be completed.
     pub fn drop_partial(&mut self) {
         self.received.clear();
         self.scanned = 0;
     }
 
-    /// Returns whether the stream stands between two events.
+    /// Returns whether the stream is between two events.
     pub fn is_at_boundary(&self) -> bool {
         self.received.is_empty()
     }
 
-    /// Returns whether an event is larger than any that is meant.
+    /// Returns whether a partial event exceeds the maximum size.
     pub fn is_oversized(&self) -> bool {
         self.received.len() > MAX_EVENT
     }
 
-    /// Returns where the last whole event ends.
+    /// Returns the position at which the last complete event ends.
     fn find_last_end(&mut self) -> Option<usize> {
         let from = self.scanned.saturating_sub(3);
         let fresh = &self.received[from..];
--- a/bergamotshift-forward/src/exchange/failure.rs
+++ b/bergamotshift-forward/src/exchange/failure.rs
@@ -1,33 +1,33 @@
-//! Why an exchange failed, told apart by what may be concluded.
+//! Failures of exchanges, distinguished by their consequences.
 
 use thiserror::Error;
 
-/// Why an exchange brought no whole answer.
+/// Failure of an exchange without a complete response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Error)]
 pub enum Failure {
-    /// No connection came about, so no byte of the request left.
+    /// No connection was opened, so no byte of the request was sent.
     #[error("cannot connect: {0}")]
     Connect(String),
     /// The connection ended or was reset after it was opened.
     #[error("the connection broke: {0}")]
     Broken(String),
-    /// The endpoint was silent for too long.
+    /// The peer did not respond in time.
     #[error("the endpoint is silent")]
     Silent,
-    /// A long answer stopped coming, or hardly moved.
-    #[error("it came too slowly, and stopped after {received} bytes")]
+    /// A long answer stalled or arrived too slowly.
+    #[error("the answer was too slow and was given up after {received} bytes")]
     Slow {
-        /// How many bytes had come.
+        /// Number of bytes of its body received so far.
         received: usize,
     },
-    /// The answer is no HTTP, or belongs to another request.
+    /// The response is invalid, too large, or belongs to another request.
     #[error("the answer is malformed: {0}")]
     Malformed(&'static str),
 }
 
 impl Failure {
-    /// Returns whether the endpoint cannot have seen the request.
+    /// Returns whether the endpoint cannot have received the request.
     pub const fn is_unsent(&self) -> bool {
         matches!(self, Self::Connect(_))
     }
--- a/bergamotshift-forward/src/exchange/head.rs
+++ b/bergamotshift-forward/src/exchange/head.rs
@@ -1,4 +1,4 @@
-//! Heads of requests and answers.
+//! Heads of requests and responses.
 
 use core::fmt::Write;
 
@@ -12,23 +12,23 @@
 use super::body::Framing;
 use super::failure::Failure;
 
-/// The most header fields of an answer.
+/// Maximum number of header fields of a response.
 const MAX_FIELDS: usize = 64;
 
-/// The head of an answer.
+/// Head of a response.
 #[derive(Clone, Debug)]
 pub struct Head {
-    /// The status.
+    /// HTTP status.
     pub status: StatusCode,
-    /// The headers.
+    /// Headers.
     pub headers: HeaderMap,
-    /// How its body ends.
+    /// Framing of the body that follows.
     pub framing: Framing,
-    /// Whether the endpoint keeps the connection after it.
+    /// Whether the endpoint keeps the connection open after the response.
     pub keep_alive: bool,
 }
 
-/// Writes a request's head and body as they go over the wire.
+/// Encodes the head and body of a request.
 pub fn encode(method: &Method, path: &str, headers: &HeaderMap, body: &[u8]) -> Vec<u8> {
     const TYPICAL_HEAD: usize = 768;
     let mut text = String::with_capacity(TYPICAL_HEAD);
@@ -51,23 +51,23 @@
 }
 
 impl Head {
-    /// Parses an answer's head; returns it with its length, or `None` when more bytes are needed.
+    /// Parses the head of a response; returns it with its length, or `None` when more bytes are needed.
     pub(super) fn parse(bytes: &[u8], method: &Method) -> Result<Option<(Self, usize)>, Failure> {
         let mut fields = [httparse::EMPTY_HEADER; MAX_FIELDS];
         let mut response = httparse::Response::new(&mut fields);
         let length = match response.parse(bytes) {
             Ok(httparse::Status::Complete(length)) => length,
             Ok(httparse::Status::Partial) => return Ok(None),
-            Err(_) => return Err(Failure::Malformed("its head is no HTTP")),
+            Err(_) => return Err(Failure::Malformed("its head is not valid HTTP")),
         };
         let status = response.code.and_then(|code| StatusCode::from_u16(code).ok());
-        let status = status.ok_or(Failure::Malformed("its status is none"))?;
+        let status = status.ok_or(Failure::Malformed("its status is invalid"))?;
         let mut headers = HeaderMap::with_capacity(response.headers.len());
         for field in response.headers.iter() {
             let name =
-                HeaderName::try_from(field.name).map_err(|_invalid| Failure::Malformed("a header's name is none"))?;
+                HeaderName::try_from(field.name).map_err(|_invalid| Failure::Malformed("a header name is invalid"))?;
             let value = HeaderValue::from_bytes(field.value);
-            let value = value.map_err(|_invalid| Failure::Malformed("a header's value is none"))?;
+            let value = value.map_err(|_invalid| Failure::Malformed("a header value is invalid"))?;
             headers.append(name, value);
         }
         let framing = Framing::from_head(status, &headers, method)?;
@@ -81,13 +81,14 @@
         Ok(Some((head, length)))
     }
 
-    /// Returns whether the answer is a stream of events.
+    /// Returns whether the response is an event stream.
     pub fn is_event_stream(&self) -> bool {
         let kind = self.headers.get(header::CONTENT_TYPE).map(HeaderValue::as_bytes);
         kind.is_some_and(|kind| kind.starts_with(b"text/event-stream"))
     }
 }
 
+/// Returns whether the connection stays open after a response, by its HTTP version and headers.
 fn is_persistent(is_http_1_1: bool, headers: &HeaderMap) -> bool {
     let options = headers.get_all(header::CONNECTION);
     let mut options = options
--- a/bergamotshift-forward/src/exchange/mod.rs
+++ b/bergamotshift-forward/src/exchange/mod.rs
@@ -1,7 +1,8 @@
-//! One request's exchange with one endpoint, over HTTP/1.1.
+//! Exchanges with endpoints and other entries over HTTP/1.1.
 //!
-//! The connections are this crate's own, since what may be concluded from a failure depends on what the wire showed:
-//! whether a byte of the request left, whether an answer was reset or ended, and whether bytes follow a whole answer.
+//! The connections are implemented here because the consequences of a failure depend on what happened on the wire:
+//! whether a byte of the request was sent, whether the response was reset or ended, and whether bytes follow a complete
+//! response.
 
 mod body;
 mod call;
--- a/bergamotshift-forward/src/exchange/pool.rs
+++ b/bergamotshift-forward/src/exchange/pool.rs
@@ -1,4 +1,4 @@
-//! Idle connections of one thread.
+//! Pool of the idle connections of one thread.
 
 use core::net::SocketAddr;
 use core::time::Duration;
@@ -9,44 +9,46 @@
 
 use super::connection::Connection;
 
-/// How long an idle connection is kept when the endpoint does not say.
+/// Time for which an idle connection is kept when the endpoint states none.
 const DEFAULT_KEEP_ALIVE: Duration = Duration::from_secs(4);
 
-/// The longest time that an idle connection is kept. Nothing tells whether its peer is still reached, and a request that is
-/// sent into silence may have run.
+/// Maximum time for which an idle connection is kept. Nothing shows whether its peer can still be reached, and a
+/// request that is sent without getting a response may have run.
 const MAX_KEEP_ALIVE: Duration = Duration::from_secs(1);
 
-/// What is taken off an endpoint's own figure, so that it does not close a connection just as it is used again.
+/// Time subtracted from an endpoint's keep-alive timeout, so that it does not close a connection that is just being
+/// reused.
 const KEEP_ALIVE_MARGIN: Duration = Duration::from_millis(500);
 
-/// The most idle connections to one endpoint; endpoints take a few hundred from all entries together.
+/// Maximum number of idle connections to one endpoint; endpoints accept a few hundred from all entries together.
 const MAX_IDLE_PER_ADDRESS: usize = 24;
 
+/// Idle connection, and the time until which it may be reused.
 #[derive(Debug)]
 struct Idle {
     connection: Connection,
     until: Instant,
 }
 
-/// Idle connections by endpoint, the one used last first.
+/// Pool of idle connections by address, the most recently used one first.
 #[derive(Debug, Default)]
 pub struct Pool {
     idle: HashMap<SocketAddr, Vec<Idle>>,
 }
 
 impl Pool {
-    /// Takes a connection that may carry another exchange.
+    /// Takes a connection that can carry another exchange.
     pub fn take(&mut self, now: Instant, address: SocketAddr) -> Option<Connection> {
         let idle = self.idle.get_mut(&address)?;
-        while let Some(entry) = idle.pop() {
-            if entry.until > now && entry.connection.is_reusable() {
-                return Some(entry.connection);
+        while let Some(pooled) = idle.pop() {
+            if pooled.until > now && pooled.connection.is_reusable() {
+                return Some(pooled.connection);
             }
         }
         None
     }
 
-    /// Takes back a connection whose exchange ended; `answer` are the headers of its last answer.
+    /// Returns a connection to the pool after an exchange; `headers` are those of the last response.
     pub fn put(&mut self, now: Instant, address: SocketAddr, connection: Connection, headers: &HeaderMap) {
         if !connection.is_reusable() {
             return;
@@ -64,16 +66,16 @@
         }
     }
 
-    /// Closes what was idle for too long, and all connections to an address that is no endpoint any more.
-    pub fn sweep(&mut self, now: Instant, is_endpoint: impl Fn(SocketAddr) -> bool) {
+    /// Closes connections that were idle for too long, and those to addresses that are no longer in use.
+    pub fn sweep(&mut self, now: Instant, is_in_use: impl Fn(SocketAddr) -> bool) {
         self.idle.retain(|address, idle| {
-            idle.retain(|entry| entry.until > now);
-            !idle.is_empty() && is_endpoint(*address)
+            idle.retain(|pooled| pooled.until > now);
+            !idle.is_empty() && is_in_use(*address)
         });
     }
 }
 
-/// Returns how long the endpoint keeps the connection.
+/// Returns the time for which the endpoint keeps an idle connection.
 fn keep_alive(headers: &HeaderMap) -> Duration {
     let text = headers.get("keep-alive").and_then(|value| value.to_str().ok());
     let seconds = text.and_then(|text| {
--- a/bergamotshift-forward/tests/kernel/events.rs
+++ b/bergamotshift-forward/tests/kernel/events.rs
@@ -1,4 +1,4 @@
-//! Whole events out of bytes that come in any pieces.
+//! Complete events from bytes that arrive in pieces of any size.
 
 use bergamotshift_forward::exchange::Events;
 use quickcheck::Gen;
@@ -7,7 +7,7 @@
 const STREAM: &[u8] = b"id: 1\ndata: one\n\nid: 2\ndata: two\n\nid: 3\r\ndata: three\r\n\r\n";
 
 #[test]
-fn any_pieces_give_the_same_bytes() {
+fn any_split_into_pieces_gives_the_same_bytes() {
     fn passes(cuts: Vec<u8>) -> bool {
         let mut events = Events::default();
         let mut passed = Vec::new();
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn half_an_event_is_held_back() {
+fn partial_event_is_held_back() {
     let mut events = Events::default();
     let whole = events.push(b"id: 1\ndata: a\n\nid: 2\nda").expect("one is whole");
     assert_eq!(&*whole, b"id: 1\ndata: a\n\n");
@@ -36,10 +36,10 @@
     assert!(!events.is_at_boundary());
 }
 
-/// An endpoint dies in the middle of an event and the stream goes on at another one, which sends that event anew. The
-/// caller sees each event once: what the first endpoint began is dropped.
+/// An endpoint fails in the middle of an event, and the next endpoint sends that event again. The first part has to be
+/// dropped, so that the caller does not see it joined with the event.
 #[test]
-fn an_event_that_broke_off_is_not_joined_with_the_next_endpoints() {
+fn partial_event_is_not_joined_with_the_event_of_the_next_endpoint() {
     let mut events = Events::after(Some(4));
     assert!(events.push(b"id: 5\ndata: ha").is_none());
     events.drop_partial();
