--- a/bergamotshift-forward/src/serve/attempt.rs
+++ b/bergamotshift-forward/src/serve/attempt.rs
@@ -297,7 +297,7 @@
     /// A refusal that names a retry time is not a failure: it counts neither against the endpoint's health nor as
     /// evidence against its version.
     fn check_response(&self, job: &Job, mut exchange: Exchange, notice: Notice) -> Result<Exchange, Error> {
-        let names_time = notice.retry_after.is_some();
+        let has_retry_after = notice.retry_after.is_some();
         let Head { status, headers, .. } = &exchange.head;
         if *status == StatusCode::MISDIRECTED_REQUEST {
             // Another incarnation has the address, so the expected one is gone.
@@ -305,21 +305,21 @@
             return Err(Error::NotRun);
         }
         if self.shared.dialect.says_not_run(headers) {
-            if names_time {
+            if has_retry_after {
                 return Err(Error::RetryLater);
             }
             exchange.guard.record_version_failure();
             return Err(Error::NotRun);
         }
-        let sealed = self.shared.dialect.is_sealed(headers);
-        if status.is_success() && (!sealed || headers.contains_key(header::CONTENT_ENCODING)) {
+        let is_sealed = self.shared.dialect.is_sealed(headers);
+        if status.is_success() && (!is_sealed || headers.contains_key(header::CONTENT_ENCODING)) {
             exchange.guard.record_version_failure();
             return Err(Error::Failed(Failure::Malformed(
                 "a success has no seal or has a content encoding",
             )));
         }
         if status.is_server_error() {
-            if !names_time {
+            if !has_retry_after {
                 exchange.guard.record_failure();
             }
             if job.route.kind == Kind::Idempotent {
--- a/bergamotshift-forward/src/serve/forwarder.rs
+++ b/bergamotshift-forward/src/serve/forwarder.rs
@@ -47,7 +47,7 @@
 /// behind has the newest document.
 const MAX_WAIT_SHARE: f64 = 0.2;
 
-/// Time for which a caller waits if it does not say.
+/// Time for which a caller waits if its request does not state one.
 const DEFAULT_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Refusal of a request that has not become a job, with the name of the route that was found.
