--- a/bergamotshift-fleet/examples/fleet_table.rs
+++ b/bergamotshift-fleet/examples/fleet_table.rs
@@ -1,8 +1,8 @@
 //! Prints the fleet's control traffic and reaction times in virtual time, one row per size.
 //!
-//! Run with `cargo run --release -p bergamotshift-fleet --example fleet_table`. Bytes are sent plus received, with
-//! headers, acknowledgements and handshakes; processor time is this program's whole time per entry and virtual second,
-//! the harness included, so it bounds the kernel's from above.
+//! Run with `cargo run --release -p bergamotshift-fleet --example fleet_table`. Traffic is the sum of sent and received
+//! bytes, including headers, acknowledgements and handshakes. Processor time is that of the whole program per entry and
+//! virtual second, the test harness included, and thus an upper bound for the kernel.
 
 #![expect(clippy::print_stdout, reason = "the table is the program's result")]
 
@@ -26,7 +26,7 @@
         ..Shape::TARGET
     };
     [
-        Shape::TODAY,
+        Shape::CURRENT,
         Shape {
             entries: 50,
             endpoints: 80,
@@ -50,7 +50,7 @@
     ]
 }
 
-/// With an argument, only the size of that number is run.
+/// Runs all sizes, or only the one whose index is given as an argument.
 fn main() {
     println!(
         "entries/endpoints/zones | B/s p50 max | packets/s p50 max | leaving ms p50 p99 max missed | config ms | dead ms | us/entry/s | state B"
--- a/bergamotshift-fleet/src/endpoint/mod.rs
+++ b/bergamotshift-fleet/src/endpoint/mod.rs
@@ -1,4 +1,4 @@
-//! Endpoints as the fleet speaks of them, and the directory of those that the VM list shows.
+//! Endpoint IDs, and the directory of endpoints that the VM list shows.
 
 use std::collections::BTreeMap;
 
@@ -10,54 +10,54 @@
 
 use crate::tag;
 
-/// One life of one endpoint.
+/// One incarnation of an endpoint.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Serialize, Deserialize)]
 pub struct Id {
-    /// The VM that runs it.
+    /// VM that runs the endpoint.
     pub vm: name::Vm,
-    /// Which life of the VM.
+    /// Incarnation of the VM.
     pub incarnation: Incarnation,
 }
 
 impl Id {
-    /// Returns the tag by which load reports name the endpoint.
+    /// Returns the tag by which load reports refer to the endpoint.
     pub fn tag(&self) -> tag::Short {
-        tag::Short::of_life(&self.vm, self.incarnation.get())
+        tag::Short::of_incarnation(&self.vm, self.incarnation.get())
     }
 }
 
-/// What the directory holds of an endpoint.
+/// Directory record of an endpoint.
 #[derive(Clone, Debug)]
-pub struct Known {
-    /// Which life of the endpoint.
+pub struct Record {
+    /// Incarnation of the endpoint.
     pub id: Id,
-    /// Its availability zone.
+    /// Availability zone of the endpoint.
     pub zone: name::Zone,
-    /// The service that it runs.
+    /// Service that the endpoint runs.
     pub service: name::Service,
-    /// Counts the lists in a row that did not show it.
-    missing: u8,
+    /// Number of consecutive lists that did not show the endpoint.
+    missed_lists: u8,
 }
 
-/// The endpoints that may be sent work, by the VM list.
+/// Endpoints that the VM list shows, which may be given work.
 #[derive(Clone, Debug, Default)]
 pub struct Directory {
-    by_vm: BTreeMap<name::Vm, Known>,
+    by_vm: BTreeMap<name::Vm, Record>,
     by_tag: BTreeMap<tag::Short, Option<name::Vm>>,
     generation: u64,
 }
 
 impl Directory {
-    /// An endpoint is forgotten after this many lists in a row without it: the list lags and may skip one.
-    const FORGET_AFTER: u8 = 3;
+    /// Consecutive lists without an endpoint after which it is removed; the list lags and may skip one.
+    const MAX_MISSED_LISTS: u8 = 3;
 
-    /// Takes in a VM list.
+    /// Updates the directory from a VM list.
     ///
-    /// An older life than the known one is the list's lag and changes nothing.
+    /// An incarnation older than the known one is ignored, because the list lags.
     pub fn update(&mut self, list: &[vm::Listing]) {
         for known in self.by_vm.values_mut() {
-            known.missing += 1;
+            known.missed_lists += 1;
         }
         let mut changed = false;
         for listing in list {
@@ -71,13 +71,13 @@
             let known = self.by_vm.get_mut(&id.vm);
             match known {
                 Some(known) if known.id.incarnation > id.incarnation => {}
-                Some(known) if known.id.incarnation == id.incarnation => known.missing = 0,
+                Some(known) if known.id.incarnation == id.incarnation => known.missed_lists = 0,
                 _ => {
                     changed = true;
-                    let known = Known {
+                    let known = Record {
                         zone: listing.zone.clone(),
                         service: service.clone(),
-                        missing: 0,
+                        missed_lists: 0,
                         id,
                     };
                     self.by_vm.insert(listing.name.clone(), known);
@@ -85,26 +85,27 @@
             }
         }
         let before = self.by_vm.len();
-        self.by_vm.retain(|_, known| known.missing < Self::FORGET_AFTER);
+        self.by_vm
+            .retain(|_, known| known.missed_lists < Self::MAX_MISSED_LISTS);
         if changed || before != self.by_vm.len() {
             self.generation += 1;
-            self.index();
+            self.rebuild_tag_index();
         }
     }
 
-    /// Returns the known life of a VM.
-    pub fn get(&self, vm: &name::Vm) -> Option<&Known> {
+    /// Returns the known incarnation of a VM.
+    pub fn get(&self, vm: &name::Vm) -> Option<&Record> {
         self.by_vm.get(vm)
     }
 
-    /// Finds the endpoint of a tag; a tag of two endpoints finds none.
-    pub fn tagged(&self, tag: tag::Short) -> Option<&Known> {
+    /// Finds an endpoint by its tag; returns `None` if two endpoints share the tag.
+    pub fn find_by_tag(&self, tag: tag::Short) -> Option<&Record> {
         let vm = self.by_tag.get(&tag)?.as_ref()?;
         self.by_vm.get(vm)
     }
 
-    /// Returns all endpoints in the order of their VMs' names.
-    pub fn iter(&self) -> impl Iterator<Item = &Known> {
+    /// Returns all endpoints, ordered by VM name.
+    pub fn iter(&self) -> impl Iterator<Item = &Record> {
         self.by_vm.values()
     }
 
@@ -118,12 +119,12 @@
         self.by_vm.is_empty()
     }
 
-    /// Returns a number that changes whenever an endpoint comes or goes.
+    /// Returns a number that changes whenever an endpoint is added, replaced or removed.
     pub const fn generation(&self) -> u64 {
         self.generation
     }
 
-    fn index(&mut self) {
+    fn rebuild_tag_index(&mut self) {
         self.by_tag.clear();
         for known in self.by_vm.values() {
             self.by_tag
--- a/bergamotshift-fleet/src/gossip/mod.rs
+++ b/bergamotshift-fleet/src/gossip/mod.rs
@@ -1,4 +1,4 @@
-//! The queue of news that goes along with probes and answers.
+//! Queue of updates that are piggybacked on probes and their answers.
 
 use std::collections::BTreeMap;
 
@@ -9,10 +9,10 @@
 use crate::wire::Key;
 use crate::wire::Writer;
 
-/// What a peer just told.
-pub type Told = BTreeMap<Key, Item>;
+/// Items that a peer has just sent, by key.
+pub type Received = BTreeMap<Key, Item>;
 
-/// News that still has to be told, each piece a bounded number of times.
+/// Updates that are still to be sent, each a limited number of times.
 #[derive(Clone, Debug, Default)]
 pub struct Queue {
     pending: BTreeMap<Key, Pending>,
@@ -22,99 +22,99 @@
 struct Pending {
     item: Item,
     queued: Instant,
-    left: u8,
+    sends_left: u8,
 }
 
 impl Queue {
-    /// Takes news in, to be told `times` times; it replaces older news of the same key.
-    pub fn push(&mut self, now: Instant, item: Item, times: u8) {
+    /// Queues an item to be sent `sends` times; it replaces an older item with the same key.
+    pub fn push(&mut self, now: Instant, item: Item, sends: u8) {
         let pending = Pending {
             item,
             queued: now,
-            left: times,
+            sends_left: sends,
         };
         self.pending.insert(pending.item.key(), pending);
     }
 
-    /// Notes that a peer told known news again: most have it by now, so it is told once less.
-    pub fn heard_again(&mut self, item: &Item) {
+    /// Reduces the remaining sends of an update by one when a peer sends the same update: most members have it by then.
+    pub fn count_duplicate(&mut self, item: &Item) {
         let key = item.key();
         if self
             .pending
             .get(&key)
-            .is_some_and(|pending| pending.item.is_same_news(item))
+            .is_some_and(|pending| pending.item.is_same_update(item))
         {
-            self.count_down(&key);
+            self.consume_send(&key);
         }
     }
 
-    /// Fills a frame: lasting news first, and of each kind what was told least.
+    /// Fills a frame with persistent items first, and among equals with those that were sent least often.
     ///
-    /// With `is_far` set, news that concerns one zone only is left out; so is what the receiver itself just told,
-    /// unless this entry knows better by now.
-    pub fn fill(&mut self, now: Instant, writer: &mut Writer, is_far: bool, told_by_it: &Told) {
-        /// Below this, not even the smallest item fits.
-        const LEAST_ROOM: usize = 8;
-        /// After this many items that did not fit, the rest will hardly do better.
-        const MOST_MISSES: usize = 3;
+    /// With `is_cross_zone` set, items of use only within the own zone are left out. Items in `received`, which the
+    /// receiver itself has just sent, are left out too, unless this entry has a newer version.
+    pub fn fill(&mut self, now: Instant, writer: &mut Writer, is_cross_zone: bool, received: &Received) {
+        /// Free bytes below which not even the smallest item fits.
+        const MIN_ROOM: usize = 8;
+        /// Number of items that did not fit after which the frame counts as full.
+        const MAX_MISSES: usize = 3;
         let mut order: Vec<(&Key, &Pending)> = self
             .pending
             .iter()
-            .filter(|(_, pending)| !is_far || !pending.item.is_local())
+            .filter(|(_, pending)| !is_cross_zone || !pending.item.is_zone_local())
             .filter(|(key, pending)| {
-                let told = told_by_it.get(*key);
-                told.is_none_or(|told| !told.is_same_news(&pending.item))
+                let known = received.get(*key);
+                known.is_none_or(|known| !known.is_same_update(&pending.item))
             })
             .collect();
         order.sort_unstable_by_key(|(_, pending)| {
-            let told = u8::MAX - pending.left;
-            (pending.item.precedence(), told, pending.queued)
+            let sent = u8::MAX - pending.sends_left;
+            (pending.item.precedence(), sent, pending.queued)
         });
-        let mut told = Vec::new();
+        let mut written = Vec::new();
         let mut misses = 0;
         for (key, pending) in order {
-            if writer.room() < LEAST_ROOM || misses >= MOST_MISSES {
+            if writer.room() < MIN_ROOM || misses >= MAX_MISSES {
                 break;
             }
-            if writer.push(&pending.aged(now)) {
-                told.push(key.clone());
+            if writer.push(&pending.with_age(now)) {
+                written.push(key.clone());
             } else {
                 misses += 1;
             }
         }
-        for key in told {
-            self.count_down(&key);
+        for key in written {
+            self.consume_send(&key);
         }
     }
 
-    fn count_down(&mut self, key: &Key) {
+    fn consume_send(&mut self, key: &Key) {
         let Some(pending) = self.pending.get_mut(key) else {
             return;
         };
-        pending.left -= 1;
-        if pending.left == 0 {
+        pending.sends_left -= 1;
+        if pending.sends_left == 0 {
             self.pending.remove(key);
         }
     }
 
-    /// Returns the number of pieces of news that wait.
+    /// Returns the number of queued updates.
     pub fn len(&self) -> usize {
         self.pending.len()
     }
 
-    /// Returns whether nothing waits.
+    /// Returns whether no update is queued.
     pub fn is_empty(&self) -> bool {
         self.pending.is_empty()
     }
 }
 
 impl Pending {
-    fn aged(&self, now: Instant) -> Item {
+    fn with_age(&self, now: Instant) -> Item {
         let waited = now.since(self.queued);
         let seconds = u16::try_from(waited.as_secs()).unwrap_or(u16::MAX);
         let mut item = self.item.clone();
         match &mut item {
-            Item::Load(load) => load.age_ds = load.age_ds.saturating_add(load::tenths(waited)),
+            Item::Load(load) => load.age_ds = load.age_ds.saturating_add(load::to_deciseconds(waited)),
             Item::Mark(mark) => mark.age_s = mark.age_s.saturating_add(seconds),
             Item::Note(note) => note.age_s = note.age_s.saturating_add(seconds),
             _ => {}
--- a/bergamotshift-fleet/src/handover/keeper.rs
+++ b/bergamotshift-fleet/src/handover/keeper.rs
@@ -1,4 +1,4 @@
-//! Parcels that this entry keeps for callers that come back.
+//! Storage for the parcels of leaving entries until their callers come back.
 
 use core::time::Duration;
 use std::collections::BTreeMap;
@@ -9,69 +9,69 @@
 use super::Key;
 use super::Parcel;
 
-/// What became of a parcel that came in.
+/// Outcome of storing a parcel.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Receipt {
-    /// It is kept.
+    /// The parcel is stored.
     Kept,
-    /// A copy that is at least as far is kept already.
+    /// A copy with at least as much progress is already stored.
     Known,
-    /// There is no room.
+    /// The parcel would exceed the keeper's capacity.
     Full,
 }
 
-/// What an entry gets that asks for a parcel.
+/// Outcome of asking a keeper for a parcel.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Retrieval {
-    /// The parcel, to go on with.
+    /// The parcel; the requester continues the request.
     Parcel(Box<Parcel>),
-    /// Another entry goes on with it.
+    /// The entry that took the parcel before and continues the request.
     Elsewhere(name::Entry),
-    /// Nothing is kept under the key.
+    /// No parcel is stored under the key.
     Missing,
 }
 
-/// The parcels that an entry keeps.
+/// Bounded store of parcels, each kept until its deadline.
 #[derive(Clone, Debug)]
 pub struct Keeper {
-    kept: BTreeMap<Key, Kept>,
+    parcels: BTreeMap<Key, Stored>,
     bytes: usize,
     capacity: usize,
 }
 
 #[derive(Clone, Debug)]
-struct Kept {
+struct Stored {
     parcel: Parcel,
-    until: Instant,
-    taken: Option<(name::Entry, Instant)>,
+    expires_at: Instant,
+    taken_by: Option<(name::Entry, Instant)>,
 }
 
 impl Default for Keeper {
     fn default() -> Self {
-        Self::new(Self::CAPACITY)
+        Self::new(Self::DEFAULT_CAPACITY)
     }
 }
 
 impl Keeper {
-    /// Bytes of parcels that are kept at most: a quarter of an entry's memory.
-    pub const CAPACITY: usize = 32 * 1_024 * 1_024;
+    /// Default capacity in bytes: a quarter of an entry's memory.
+    pub const DEFAULT_CAPACITY: usize = 32 * 1_024 * 1_024;
 
-    /// A parcel that was taken can be taken again after this: whoever took it is gone.
-    pub const RETAKE: Duration = Duration::from_secs(10);
+    /// Time after which a taken parcel may be taken by another entry, because the first one is presumed gone.
+    pub const RETAKE_TIMEOUT: Duration = Duration::from_secs(10);
 
-    /// Makes a keeper that holds at most `capacity` bytes.
+    /// Creates a keeper that holds at most `capacity` bytes.
     pub const fn new(capacity: usize) -> Self {
         Self {
-            kept: BTreeMap::new(),
+            parcels: BTreeMap::new(),
             bytes: 0,
             capacity,
         }
     }
 
-    /// Takes a parcel in.
+    /// Stores a parcel unless a copy with at least as much progress is stored or the capacity would be exceeded.
     pub fn put(&mut self, now: Instant, parcel: Parcel) -> Receipt {
         self.expire(now);
-        let known = self.kept.get(&parcel.key);
+        let known = self.parcels.get(&parcel.key);
         if known.is_some_and(|known| !parcel.supersedes(&known.parcel)) {
             return Receipt::Known;
         }
@@ -81,85 +81,87 @@
             return Receipt::Full;
         }
         self.bytes = self.bytes - freed + size;
-        let kept = Kept {
-            until: now + Duration::from_millis(parcel.left_ms),
-            taken: known.and_then(|known| known.taken.clone()),
+        let stored = Stored {
+            expires_at: now + Duration::from_millis(parcel.left_ms),
+            taken_by: known.and_then(|known| known.taken_by.clone()),
             parcel,
         };
-        self.kept.insert(kept.parcel.key.clone(), kept);
+        self.parcels.insert(stored.parcel.key.clone(), stored);
         Receipt::Kept
     }
 
-    /// Gives a parcel to the entry `by`, to which its caller came back.
+    /// Returns a parcel to the entry `by`, to which its caller came back.
     ///
-    /// Asked again by the same entry, it gives it again: the answer may have been lost. Another entry is told who has
-    /// it: the caller came back twice, and two entries that both go on would spend the tokens twice.
+    /// The same entry may ask again, because the answer may have been lost. Until [`Self::RETAKE_TIMEOUT`] has passed,
+    /// any other entry gets the name of the one that took the parcel: the caller reconnected twice, and two entries
+    /// that both continue would spend the tokens twice.
     pub fn take(&mut self, now: Instant, key: &Key, by: &name::Entry) -> Retrieval {
         self.expire(now);
-        let Some(kept) = self.kept.get_mut(key) else {
+        let Some(stored) = self.parcels.get_mut(key) else {
             return Retrieval::Missing;
         };
-        if let Some((holder, since)) = &kept.taken
+        if let Some((holder, since)) = &stored.taken_by
             && holder != by
-            && now.since(*since) < Self::RETAKE
+            && now.since(*since) < Self::RETAKE_TIMEOUT
         {
             return Retrieval::Elsewhere(holder.clone());
         }
-        kept.taken = Some((by.clone(), now));
-        let left = kept.until.since(now);
+        stored.taken_by = Some((by.clone(), now));
+        let left = stored.expires_at.since(now);
         let parcel = Parcel {
             left_ms: u64::try_from(left.as_millis()).unwrap_or(u64::MAX),
-            ..kept.parcel.clone()
+            ..stored.parcel.clone()
         };
         Retrieval::Parcel(Box::new(parcel))
     }
 
-    /// Forgets a parcel whose caller has its answer.
+    /// Removes a parcel whose caller has received its answer.
     pub fn finish(&mut self, key: &Key) {
-        if let Some(kept) = self.kept.remove(key) {
-            self.bytes -= kept.parcel.size();
+        if let Some(stored) = self.parcels.remove(key) {
+            self.bytes -= stored.parcel.size();
         }
     }
 
-    /// Gives all parcels away, because this entry leaves: each counts one hop more.
+    /// Removes and returns all parcels with their hop count raised by one, because this entry leaves.
     pub fn drain(&mut self, now: Instant) -> Vec<Parcel> {
         self.expire(now);
         self.bytes = 0;
-        let kept = core::mem::take(&mut self.kept);
-        kept.into_values()
-            .map(|kept| Parcel {
-                hops: kept.parcel.hops + 1,
-                left_ms: u64::try_from(kept.until.since(now).as_millis()).unwrap_or(u64::MAX),
-                ..kept.parcel
+        let drained = core::mem::take(&mut self.parcels);
+        drained
+            .into_values()
+            .map(|stored| Parcel {
+                hops: stored.parcel.hops + 1,
+                left_ms: u64::try_from(stored.expires_at.since(now).as_millis()).unwrap_or(u64::MAX),
+                ..stored.parcel
             })
             .collect()
     }
 
-    /// Drops everything, after a pause of this entry.
+    /// Drops all parcels after a pause of this entry.
     ///
-    /// Meanwhile the other keeper may have given the request away and its caller may be long served; going on with a
-    /// stale copy would only repeat work.
+    /// During the pause the other keeper may have returned a parcel and its caller may have been served. Continuing
+    /// with a stale copy would only repeat work.
     pub fn clear(&mut self) {
-        self.kept.clear();
+        self.parcels.clear();
         self.bytes = 0;
     }
 
-    /// Returns the number of parcels.
+    /// Returns the number of stored parcels.
     pub fn len(&self) -> usize {
-        self.kept.len()
+        self.parcels.len()
     }
 
-    /// Returns whether nothing is kept.
+    /// Returns whether no parcel is stored.
     pub fn is_empty(&self) -> bool {
-        self.kept.is_empty()
+        self.parcels.is_empty()
     }
 
     fn expire(&mut self, now: Instant) {
         let bytes = &mut self.bytes;
-        self.kept.retain(|_, kept| {
-            let keep = kept.until > now;
+        self.parcels.retain(|_, stored| {
+            let keep = stored.expires_at > now;
             if !keep {
-                *bytes -= kept.parcel.size();
+                *bytes -= stored.parcel.size();
             }
             keep
         });
--- a/bergamotshift-fleet/src/handover/message.rs
+++ b/bergamotshift-fleet/src/handover/message.rs
@@ -1,4 +1,4 @@
-//! Questions and answers between entries about parcels, each on a stream of its own.
+//! Questions and answers between entries about parcels, each exchanged on its own stream.
 
 use bergamotshift_core::name;
 use serde::Deserialize;
@@ -11,91 +11,91 @@
 use super::Receipt;
 use super::Retrieval;
 
-/// The version of the layout.
+/// Version of the message layout.
 const VERSION: u8 = 1;
 
-/// What one entry asks another.
+/// Request from one entry to another.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub enum Question {
-    /// Keeps a parcel.
+    /// Asks the receiver to store a parcel.
     Put(Box<Parcel>),
-    /// Gives a parcel to the asker, whose caller came back for it.
+    /// Asks for a parcel whose caller came back to the sender.
     Take {
-        /// The request.
+        /// Key of the request.
         key: Key,
-        /// The asker.
+        /// Entry that asks.
         by: name::Entry,
     },
-    /// Forgets a parcel whose caller has its answer.
+    /// Asks the receiver to remove a parcel whose caller has received its answer.
     Finish(Key),
     /// Asks for content by topic and key, such as a configuration file by its digest.
     Fetch {
-        /// What it belongs to.
+        /// Topic that the content belongs to.
         topic: u8,
-        /// Which content.
+        /// Key of the content within the topic.
         key: Vec<u8>,
     },
 }
 
-/// What the other entry says.
+/// Response to a [`Question`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub enum Answer {
-    /// The parcel is kept, here or already.
+    /// The parcel is stored, or a copy with at least as much progress already was.
     Kept,
-    /// There is no room for the parcel.
+    /// The parcel would exceed the keeper's capacity.
     Full,
-    /// The parcel.
+    /// The requested parcel.
     Parcel(Box<Parcel>),
-    /// Another entry goes on with the request.
+    /// The entry that continues the request.
     Elsewhere(name::Entry),
-    /// Nothing is known.
+    /// No parcel or content is stored under the key.
     Missing,
-    /// Done.
+    /// The parcel was removed.
     Done,
-    /// The content.
+    /// The requested content.
     Content(Vec<u8>),
-    /// The question is of a kind that this version does not know.
+    /// The receiver's version does not support this kind of question.
     Unknown,
 }
 
-/// Why bytes are not a message.
+/// Error of decoding a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Error)]
 pub enum Error {
-    /// The layout is of another version, or the bytes are damaged, or the kind is not known.
-    #[error("the message cannot be read")]
+    /// The layout version or the kind of message is not supported, or the bytes are damaged.
+    #[error("message is malformed or of an unsupported version or kind")]
     Unreadable,
 }
 
 impl Question {
-    /// Writes the question.
+    /// Encodes the question with its version.
     pub fn encode(&self) -> Vec<u8> {
         encode(self)
     }
 
-    /// Reads a question.
+    /// Decodes a question.
     ///
     /// # Errors
     ///
-    /// Returns an error when the bytes are no question that this version knows; [`Answer::Unknown`] answers that.
+    /// Returns an error when this version cannot read the question. The receiver then replies with [`Answer::Unknown`].
     pub fn decode(bytes: &[u8]) -> Result<Self, Error> {
         decode(bytes)
     }
 }
 
 impl Answer {
-    /// Writes the answer.
+    /// Encodes the answer with its version.
     pub fn encode(&self) -> Vec<u8> {
         encode(self)
     }
 
-    /// Reads an answer.
+    /// Decodes an answer.
     ///
     /// # Errors
     ///
-    /// Returns an error when the bytes are no answer that this version knows.
+    /// Returns an error when this version cannot read the answer.
     pub fn decode(bytes: &[u8]) -> Result<Self, Error> {
         decode(bytes)
     }
@@ -121,7 +121,7 @@
 }
 
 fn encode(value: &impl Serialize) -> Vec<u8> {
-    postcard::to_extend(value, vec![VERSION]).expect("a growing buffer takes every plain value")
+    postcard::to_extend(value, vec![VERSION]).expect("encoding into a growing buffer never fails")
 }
 
 fn decode<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, Error> {
--- a/bergamotshift-fleet/src/handover/mod.rs
+++ b/bergamotshift-fleet/src/handover/mod.rs
@@ -1,7 +1,7 @@
-//! Where the open requests of a leaving entry go, and how a caller finds its own again.
+//! Handover of a leaving entry's open requests, and the search for them when their callers come back.
 //!
-//! A leaving entry makes a [`Plan`] over its open requests and sends each as a [`Parcel`] to two [`keepers`] in other
-//! zones. Whichever entry the caller comes back to asks the [`candidates`] in turn. A [`Keeper`] holds parcels until
+//! A leaving entry makes a [`Plan`] for its open requests and sends each as a [`Parcel`] to two [`keepers`] in other
+//! zones. The entry that a caller reconnects to asks the [`candidates`] in turn. A [`Keeper`] stores parcels until
 //! their deadlines.
 
 mod keeper;
@@ -28,39 +28,39 @@
 pub use message::Question;
 pub use parcel::Parcel;
 pub use parcel::Progress;
-pub use plan::Bounds;
-pub use plan::Fate;
-pub use plan::Open;
+pub use plan::Budget;
+pub use plan::Disposition;
 pub use plan::Plan;
+pub use plan::Request;
 
-/// Keepers that each parcel goes to.
-pub const KEEPERS: usize = 2;
+/// Number of keepers that each parcel is sent to.
+pub const KEEPERS_PER_PARCEL: usize = 2;
 
-/// Members asked one after the other for a parcel: two keepers, and one more because the asker does not know which
-/// zone the leaving entry was in.
-pub const CANDIDATE_COUNT: usize = KEEPERS + 1;
+/// Number of zones whose highest-ranked member is asked for a parcel: one per keeper, and one more because the
+/// requester does not know the zone of the entry that left.
+pub const CANDIDATE_COUNT: usize = KEEPERS_PER_PARCEL + 1;
 
-/// A fleet of at most this many entries can be asked as a whole when the candidates have nothing.
-pub const SMALL_FLEET: usize = 16;
+/// Largest fleet of which every live member is asked when the first candidates do not have the parcel.
+pub const SMALL_FLEET_SIZE: usize = 16;
 
-/// What a caller comes back with: its organisation, and its idempotency key or the id of its request.
+/// Key of a request: the organisation, the service, and the idempotency key or request ID that the caller sends again.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Serialize, Deserialize)]
 pub struct Key {
-    /// Whose request it is; no other organisation finds it.
+    /// Organisation that owns the request; no other organisation can find it.
     pub organisation: name::Organisation,
-    /// The service that was called.
+    /// Service that was called.
     pub service: name::Service,
-    /// The idempotency key, or the request's id.
+    /// Idempotency key or request ID.
     pub text: SmolStr,
 }
 
 impl Key {
-    /// Returns the hash under which keepers are ranked.
+    /// Returns the hash by which keepers are ranked.
     pub fn hash(&self) -> u64 {
         let mut hasher = Xxh3::new();
         for part in [self.organisation.as_str(), self.service.as_str(), &self.text] {
-            // Lengths keep ("ab", "c") and ("a", "bc") apart.
+            // The length prefix distinguishes ("ab", "c") from ("a", "bc").
             hasher.update(&(part.len() as u64).to_le_bytes());
             hasher.update(part.as_bytes());
         }
@@ -68,22 +68,22 @@
     }
 }
 
-/// Returns the members that keep a parcel of an entry that leaves `zone`: two, in different zones but that one.
+/// Returns the members that store a parcel of the entry `leaving` in `zone`: two, in different zones other than `zone`.
 ///
-/// A reclaim can take a whole zone, entries and endpoints together, so its own members are no keepers. Where there are
-/// too few zones, the second keeper shares a zone with the first, and a fleet of one zone keeps within it.
+/// A reclaim can take a whole zone, entries and endpoints together, so members of `zone` are the last choice. With too
+/// few zones, both keepers may share a zone, and a fleet of one zone uses members of that zone.
 pub fn keepers(key: &Key, members: &member::Table, zone: &name::Zone, leaving: &name::Entry) -> Vec<key::Entry> {
     let mut chosen: Vec<key::Entry> = best_per_zone(key, members, leaving)
         .into_iter()
         .filter(|(other, _)| other != zone)
         .map(|(_, entry)| entry)
-        .take(KEEPERS)
+        .take(KEEPERS_PER_PARCEL)
         .collect();
     let ranked = ranked(key, members, leaving);
     let outside = ranked.iter().filter(|entry| !is_in(members, **entry, zone));
     let inside = ranked.iter().filter(|entry| is_in(members, **entry, zone));
     for entry in outside.chain(inside) {
-        if chosen.len() >= KEEPERS {
+        if chosen.len() >= KEEPERS_PER_PARCEL {
             break;
         }
         if !chosen.contains(entry) {
@@ -93,19 +93,20 @@
     chosen
 }
 
-/// Returns whom `asker` asks for a parcel, in order; it looks into its own keeper when it comes across itself.
+/// Returns the members to ask for a parcel, in order.
 ///
-/// The best member of each of the first three zones covers both keepers whatever zone was left. A small fleet follows
-/// as a whole: members that came or went since can have moved the ranking.
+/// The highest-ranked member of each of the first three zones covers both keepers, whichever zone the leaving entry was
+/// in. The highest-ranked members of the fleet follow, in a small fleet all of them, because members that joined or
+/// left in the meantime may have changed the ranking.
 pub fn candidates(key: &Key, members: &member::Table) -> Vec<key::Entry> {
-    let nobody = name::Entry::default();
-    let mut order: Vec<key::Entry> = best_per_zone(key, members, &nobody)
+    let no_exception = name::Entry::default();
+    let mut order: Vec<key::Entry> = best_per_zone(key, members, &no_exception)
         .into_iter()
         .map(|(_, entry)| entry)
         .take(CANDIDATE_COUNT)
         .collect();
-    let ranked = ranked(key, members, &nobody);
-    let further = if ranked.len() <= SMALL_FLEET {
+    let ranked = ranked(key, members, &no_exception);
+    let further = if ranked.len() <= SMALL_FLEET_SIZE {
         ranked.len()
     } else {
         CANDIDATE_COUNT
@@ -118,7 +119,7 @@
     order
 }
 
-/// Returns the member of highest rank of each zone, the highest first.
+/// Returns the highest-ranked member of each zone, highest rank first.
 fn best_per_zone(key: &Key, members: &member::Table, except: &name::Entry) -> Vec<(name::Zone, key::Entry)> {
     let mut best: Vec<(name::Zone, key::Entry)> = Vec::new();
     for entry in ranked(key, members, except) {
@@ -142,7 +143,7 @@
     members.get(entry).is_some_and(|record| record.zone == *zone)
 }
 
-/// Groups parcels by the keepers that they go to.
+/// Groups the keys of parcels by the keepers that they are sent to.
 pub fn by_keeper<'a>(
     keys: impl Iterator<Item = &'a Key>,
     members: &member::Table,
--- a/bergamotshift-fleet/src/handover/parcel.rs
+++ b/bergamotshift-fleet/src/handover/parcel.rs
@@ -1,4 +1,4 @@
-//! One open request on its way to a keeper.
+//! Open requests in the form in which they are handed to a keeper.
 
 use bergamotshift_core::attempt;
 use bergamotshift_core::urgency::Urgency;
@@ -8,68 +8,69 @@
 
 use super::Key;
 
-/// How far a request is.
+/// Progress of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub enum Progress {
-    /// No byte of it went towards an endpoint.
+    /// No byte was sent to an endpoint.
     Waiting,
-    /// An endpoint has it. A repeatable request may run again from the tokens so far.
+    /// An endpoint is processing the request. A repeatable request may be resumed from the tokens received so far.
     Running {
-        /// What the endpoint answered so far, from the first byte on.
+        /// Bytes of the endpoint's answer so far, from the first byte on.
         answer: Vec<u8>,
-        /// The number of the last event that went to the caller.
+        /// Number of the last event that was sent to the caller.
         delivered: u64,
     },
-    /// It must not be repeated and its bytes went towards an endpoint. It may have run and is never sent again.
+    /// The request must not be repeated and some of it was sent to an endpoint. It may have run and is never sent
+    /// again.
     Sent,
-    /// It is finished, and the caller may not have the whole answer.
+    /// The request is finished, but the caller may not have received the whole answer.
     Done {
-        /// The HTTP status.
+        /// HTTP status of the answer.
         status: u16,
-        /// The answer's headers.
+        /// Headers of the answer.
         headers: Vec<(SmolStr, Vec<u8>)>,
-        /// The whole answer.
+        /// Whole body of the answer.
         answer: Vec<u8>,
-        /// The number of the last event that went to the caller.
+        /// Number of the last event that was sent to the caller.
         delivered: u64,
     },
 }
 
-/// One open request.
+/// Open request of a leaving entry, with all that another entry needs to continue it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Parcel {
-    /// What the caller comes back with.
+    /// Key by which the caller finds the request again.
     pub key: Key,
-    /// The last attempt.
+    /// ID of the last attempt.
     pub attempt: attempt::Id,
-    /// Counts the entries that the request was handed on by.
+    /// Number of entries that have handed the request over.
     pub hops: u32,
-    /// Whether it may run more than once.
+    /// Whether the request may run more than once.
     pub repeatable: bool,
-    /// How soon its answer is needed.
+    /// Urgency of the request.
     pub urgency: Urgency,
-    /// What is left until its deadline, in milliseconds: clocks of entries are not compared.
+    /// Time left until the deadline, in milliseconds; relative, because the entries' clocks are not synchronised.
     pub left_ms: u64,
-    /// The HTTP method.
+    /// HTTP method.
     pub method: SmolStr,
-    /// The path with its query.
+    /// Path with its query.
     pub path: SmolStr,
-    /// The headers that endpoints get.
+    /// Headers that are sent to endpoints.
     pub headers: Vec<(SmolStr, Vec<u8>)>,
-    /// The body; empty once the request may not be sent again.
+    /// Request body; empty once the request may not be sent again.
     pub body: Vec<u8>,
-    /// How far it is.
+    /// Progress of the request.
     pub progress: Progress,
 }
 
 impl Parcel {
-    /// Returns whether a parcel takes the place of `known`, which has the same key.
+    /// Returns whether this parcel replaces `known`, which has the same key.
     ///
-    /// Copies of one attempt cross each other: the one that is further counts. Of two attempts the one that was handed
-    /// on more often is the later. A request that must not be repeated never goes back from sent to waiting, whatever
-    /// the attempt: that would run it a second time.
+    /// Copies of one attempt may arrive out of order, and the one with more progress wins. Of two attempts the one with
+    /// more hops is the later. A request that must not be repeated never goes back from sent to waiting, whatever the
+    /// attempt, because it would then run a second time.
     pub fn supersedes(&self, known: &Self) -> bool {
         let is_sent = |parcel: &Self| matches!(parcel.progress, Progress::Sent | Progress::Done { .. });
         if !known.repeatable && is_sent(known) && !is_sent(self) {
@@ -81,9 +82,9 @@
         (self.progress.is_done(), self.hops) > (known.progress.is_done(), known.hops)
     }
 
-    /// Returns whether the request may be sent to an endpoint by whoever takes the parcel.
+    /// Returns whether the entry that takes the parcel may send the request to an endpoint.
     ///
-    /// One that must not be repeated needs the claim of its own attempt besides.
+    /// A request that must not be repeated also needs the claim for its attempt.
     pub const fn may_send(&self) -> bool {
         match self.progress {
             Progress::Waiting => true,
@@ -92,7 +93,7 @@
         }
     }
 
-    /// Returns about how many bytes the parcel takes.
+    /// Returns the approximate size of the parcel in bytes.
     pub fn size(&self) -> usize {
         let headers: usize = self.headers.iter().map(|(name, value)| name.len() + value.len()).sum();
         let answer = match &self.progress {
--- a/bergamotshift-fleet/src/handover/plan.rs
+++ b/bergamotshift-fleet/src/handover/plan.rs
@@ -1,42 +1,43 @@
-//! What a leaving entry does with each of its open requests.
+//! Plan of a leaving entry for its open requests.
 
 use core::time::Duration;
 
 use bergamotshift_core::clock::Instant;
 use bergamotshift_core::urgency::Urgency;
 
-use super::KEEPERS;
+use super::KEEPERS_PER_PARCEL;
 use super::Key;
 
-/// What a plan needs to know of an open request.
+/// Open request as the plan sees it.
 #[derive(Clone, Debug)]
-pub struct Open {
-    /// The request.
+pub struct Request {
+    /// Key of the request.
     pub key: Key,
-    /// How soon its answer is needed.
+    /// Urgency of the request.
     pub urgency: Urgency,
-    /// What it still takes, by the estimate of routing.
-    pub left: Duration,
-    /// When its caller has no use for the answer any more.
+    /// Time that the request still takes, as estimated by routing.
+    pub remaining: Duration,
+    /// Time after which the caller no longer needs the answer.
     pub deadline: Instant,
-    /// Bytes of its parcel.
+    /// Size of the request's parcel in bytes.
     pub bytes: usize,
-    /// Whether the platform holds all of it, as for a deferred job: any entry picks it up without a parcel.
+    /// Whether the platform stores the whole request, as it does for a deferred job; any entry resumes it without a
+    /// parcel.
     pub is_durable: bool,
 }
 
-/// What a leaving entry has to hand its requests over.
+/// Time and bandwidth that are available for the handover.
 #[derive(Clone, Copy, Debug)]
-pub struct Bounds {
-    /// Time until the VM is gone.
+pub struct Budget {
+    /// Time until the VM is reclaimed.
     pub notice: Duration,
-    /// What the link carries, in bytes per second.
+    /// Bandwidth of the link, in bytes per second.
     pub bytes_per_second: u64,
-    /// Time kept free at the end: notices are imprecise.
+    /// Time kept free before the end, because notices are imprecise.
     pub reserve: Duration,
 }
 
-impl Default for Bounds {
+impl Default for Budget {
     fn default() -> Self {
         Self {
             notice: Duration::from_secs(5),
@@ -46,64 +47,71 @@
     }
 }
 
-/// What becomes of one request.
+/// Handling of one request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fate {
-    /// It ends here in time.
+pub enum Disposition {
+    /// The request completes on this entry in time.
     Finish,
-    /// Its parcel goes to the keepers.
-    Hand,
-    /// The platform holds it.
-    Leave,
-    /// Its parcel does not fit in the notice: its caller is told at once.
+    /// The parcel is sent to the keepers.
+    HandOver,
+    /// The request stays with the platform, which stores it.
+    LeaveToPlatform,
+    /// The parcel cannot be transferred within the notice; the caller is refused at once.
     Refuse,
 }
 
-/// What becomes of all requests, in the order in which it is to be done.
+/// Handling of all open requests, in the order in which it has to be done.
 ///
 /// ```
-/// use bergamotshift_fleet::handover::{Bounds, Plan};
+/// use bergamotshift_fleet::handover::{Budget, Plan};
 /// use bergamotshift_core::prelude::*;
 ///
-/// let plan = Plan::new(Instant::ZERO, Vec::new(), Bounds::default());
+/// let plan = Plan::new(Instant::ZERO, Vec::new(), Budget::default());
 /// assert!(plan.steps().is_empty());
 /// ```
 #[derive(Clone, Debug)]
 pub struct Plan {
-    steps: Vec<(Key, Fate)>,
+    steps: Vec<(Key, Disposition)>,
 }
 
 impl Plan {
-    /// Makes a plan: urgent first, and of equally urgent ones what is nearly finished.
+    /// Creates a plan that handles the most urgent requests first, and among equally urgent ones those with the least
+    /// remaining time.
     ///
-    /// Only what takes less than half of the usable time is left to finish here, since estimates are off by that much.
-    pub fn new(now: Instant, mut open: Vec<Open>, bounds: Bounds) -> Self {
-        let usable = bounds.notice.saturating_sub(bounds.reserve);
+    /// A request is left to finish here only if it takes at most half of the usable time, since estimates may be off by
+    /// that much. Requests past their deadlines are left out.
+    pub fn new(now: Instant, mut open: Vec<Request>, budget: Budget) -> Self {
+        let usable = budget.notice.saturating_sub(budget.reserve);
         open.sort_by(|left, right| {
-            let order = |open: &Open| (rank(open.urgency), open.left, open.deadline);
-            order(left).cmp(&order(right)).then_with(|| left.key.cmp(&right.key))
+            let priority = |request: &Request| (rank(request.urgency), request.remaining, request.deadline);
+            priority(left)
+                .cmp(&priority(right))
+                .then_with(|| left.key.cmp(&right.key))
         });
         let mut spent = Duration::ZERO;
-        let steps = open.into_iter().filter(|open| open.deadline > now).map(|open| {
-            if open.is_durable {
-                return (open.key, Fate::Leave);
-            }
-            if open.left <= usable / 2 {
-                return (open.key, Fate::Finish);
-            }
-            let bytes = (open.bytes * KEEPERS) as f64;
-            let cost = Duration::from_secs_f64(bytes / bounds.bytes_per_second.max(1) as f64);
-            if spent + cost > usable {
-                return (open.key, Fate::Refuse);
-            }
-            spent += cost;
-            (open.key, Fate::Hand)
-        });
+        let steps = open
+            .into_iter()
+            .filter(|request| request.deadline > now)
+            .map(|request| {
+                if request.is_durable {
+                    return (request.key, Disposition::LeaveToPlatform);
+                }
+                if request.remaining <= usable / 2 {
+                    return (request.key, Disposition::Finish);
+                }
+                let bytes = (request.bytes * KEEPERS_PER_PARCEL) as f64;
+                let cost = Duration::from_secs_f64(bytes / budget.bytes_per_second.max(1) as f64);
+                if spent + cost > usable {
+                    return (request.key, Disposition::Refuse);
+                }
+                spent += cost;
+                (request.key, Disposition::HandOver)
+            });
         Self { steps: steps.collect() }
     }
 
-    /// Returns what is done with each request, in order.
-    pub fn steps(&self) -> &[(Key, Fate)] {
+    /// Returns the handling of each request, in order.
+    pub fn steps(&self) -> &[(Key, Disposition)] {
         &self.steps
     }
 }
--- a/bergamotshift-fleet/src/kernel/action.rs
+++ b/bergamotshift-fleet/src/kernel/action.rs
@@ -1,4 +1,4 @@
-//! What comes out of the kernel.
+//! Output of the kernel.
 
 use core::net::SocketAddr;
 use core::time::Duration;
@@ -11,56 +11,57 @@
 use crate::member;
 use crate::note;
 
-/// How a frame travels.
+/// Transport of a frame.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Transport {
-    /// As one unreliable datagram.
+    /// A single unreliable datagram.
     Datagram,
-    /// On a reliable stream of its own.
+    /// A separate reliable stream.
     Stream,
 }
 
-/// Something that the shell has to do or may want to know.
+/// Task or notification for the driver of the kernel.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
     /// Sends a frame.
     Send {
-        /// The receiver's link.
+        /// Address of the receiver's link.
         to: SocketAddr,
-        /// How it travels.
+        /// Transport to use.
         transport: Transport,
-        /// The frame.
+        /// Encoded frame.
         bytes: Vec<u8>,
     },
-    /// This entry was paused: it drops its leases and its duties as a keeper before it does anything else.
+    /// Reports a pause of this entry. It has to drop its leases and the parcels it keeps before it does anything else.
     Paused {
-        /// How long it was away.
+        /// Length of the pause.
         gap: Duration,
     },
-    /// A later life of this entry's own name exists: this process stops.
+    /// Reports that a later incarnation of this entry's name exists; this process has to stop.
     Superseded,
-    /// Starts to read an endpoint's load.
+    /// Starts reading an endpoint's load.
     Watch(endpoint::Id),
     /// Stops reading an endpoint's load.
     Unwatch(endpoint::Id),
-    /// Another entry heard an endpoint's load.
+    /// Reports an endpoint's load that another entry published.
     LoadReceived {
-        /// The endpoint.
+        /// Endpoint that the load belongs to.
         endpoint: endpoint::Id,
-        /// The report, as exact as the wire's levels are.
+        /// Load report, as exact as its quantised form allows.
         report: Report,
-        /// How old it is.
+        /// Age of the report.
         age: Duration,
     },
-    /// An endpoint takes no new work from now on.
+    /// Reports that an endpoint takes no new work from now on.
     Marked(mark::Mark),
-    /// A member came, went or changed.
+    /// Reports that a member joined, left or changed.
     MemberChanged(member::Record),
-    /// Another entry told news for a part of this one.
+    /// Reports a note that another entry published.
     NoteReceived {
-        /// The news.
+        /// The note.
         note: note::Note,
-        /// Who told it first, when that entry is known here; once it is, the news comes again.
+        /// Entry that published the note first, if it is a known member. Once it becomes one, the note is reported
+        /// again.
         origin: Option<name::Entry>,
     },
 }
--- a/bergamotshift-fleet/src/kernel/event.rs
+++ b/bergamotshift-fleet/src/kernel/event.rs
@@ -1,4 +1,4 @@
-//! What goes into the kernel.
+//! Input of the kernel.
 
 use core::net::SocketAddr;
 
@@ -10,54 +10,54 @@
 use crate::mark;
 use crate::note;
 
-/// Something that happened at this entry.
+/// Event at this entry.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// The time that [`Kernel::due`](super::Kernel::due) gave has come.
+    /// The time returned by [`Kernel::due`](super::Kernel::due) has come.
     Tick,
     /// A frame arrived from an authenticated entry.
     Received {
-        /// Where its link listens.
+        /// Listening address of the sender's link.
         from: SocketAddr,
-        /// The frame.
+        /// Encoded frame.
         bytes: Vec<u8>,
     },
     /// The platform's VM list was read.
     VmsListed(Vec<vm::Listing>),
     /// An endpoint is known to leave.
     EndpointLeaving {
-        /// The endpoint.
+        /// Endpoint that leaves.
         endpoint: endpoint::Id,
-        /// How this entry knows.
+        /// Source of the information.
         source: mark::Source,
-        /// What is left of the notice, in milliseconds, where known.
+        /// Time left of the notice in milliseconds, if known.
         notice_ms: Option<u32>,
     },
     /// A watched endpoint reported its load.
     LoadReported {
-        /// The endpoint.
+        /// Endpoint that reported.
         endpoint: endpoint::Id,
-        /// The report.
+        /// Load report.
         report: Report,
     },
-    /// Another part of the entry has news for all entries.
+    /// Another module of this entry publishes a note.
     NotePublished {
-        /// What it is about.
+        /// Topic of the note.
         topic: note::Topic,
-        /// What it is about within the topic.
+        /// Key within the topic.
         key: u128,
-        /// The highest wins.
+        /// Version of the value; the highest wins.
         version: u64,
-        /// The content, at most [`note::Note::MOST`] bytes.
+        /// Content, at most [`note::Note::MAX_BODY`] bytes.
         body: Vec<u8>,
     },
-    /// This entry serves an organisation at this rate.
+    /// The rate at which this entry serves an organisation was measured.
     UsageMeasured {
-        /// The organisation.
+        /// Organisation that is served.
         organisation: name::Organisation,
-        /// The rate, in the unit that the limits count in.
+        /// Rate, in the unit of the organisations' limits.
         rate: u32,
     },
-    /// This entry leaves.
+    /// This entry leaves the fleet.
     Leave,
 }
--- a/bergamotshift-fleet/src/kernel/mod.rs
+++ b/bergamotshift-fleet/src/kernel/mod.rs
@@ -1,18 +1,18 @@
-//! The fleet's decisions without sockets or a clock.
+//! State machine of the fleet, without sockets or a clock.
 //!
-//! Events and the time go in through [`Kernel::handle`]; actions come out in a sink. The shell calls again at
-//! [`Kernel::due`] at the latest.
+//! [`Kernel::handle`] takes an event and the time and appends the resulting actions. The driver calls it again no later
+//! than [`Kernel::due`].
 
 mod action;
 mod event;
-mod news;
 mod probe;
 mod publish;
 mod receive;
 mod schedule;
-mod speak;
+mod speaker;
 mod status;
 mod sync;
+mod update;
 mod watch;
 
 use core::time::Duration;
@@ -41,91 +41,92 @@
 pub use event::Event;
 pub use status::Status;
 
-/// One entry's view of the fleet and its part in it.
+/// One entry's view of the fleet and its membership in it.
 #[derive(Debug)]
 pub struct Kernel {
     settings: Settings,
     me: member::Record,
     tag: tag::Long,
     random: Pcg64Mcg,
-    last: Instant,
+    last_event: Instant,
     schedule: schedule::Schedule,
 
     members: member::Table,
-    gone: BTreeMap<key::Entry, Instant>,
+    departed: BTreeMap<key::Entry, Instant>,
     suspects: BTreeMap<key::Entry, Instant>,
-    listed: Vec<core::net::SocketAddr>,
-    /// Live members that the last VM lists did not show, and how many lists in a row.
-    unlisted: BTreeMap<key::Entry, u8>,
+    listed_addresses: Vec<core::net::SocketAddr>,
+    /// Live members missing from the last VM lists, with the number of consecutive lists.
+    unlisted_counts: BTreeMap<key::Entry, u8>,
 
     probes: BTreeMap<u32, probe::Probe>,
-    relayed: BTreeMap<u32, probe::Relayed>,
+    relayed_probes: BTreeMap<u32, probe::Relayed>,
     sequence: u32,
-    ring: Vec<key::Entry>,
-    pings: u32,
+    probe_queue: Vec<key::Entry>,
+    probe_count: u32,
 
     queue: gossip::Queue,
-    urgent: Vec<news::Urgent>,
-    synced: BTreeMap<tag::Long, Instant>,
+    urgent: Vec<update::Update>,
+    last_syncs: BTreeMap<tag::Long, Instant>,
 
     zones: BTreeMap<name::Zone, zone::View>,
-    speakers: speak::Speakers,
+    speakers: speaker::Speakers,
     summaries: BTreeMap<(tag::Short, tag::Short), zone::Summary>,
 
     directory: endpoint::Directory,
     marks: mark::Table,
-    loads: BTreeMap<tag::Short, Heard>,
+    loads: BTreeMap<tag::Short, Sample>,
     watches: watch::Watches,
-    usage: usage::Book,
+    usage: usage::Table,
     published: publish::Published,
     notes: note::Table,
-    /// Tellers of notes that are no known members yet.
-    untold: BTreeSet<tag::Long>,
+    /// Tags of entries that published notes and are not known members yet.
+    unresolved_origins: BTreeSet<tag::Long>,
     unreadable: u64,
     pauses: u64,
 }
 
-/// The last load heard of an endpoint.
+/// Last load received for an endpoint.
 #[derive(Clone, Copy, Debug)]
-struct Heard {
+struct Sample {
     sequence: u64,
     level: load::Level,
     at: Instant,
 }
 
 impl Kernel {
-    /// Starts an entry that knows itself, its seeds and nothing else.
+    /// Creates the kernel of an entry that knows only itself and its seeds.
     ///
-    /// `me` is this life's record; `random` decides whom it probes and tells, and is seeded by the shell.
+    /// `me` is the record of this incarnation. `random` selects the members that are probed and gossiped to; the driver
+    /// seeds it.
     pub fn new(now: Instant, me: member::Record, settings: Settings, random: Pcg64Mcg) -> Self {
         let mut kernel = Self {
             tag: me.tag(),
             schedule: schedule::Schedule::new(now),
-            last: now,
+            last_event: now,
             members: member::Table::default(),
-            gone: BTreeMap::new(),
+            departed: BTreeMap::new(),
             suspects: BTreeMap::new(),
-            listed: Vec::new(),
-            unlisted: BTreeMap::new(),
+            listed_addresses: Vec::new(),
+            unlisted_counts: BTreeMap::new(),
             probes: BTreeMap::new(),
-            relayed: BTreeMap::new(),
+            relayed_probes: BTreeMap::new(),
             sequence: 0,
-            ring: Vec::new(),
-            pings: 0,
+            probe_queue: Vec::new(),
+            probe_count: 0,
             queue: gossip::Queue::default(),
             urgent: Vec::new(),
-            synced: BTreeMap::new(),
+            last_syncs: BTreeMap::new(),
             zones: BTreeMap::new(),
-            speakers: speak::Speakers::default(),
+            speakers: speaker::Speakers::default(),
             summaries: BTreeMap::new(),
             directory: endpoint::Directory::default(),
             marks: mark::Table::default(),
             loads: BTreeMap::new(),
             watches: watch::Watches::default(),
-            usage: usage::Book::default(),
+            usage: usage::Table::default(),
             published: publish::Published::default(),
             notes: note::Table::default(),
-            untold: BTreeSet::new(),
+            unresolved_origins: BTreeSet::new(),
             unreadable: 0,
             pauses: 0,
             settings,
@@ -134,23 +135,23 @@
         };
         kernel.zones.insert(kernel.me.zone.clone(), zone::View::new(now));
         kernel.members.merge(kernel.me.clone());
-        kernel.spread_phases(now);
+        kernel.randomise_phases(now);
         kernel
     }
 
-    /// Takes an event in and appends what has to be done.
+    /// Handles an event and appends the resulting actions to `out`.
     pub fn handle(&mut self, now: Instant, event: Event, out: &mut Vec<Action>) {
-        self.notice_pause(now, out);
+        self.detect_pause(now, out);
         match event {
             Event::Tick => {}
             Event::Received { from, bytes } => self.receive(now, from, &bytes, out),
-            Event::VmsListed(list) => self.listed(now, &list, out),
+            Event::VmsListed(list) => self.handle_listing(now, &list, out),
             Event::EndpointLeaving {
                 endpoint,
                 source,
                 notice_ms,
-            } => self.mark(now, endpoint, source, notice_ms, out),
-            Event::LoadReported { endpoint, report } => self.loaded(now, &endpoint, &report, out),
+            } => self.mark_leaving(now, endpoint, source, notice_ms, out),
+            Event::LoadReported { endpoint, report } => self.handle_load_report(now, &endpoint, &report, out),
             Event::NotePublished {
                 topic,
                 key,
@@ -163,30 +164,30 @@
         self.run_due(now, out);
     }
 
-    /// Notices a gap in this entry's own clock before anything else is acted on.
+    /// Detects a gap in this entry's own clock before the event is handled.
     ///
-    /// While it was paused its leases lapsed and others took its duties over. Acting on what it held would give two
-    /// holders; so it drops that first. Probes that the pause left unanswered prove nothing about their targets and
-    /// go too.
-    fn notice_pause(&mut self, now: Instant, out: &mut Vec<Action>) {
-        let gap = now.since(self.last);
-        self.last = self.last.max(now);
-        if gap <= self.settings.pause {
+    /// During a pause this entry's leases expired and others took over its roles. Acting on the old state would lead to
+    /// two holders, so that state is dropped first. Probes that went unanswered because of the pause prove nothing
+    /// about their targets and are dropped too.
+    fn detect_pause(&mut self, now: Instant, out: &mut Vec<Action>) {
+        let gap = now.since(self.last_event);
+        self.last_event = self.last_event.max(now);
+        if gap <= self.settings.pause_threshold {
             return;
         }
         self.pauses += 1;
         out.push(Action::Paused { gap });
         self.probes.clear();
-        self.relayed.clear();
+        self.relayed_probes.clear();
         self.loads.clear();
         self.usage.retain_entries(|_| false);
         self.usage.retain_zones(|_| false);
         for deadline in self.suspects.values_mut() {
-            *deadline = now + self.settings.suspicion;
+            *deadline = now + self.settings.suspicion_timeout;
         }
         for view in self.zones.values_mut() {
-            view.failures = 0;
-            view.news = now;
+            view.probe_failures = 0;
+            view.last_update = now;
         }
         self.schedule.restart(now);
     }
@@ -196,12 +197,12 @@
         &self.me
     }
 
-    /// Returns the members.
+    /// Returns the table of members.
     pub const fn members(&self) -> &member::Table {
         &self.members
     }
 
-    /// Returns the endpoints by the VM list.
+    /// Returns the endpoints that the VM list shows.
     pub const fn directory(&self) -> &endpoint::Directory {
         &self.directory
     }
@@ -211,8 +212,8 @@
         &self.marks
     }
 
-    /// Returns the organisations' use.
-    pub const fn usage(&self) -> &usage::Book {
+    /// Returns the rates at which organisations are served.
+    pub const fn usage(&self) -> &usage::Table {
         &self.usage
     }
 
@@ -226,13 +227,13 @@
         self.marks.contains(endpoint)
     }
 
-    /// Returns the last load heard of an endpoint and when it was true.
+    /// Returns the last load received for an endpoint and the time at which it was reported.
     pub fn load(&self, endpoint: &endpoint::Id) -> Option<(Report, Instant)> {
-        let heard = self.loads.get(&endpoint.tag())?;
-        Some((heard.level.report(heard.sequence), heard.at))
+        let sample = self.loads.get(&endpoint.tag())?;
+        Some((sample.level.report(sample.sequence), sample.at))
     }
 
-    /// Returns the last summary heard of a service in a zone.
+    /// Returns the last summary received for a service in a zone.
     pub fn summary(&self, zone: &name::Zone, service: &name::Service) -> Option<&zone::Summary> {
         self.summaries.get(&(tag::Short::of(zone), tag::Short::of(service)))
     }
@@ -242,8 +243,8 @@
         self.watches.endpoints()
     }
 
-    /// Returns how many pieces of news wait to be told.
-    pub fn pending_news(&self) -> usize {
+    /// Returns the number of updates that are queued for gossip.
+    pub fn pending_updates(&self) -> usize {
         self.queue.len()
     }
 
@@ -256,12 +257,16 @@
             return zone::Reach::Lost;
         };
         let own = &self.zones[&self.me.zone];
-        view.reach(now, own.all_lost(tag::Short::of(zone)), self.settings.silence)
+        view.reach(
+            now,
+            own.all_report_lost(tag::Short::of(zone)),
+            self.settings.zone_silence_timeout,
+        )
     }
 
-    /// Returns the bytes of state that grow with the fleet, from the sizes of the entries held.
+    /// Returns the approximate size in bytes of the state that grows with the fleet.
     pub fn state_bytes(&self) -> usize {
-        /// What a sorted map adds per entry, on average: its nodes are two thirds full.
+        /// Average overhead of a `BTreeMap` per element in bytes, with nodes two thirds full.
         const OVERHEAD: usize = 16;
         fn rows<K, V>(count: usize) -> usize {
             count * (size_of::<K>() + size_of::<V>() + OVERHEAD)
@@ -269,10 +274,10 @@
         let member = size_of::<member::Record>() + 2 * size_of::<key::Entry>() + size_of::<name::Entry>() + 64;
         size_of::<Self>()
             + self.members.len() * member
-            + rows::<name::Vm, endpoint::Known>(self.directory.len())
+            + rows::<name::Vm, endpoint::Record>(self.directory.len())
             + rows::<tag::Short, Option<name::Vm>>(self.directory.len())
             + rows::<endpoint::Id, (mark::Mark, Instant)>(self.marks.len())
-            + rows::<tag::Short, Heard>(self.loads.len())
+            + rows::<tag::Short, Sample>(self.loads.len())
             + rows::<(tag::Short, tag::Short), (u16, u8)>(self.usage.len())
             + rows::<(tag::Short, tag::Short), zone::Summary>(self.summaries.len())
             + rows::<u128, (note::Note, Instant)>(self.notes.len())
@@ -280,14 +285,14 @@
             + self.watches.state_bytes()
     }
 
-    /// Returns the time between publications so that `count` publishers together stay at `per_second`.
-    fn pace(count: usize, per_second: u32, least: Duration) -> Duration {
+    /// Returns the interval at which `count` publishers together publish `per_second` updates, but at least `least`.
+    fn publish_interval(count: usize, per_second: u32, least: Duration) -> Duration {
         let seconds = count as f64 / f64::from(per_second.max(1));
         least.max(Duration::from_secs_f64(seconds))
     }
 
     /// Returns the short tags of the live members of the own zone.
-    fn near_tags(&self) -> BTreeSet<tag::Short> {
+    fn zone_tags(&self) -> BTreeSet<tag::Short> {
         self.members
             .live_in(&self.me.zone)
             .map(|(_, record)| record.tag().short())
--- a/bergamotshift-fleet/src/kernel/probe.rs
+++ b/bergamotshift-fleet/src/kernel/probe.rs
@@ -1,4 +1,4 @@
-//! Failure detection: probes, indirect probes, suspicion.
+//! Failure detection by probes, indirect probes and suspicion.
 
 use core::net::SocketAddr;
 use core::time::Duration;
@@ -17,62 +17,62 @@
 use crate::tag;
 use crate::wire;
 
-/// What a probe is for.
+/// Purpose of a probe.
 #[derive(Clone, Debug)]
 pub(super) enum Purpose {
-    /// Whether a member of the own zone lives.
+    /// Checks whether a member of the own zone is alive.
     Member,
-    /// Whether another zone answers.
+    /// Checks whether another zone answers.
     Zone(name::Zone),
-    /// Whether a member that was given up is back.
+    /// Checks whether a member that was declared dead is back.
     Reconnect,
 }
 
-/// A probe that was not answered yet.
+/// Probe that has not been answered yet.
 #[derive(Clone, Debug)]
 pub(super) struct Probe {
     pub(super) target: key::Entry,
     pub(super) tag: tag::Long,
     pub(super) purpose: Purpose,
     pub(super) is_retried: bool,
-    pub(super) next: Instant,
+    pub(super) deadline: Instant,
 }
 
-/// A probe made for another member.
+/// Probe made on behalf of another member.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Relayed {
-    pub(super) asker: SocketAddr,
+    pub(super) requester: SocketAddr,
     pub(super) sequence: u32,
-    pub(super) until: Instant,
+    pub(super) expires_at: Instant,
 }
 
 impl Kernel {
-    /// Probes the next member of the own zone, each once per round in a random order.
+    /// Probes the next member of the own zone; each is probed once per round, in random order.
     pub(super) fn probe_next(&mut self, now: Instant, out: &mut Vec<Action>) {
         if self.me.state == member::State::Left {
             return;
         }
-        let Some(target) = self.next_in_ring() else { return };
-        self.pings = self.pings.wrapping_add(1);
-        let with_digest = self.pings.is_multiple_of(self.settings.digest_every);
+        let Some(target) = self.next_probe_target() else { return };
+        self.probe_count = self.probe_count.wrapping_add(1);
+        let with_digest = self.probe_count.is_multiple_of(self.settings.probes_per_digest);
         self.start_probe(now, target, Purpose::Member, with_digest, out);
     }
 
-    fn next_in_ring(&mut self) -> Option<key::Entry> {
+    fn next_probe_target(&mut self) -> Option<key::Entry> {
         for _ in 0..2 {
-            while let Some(target) = self.ring.pop() {
+            while let Some(target) = self.probe_queue.pop() {
                 if self.members.get(target).is_some_and(member::Record::is_live) {
                     return Some(target);
                 }
             }
-            self.ring = self.near_peers();
-            self.ring.shuffle(&mut self.random);
+            self.probe_queue = self.zone_peers();
+            self.probe_queue.shuffle(&mut self.random);
         }
         None
     }
 
-    /// Returns the live members of the own zone but this one.
-    pub(super) fn near_peers(&self) -> Vec<key::Entry> {
+    /// Returns the live members of the own zone except this entry.
+    pub(super) fn zone_peers(&self) -> Vec<key::Entry> {
         self.members
             .live_in(&self.me.zone)
             .filter(|(_, record)| record.name != self.me.name)
@@ -80,7 +80,7 @@
             .collect()
     }
 
-    /// Sends a probe and remembers it.
+    /// Sends a probe and records it.
     pub(super) fn start_probe(
         &mut self,
         now: Instant,
@@ -94,7 +94,7 @@
         self.sequence = self.sequence.wrapping_add(1);
         let sequence = self.sequence;
         let body = wire::Body::Ping { sequence, target: tag };
-        let bytes = self.frame(now, body, Some(target), with_digest, &gossip::Told::new());
+        let bytes = self.frame(now, body, Some(target), with_digest, &gossip::Received::new());
         out.push(Action::Send {
             to,
             transport: Transport::Datagram,
@@ -105,17 +105,17 @@
             tag,
             purpose,
             is_retried: false,
-            next: now + self.settings.probe_retry_delay,
+            deadline: now + self.settings.probe_retry_delay,
         };
         self.probes.insert(sequence, probe);
     }
 
-    /// Repeats probes that were not answered and draws the conclusion from those that stay so.
+    /// Retries probes that were not answered in time, and handles those whose retry failed too.
     pub(super) fn advance_probes(&mut self, now: Instant, out: &mut Vec<Action>) {
         let due: Vec<u32> = self
             .probes
             .iter()
-            .filter(|(_, probe)| now >= probe.next)
+            .filter(|(_, probe)| now >= probe.deadline)
             .map(|(sequence, _)| *sequence)
             .collect();
         for sequence in due {
@@ -125,11 +125,11 @@
             if probe.is_retried {
                 let probe = probe.clone();
                 self.probes.remove(&sequence);
-                self.unanswered(now, &probe, out);
+                self.handle_failed_probe(now, &probe, out);
                 continue;
             }
             probe.is_retried = true;
-            probe.next = now
+            probe.deadline = now
                 + self
                     .settings
                     .probe_interval
@@ -139,26 +139,26 @@
         }
     }
 
-    /// Probes again, directly and through others: one lost datagram or one broken path is no failure.
+    /// Probes again, directly and through other members: one lost datagram or one broken path is not a failure.
     fn retry(&mut self, sequence: u32, probe: &Probe, out: &mut Vec<Action>) {
         let target = probe.tag;
         self.send_bare(wire::Body::Ping { sequence, target }, probe.target, out);
         if !matches!(probe.purpose, Purpose::Member) {
             return;
         }
-        let mut helpers = self.near_peers();
-        helpers.retain(|helper| *helper != probe.target);
-        helpers.shuffle(&mut self.random);
-        if helpers.len() < self.settings.relays {
-            helpers.extend(self.far_speakers());
+        let mut relays = self.zone_peers();
+        relays.retain(|relay| *relay != probe.target);
+        relays.shuffle(&mut self.random);
+        if relays.len() < self.settings.indirect_probes {
+            relays.extend(self.remote_speakers());
         }
-        helpers.truncate(self.settings.relays);
-        for helper in helpers {
-            self.send_bare(wire::Body::Relay { sequence, target }, helper, out);
+        relays.truncate(self.settings.indirect_probes);
+        for relay in relays {
+            self.send_bare(wire::Body::Relay { sequence, target }, relay, out);
         }
     }
 
-    /// Sends a frame without news.
+    /// Sends a frame without items.
     pub(super) fn send_bare(&self, body: wire::Body, to: key::Entry, out: &mut Vec<Action>) {
         let Some(record) = self.members.get(to) else { return };
         out.push(Action::Send {
@@ -168,19 +168,19 @@
         });
     }
 
-    fn unanswered(&mut self, now: Instant, probe: &Probe, out: &mut Vec<Action>) {
+    fn handle_failed_probe(&mut self, now: Instant, probe: &Probe, out: &mut Vec<Action>) {
         match &probe.purpose {
             Purpose::Member => self.suspect(now, probe.target, out),
             Purpose::Zone(zone) => {
                 if let Some(view) = self.zones.get_mut(zone) {
-                    view.failures = view.failures.saturating_add(1);
+                    view.probe_failures = view.probe_failures.saturating_add(1);
                 }
             }
             Purpose::Reconnect => {}
         }
     }
 
-    /// Tells the zone of a suspicion, and the suspect before all others, so that it can refute in time.
+    /// Suspects a member and gossips the suspicion. The suspect itself is told at once, so that it can refute in time.
     fn suspect(&mut self, now: Instant, target: key::Entry, out: &mut Vec<Action>) {
         let Some(record) = self.members.get(target) else { return };
         if record.state != member::State::Alive {
@@ -190,9 +190,9 @@
             state: member::State::Suspect,
             ..record.clone()
         };
-        self.originate_member(now, record, out);
+        self.announce_member(now, record, out);
         let body = wire::Body::Push;
-        let bytes = self.frame(now, body, Some(target), false, &gossip::Told::new());
+        let bytes = self.frame(now, body, Some(target), false, &gossip::Received::new());
         if let Some(record) = self.members.get(target) {
             out.push(Action::Send {
                 to: record.address,
@@ -202,7 +202,7 @@
         }
     }
 
-    /// Declares suspects dead that refuted nothing in time.
+    /// Declares suspects dead that did not refute in time.
     pub(super) fn expire_suspects(&mut self, now: Instant, out: &mut Vec<Action>) {
         let due: Vec<key::Entry> = self
             .suspects
@@ -225,13 +225,13 @@
             state: member::State::Dead,
             ..record.clone()
         };
-        self.originate_member(now, record, out);
+        self.announce_member(now, record, out);
     }
 
-    /// Probes one member that was given up: two halves of a healed zone have to find each other again.
+    /// Probes one member that was declared dead, so that two halves of a healed zone find each other again.
     pub(super) fn reconnect(&mut self, now: Instant, out: &mut Vec<Action>) {
         let dead: Vec<key::Entry> = self
-            .gone
+            .departed
             .keys()
             .copied()
             .filter(|key| {
@@ -247,16 +247,16 @@
         self.start_probe(now, target, Purpose::Reconnect, false, out);
     }
 
-    /// Takes an answer to a probe in.
-    pub(super) fn answered(&mut self, now: Instant, sequence: u32, of: tag::Long, out: &mut Vec<Action>) {
-        if let Some(relayed) = self.relayed.remove(&sequence) {
+    /// Handles the answer to a probe.
+    pub(super) fn handle_ack(&mut self, now: Instant, sequence: u32, of: tag::Long, out: &mut Vec<Action>) {
+        if let Some(relayed) = self.relayed_probes.remove(&sequence) {
             let body = wire::Body::Ack {
                 sequence: relayed.sequence,
                 of,
             };
             let bytes = wire::Writer::new(self.tag, body, wire::MAX_DATAGRAM).finish();
             out.push(Action::Send {
-                to: relayed.asker,
+                to: relayed.requester,
                 transport: Transport::Datagram,
                 bytes,
             });
@@ -266,40 +266,44 @@
             return;
         };
         if probe.tag != of {
-            // Another life answers at the address: the one that was probed is gone, whatever its suspicion timer says.
+            // Another incarnation answers at the address, so the probed one is gone, even if its suspicion has not
+            // expired.
             self.declare_dead(now, probe.target, out);
         }
         if let Purpose::Zone(zone) = &probe.purpose
             && let Some(view) = self.zones.get_mut(zone)
         {
-            view.contact = Some(now);
-            view.failures = 0;
+            view.last_contact = Some(now);
+            view.probe_failures = 0;
         }
     }
 
-    /// Probes a member for another one.
-    pub(super) fn relay(
+    /// Probes a member on behalf of another one.
+    pub(super) fn relay_ping(
         &mut self,
         now: Instant,
-        asker: SocketAddr,
+        requester: SocketAddr,
         sequence: u32,
         target: tag::Long,
         out: &mut Vec<Action>,
     ) {
-        /// A member asked to relay that often at once is under attack or confused.
-        const MOST: usize = 256;
-        let Some(key) = self.members.tagged(target) else { return };
-        self.relayed.retain(|_, relayed| now < relayed.until);
-        if self.relayed.len() >= MOST {
+        /// Maximum number of relayed probes; a member that is asked for more is under attack or the fleet is
+        /// misbehaving.
+        const MAX_RELAYED: usize = 256;
+        let Some(key) = self.members.find_by_tag(target) else {
+            return;
+        };
+        self.relayed_probes.retain(|_, relayed| now < relayed.expires_at);
+        if self.relayed_probes.len() >= MAX_RELAYED {
             return;
         }
         self.sequence = self.sequence.wrapping_add(1);
         let relayed = Relayed {
-            asker,
+            requester,
             sequence,
-            until: now + self.settings.probe_interval + Duration::from_secs(1),
+            expires_at: now + self.settings.probe_interval + Duration::from_secs(1),
         };
-        self.relayed.insert(self.sequence, relayed);
+        self.relayed_probes.insert(self.sequence, relayed);
         let body = wire::Body::Ping {
             sequence: self.sequence,
             target,
--- a/bergamotshift-fleet/src/kernel/publish.rs
+++ b/bergamotshift-fleet/src/kernel/publish.rs
@@ -1,4 +1,4 @@
-//! Figures that are published again and again, at a pace that keeps their sum flat as the fleet grows.
+//! Values that are published repeatedly, at a rate that keeps the total traffic constant as the fleet grows.
 
 use core::time::Duration;
 use std::collections::BTreeMap;
@@ -8,8 +8,8 @@
 use bergamotshift_core::name;
 
 use super::Action;
-use super::Heard;
 use super::Kernel;
+use super::Sample;
 use crate::endpoint;
 use crate::load;
 use crate::mark;
@@ -18,19 +18,19 @@
 use crate::wire::Item;
 use crate::zone;
 
-/// When this entry last published what.
+/// Times and values of this entry's last publications.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Published {
-    uses: Told,
-    zone_uses: Told,
+    usages: Publication,
+    zone_usages: Publication,
     summaries: BTreeMap<name::Service, Instant>,
-    beat: Instant,
+    heartbeat: Instant,
     sequence: u16,
 }
 
-/// The rates last published, and when.
+/// Last published rates, with the time of publication.
 #[derive(Clone, Debug, Default)]
-struct Told {
+struct Publication {
     at: Instant,
     rates: Vec<usage::Rate>,
 }
@@ -45,42 +45,50 @@
 }
 
 impl Kernel {
-    /// An unchanged figure is repeated after this many intervals, for those who missed it.
-    const REPEAT: u32 = 5;
-    /// The least time between two publications of one figure.
-    const LEAST: Duration = Duration::from_secs(1);
-    /// The least time between two publications of one figure between zones.
-    const LEAST_FAR: Duration = Duration::from_secs(2);
+    /// Number of intervals after which an unchanged value is published again, for members that missed it.
+    const REPEAT_INTERVALS: u32 = 5;
+    /// Minimum interval between two publications of a value.
+    const MIN_INTERVAL: Duration = Duration::from_secs(1);
+    /// Minimum interval between two publications of a value that goes to other zones.
+    const MIN_CROSS_ZONE_INTERVAL: Duration = Duration::from_secs(2);
 
     pub(super) fn publish(&mut self, now: Instant) {
-        self.publish_uses(now);
-        if self.rank().is_none() {
+        self.publish_usages(now);
+        if self.speaker_rank().is_none() {
             return;
         }
-        self.publish_beat(now);
-        if self.rank().is_some_and(|(rank, _)| rank == 0) {
+        self.publish_heartbeat(now);
+        if self.speaker_rank().is_some_and(|(rank, _)| rank == 0) {
             self.publish_summaries(now);
-            self.publish_zone_uses(now);
-            self.rotate(now);
+            self.publish_zone_usages(now);
+            self.rotate_speakers(now);
         }
     }
 
-    /// Takes in the load of an endpoint that this entry watches.
-    pub(super) fn loaded(&mut self, now: Instant, endpoint: &endpoint::Id, report: &Report, out: &mut Vec<Action>) {
+    /// Handles the load report of an endpoint that this entry watches.
+    pub(super) fn handle_load_report(
+        &mut self,
+        now: Instant,
+        endpoint: &endpoint::Id,
+        report: &Report,
+        out: &mut Vec<Action>,
+    ) {
         if report.leaving {
-            self.mark(now, endpoint.clone(), mark::Source::Endpoint, None, out);
+            self.mark_leaving(now, endpoint.clone(), mark::Source::Endpoint, None, out);
         }
         let interval = self.load_interval();
         let tag = endpoint.tag();
         let level = load::Level::of(report);
         let sequence = report.sequence;
-        let is_due = self.watches.is_due(now, endpoint, level, interval, Self::REPEAT);
-        let heard = Heard {
+        let is_due = self
+            .watches
+            .is_due(now, endpoint, level, interval, Self::REPEAT_INTERVALS);
+        let sample = Sample {
             sequence,
             level,
             at: now,
         };
-        self.loads.insert(tag, heard);
+        self.loads.insert(tag, sample);
         if !is_due {
             return;
         }
@@ -91,16 +99,16 @@
             level,
             age_ds: 0,
         };
-        self.queue.push(now, Item::Load(load), self.settings.sends_passing);
+        self.queue.push(now, Item::Load(load), self.settings.transient_sends);
     }
 
-    /// Returns the time between two publications of one endpoint's load.
+    /// Returns the interval between two publications of one endpoint's load.
     fn load_interval(&self) -> Duration {
         let count = self.directory.iter().filter(|known| known.zone == self.me.zone).count();
-        Self::pace(count, self.settings.loads_per_second, Self::LEAST)
+        Self::publish_interval(count, self.settings.loads_per_second, Self::MIN_INTERVAL)
     }
 
-    fn publish_uses(&mut self, now: Instant) {
+    fn publish_usages(&mut self, now: Instant) {
         let rates: Vec<usage::Rate> = self
             .usage
             .own()
@@ -109,16 +117,16 @@
                 level: load::quantise(rate),
             })
             .collect();
-        let publishers = self.members.live_in(&self.me.zone).count() * parts(&rates);
-        let interval = Self::pace(publishers, self.settings.uses_per_second, Self::LEAST);
-        if self.published.uses.is_due(now, &rates, interval) {
+        let publishers = self.members.live_in(&self.me.zone).count() * part_count(&rates);
+        let interval = Self::publish_interval(publishers, self.settings.usages_per_second, Self::MIN_INTERVAL);
+        if self.published.usages.is_due(now, &rates, interval) {
             let sequence = self.next_sequence();
-            self.queue_uses(now, usage::Place::Entry(self.tag.short()), sequence, &rates);
-            self.published.uses.set(now, rates);
+            self.queue_usages(now, usage::Place::Entry(self.tag.short()), sequence, &rates);
+            self.published.usages.set(now, rates);
         }
     }
 
-    fn publish_zone_uses(&mut self, now: Instant) {
+    fn publish_zone_usages(&mut self, now: Instant) {
         let sums = self.usage.in_zone();
         let rates: Vec<usage::Rate> = sums
             .into_iter()
@@ -127,19 +135,23 @@
                 level: load::quantise(rate),
             })
             .collect();
-        let per_second = self.settings.uses_per_second.div_ceil(3);
-        let interval = Self::pace(self.zones.len() * parts(&rates), per_second, Self::LEAST_FAR);
-        if self.published.zone_uses.is_due(now, &rates, interval) {
+        let per_second = self.settings.usages_per_second.div_ceil(3);
+        let interval = Self::publish_interval(
+            self.zones.len() * part_count(&rates),
+            per_second,
+            Self::MIN_CROSS_ZONE_INTERVAL,
+        );
+        if self.published.zone_usages.is_due(now, &rates, interval) {
             let zone = tag::Short::of(&self.me.zone);
             let sequence = self.usage.zone_sequence(zone).wrapping_add(1);
-            self.queue_uses(now, usage::Place::Zone(zone), sequence, &rates);
-            self.published.zone_uses.set(now, rates);
+            self.queue_usages(now, usage::Place::Zone(zone), sequence, &rates);
+            self.published.zone_usages.set(now, rates);
         }
     }
 
-    fn queue_uses(&mut self, now: Instant, place: usage::Place, sequence: u16, rates: &[usage::Rate]) {
-        for (part, rates) in rates.chunks(usage::Use::MOST).enumerate() {
-            let usage = usage::Use {
+    fn queue_usages(&mut self, now: Instant, place: usage::Place, sequence: u16, rates: &[usage::Rate]) {
+        for (part, rates) in rates.chunks(usage::Update::MAX_RATES).enumerate() {
+            let usage = usage::Update {
                 place,
                 part: part as u8,
                 sequence,
@@ -148,42 +160,43 @@
             if matches!(place, usage::Place::Zone(_)) {
                 self.usage.merge(&usage);
             }
-            self.queue.push(now, Item::Use(usage), self.settings.sends_passing);
+            self.queue.push(now, Item::Usage(usage), self.settings.transient_sends);
         }
     }
 
-    fn publish_beat(&mut self, now: Instant) {
+    fn publish_heartbeat(&mut self, now: Instant) {
         let speakers: usize = self
             .zones
             .keys()
             .map(|zone| zone::speaker_count(self.members.live_in(zone).count()))
             .sum();
-        let interval = Self::pace(
+        let interval = Self::publish_interval(
             speakers,
             self.settings.summaries_per_second.div_ceil(3),
-            Self::LEAST_FAR,
+            Self::MIN_CROSS_ZONE_INTERVAL,
         );
-        if now.since(self.published.beat) < interval {
+        if now.since(self.published.heartbeat) < interval {
             return;
         }
-        self.published.beat = now;
-        let beat = zone::Beat {
+        self.published.heartbeat = now;
+        let heartbeat = zone::Heartbeat {
             zone: tag::Short::of(&self.me.zone),
             speaker: self.tag.short(),
             sequence: self.next_sequence(),
             lost: self.lost_zones(),
         };
         if let Some(view) = self.zones.get_mut(&self.me.zone) {
-            view.merge(now, &beat);
+            view.merge(now, &heartbeat);
         }
-        self.queue.push(now, Item::Beat(beat), self.settings.sends_passing);
+        self.queue
+            .push(now, Item::Heartbeat(heartbeat), self.settings.transient_sends);
     }
 
     fn publish_summaries(&mut self, now: Instant) {
-        let sums = self.sums();
+        let sums = self.sum_loads();
         let count = sums.len() * self.zones.len();
         let per_second = (self.settings.summaries_per_second * 2).div_ceil(3);
-        let interval = Self::pace(count, per_second, Self::LEAST_FAR);
+        let interval = Self::publish_interval(count, per_second, Self::MIN_CROSS_ZONE_INTERVAL);
         let zone = tag::Short::of(&self.me.zone);
         for (service, sum) in sums {
             let last = self.published.summaries.get(&service);
@@ -204,12 +217,12 @@
             self.published.summaries.insert(service, now);
             self.summaries.insert((zone, tag), summary);
             self.queue
-                .push(now, Item::Summary(summary), self.settings.sends_passing);
+                .push(now, Item::Summary(summary), self.settings.transient_sends);
         }
     }
 
-    /// Sums the loads of this zone's endpoints that take work, per service.
-    fn sums(&self) -> BTreeMap<name::Service, Sum> {
+    /// Returns the summed loads of this zone's endpoints that accept work, per service.
+    fn sum_loads(&self) -> BTreeMap<name::Service, Sum> {
         let mut sums: BTreeMap<name::Service, Sum> = BTreeMap::new();
         for known in self.directory.iter().filter(|known| known.zone == self.me.zone) {
             let sum = sums.entry(known.service.clone()).or_default();
@@ -217,10 +230,10 @@
                 continue;
             }
             sum.endpoints += 1;
-            let Some(heard) = self.loads.get(&known.id.tag()) else {
+            let Some(sample) = self.loads.get(&known.id.tag()) else {
                 continue;
             };
-            let report = heard.level.report(0);
+            let report = sample.level.report(0);
             sum.slots += report.slots;
             sum.busy += report.running + report.waiting;
             sum.prefill = sum.prefill.saturating_add(report.prefill_backlog);
@@ -234,11 +247,12 @@
     }
 }
 
-impl Told {
-    /// Returns whether rates are to be published: they changed and an interval passed, or several passed.
+impl Publication {
+    /// Returns whether rates have to be published: after an interval if they changed, else after
+    /// [`Kernel::REPEAT_INTERVALS`].
     fn is_due(&self, now: Instant, rates: &[usage::Rate], interval: Duration) -> bool {
         let since = now.since(self.at);
-        (self.rates != rates && since >= interval) || since >= interval * Kernel::REPEAT
+        (self.rates != rates && since >= interval) || since >= interval * Kernel::REPEAT_INTERVALS
     }
 
     fn set(&mut self, now: Instant, rates: Vec<usage::Rate>) {
@@ -247,7 +261,7 @@
     }
 }
 
-/// Returns how many publications these rates take.
-const fn parts(rates: &[usage::Rate]) -> usize {
-    rates.len().div_ceil(usage::Use::MOST)
+/// Returns the number of updates that these rates take.
+const fn part_count(rates: &[usage::Rate]) -> usize {
+    rates.len().div_ceil(usage::Update::MAX_RATES)
 }
--- a/bergamotshift-fleet/src/kernel/speak.rs
+++ b/bergamotshift-fleet/src/kernel/speaker.rs
@@ -1,4 +1,4 @@
-//! Speakers: the few members of a zone that exchange news with the other zones.
+//! Speakers: the few members of a zone that exchange updates with the other zones.
 
 use std::collections::BTreeMap;
 
@@ -10,38 +10,38 @@
 
 use super::Action;
 use super::Kernel;
-use super::news::Origin;
 use super::probe::Purpose;
+use super::update::Origin;
 use crate::member;
 use crate::rendezvous;
 use crate::tag;
 use crate::wire::Item;
 use crate::zone;
 
-/// The speakers of every zone, as this entry computes them.
+/// Speakers of every zone, as computed by this entry.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Speakers {
     by_zone: BTreeMap<name::Zone, Vec<key::Entry>>,
-    /// The members' generation and the sum of the terms for which they were computed.
-    stamp: Option<(u64, u64)>,
-    /// When this entry's zone last changed its term.
-    pub(super) since: Instant,
-    /// The zone that this entry probed last.
+    /// Generation of the members and sum of the terms that the speakers were computed for.
+    computed_for: Option<(u64, u64)>,
+    /// Time at which the term of this entry's zone last changed.
+    pub(super) rotated: Instant,
+    /// Zone that this entry probed last.
     last_probed: Option<name::Zone>,
 }
 
 impl Kernel {
-    /// Zones that a piece of urgent news goes to from one speaker get it at this many of theirs.
-    const PARTNERS: usize = 2;
+    /// Number of speakers of another zone that one speaker sends an urgent update to.
+    const PARTNERS_PER_ZONE: usize = 2;
 
-    /// Computes the speakers anew when members or terms changed.
+    /// Recomputes the speakers if members or terms have changed.
     pub(super) fn refresh_speakers(&mut self) {
         let terms = self.zones.values().map(|view| u64::from(view.term)).sum();
-        let stamp = Some((self.members.generation(), terms));
-        if self.speakers.stamp == stamp {
+        let computed_for = Some((self.members.generation(), terms));
+        if self.speakers.computed_for == computed_for {
             return;
         }
-        self.speakers.stamp = stamp;
+        self.speakers.computed_for = computed_for;
         self.speakers.by_zone.clear();
         for (zone, view) in &self.zones {
             let live: Vec<(u64, key::Entry)> = self
@@ -66,16 +66,16 @@
         self.speakers_of(&self.me.zone).to_vec()
     }
 
-    /// Returns this entry's rank among its zone's speakers and their number.
-    pub(super) fn rank(&self) -> Option<(usize, usize)> {
+    /// Returns this entry's rank among its zone's speakers and their number, if it is a speaker.
+    pub(super) fn speaker_rank(&self) -> Option<(usize, usize)> {
         let me = self.members.find(&self.me.name)?;
         let speakers = self.speakers.by_zone.get(&self.me.zone)?;
         let rank = speakers.iter().position(|key| *key == me)?;
         Some((rank, speakers.len()))
     }
 
-    /// Returns some speakers of other zones, in random order.
-    pub(super) fn far_speakers(&mut self) -> Vec<key::Entry> {
+    /// Returns the speakers of all other zones, in random order.
+    pub(super) fn remote_speakers(&mut self) -> Vec<key::Entry> {
         let own = &self.me.zone;
         let far = self.speakers.by_zone.iter().filter(|(zone, _)| *zone != own);
         let mut all: Vec<key::Entry> = far.flat_map(|(_, keys)| keys.iter().copied()).collect();
@@ -83,11 +83,11 @@
         all
     }
 
-    /// Returns the speakers that this entry passes urgent news to, when it is a speaker itself.
+    /// Returns the speakers that this entry forwards urgent updates to; empty unless it is a speaker itself.
     ///
-    /// Each other zone falls to two of this zone's speakers, so that one of them may fail unnoticed.
-    pub(super) fn far_partners(&self) -> Vec<key::Entry> {
-        let Some((rank, count)) = self.rank() else {
+    /// Each other zone is served by two of this zone's speakers, so that one of them may fail.
+    pub(super) fn partner_speakers(&self) -> Vec<key::Entry> {
+        let Some((rank, count)) = self.speaker_rank() else {
             return Vec::new();
         };
         let mut partners = Vec::new();
@@ -97,37 +97,37 @@
             if index % count != rank && (index + 1) % count != rank {
                 continue;
             }
-            let wanted = Self::PARTNERS.min(speakers.len());
+            let wanted = Self::PARTNERS_PER_ZONE.min(speakers.len());
             partners.extend((0..wanted).map(|step| speakers[(rank + step) % speakers.len()]));
         }
         partners
     }
 
-    /// Returns some speakers of each other zone, by this entry's own tag so that the load of many is spread.
-    pub(super) fn some_speakers_of_each_zone(&self) -> Vec<key::Entry> {
+    /// Returns some speakers of each other zone, chosen by this entry's tag so that the load of many entries is spread.
+    pub(super) fn speakers_of_other_zones(&self) -> Vec<key::Entry> {
         let own = &self.me.zone;
         let others = self.speakers.by_zone.iter().filter(|(zone, _)| *zone != own);
         others
             .flat_map(|(_, speakers)| {
                 let first = self.tag.get() as usize;
-                let wanted = Self::PARTNERS.min(speakers.len());
+                let wanted = Self::PARTNERS_PER_ZONE.min(speakers.len());
                 (0..wanted).map(move |step| speakers[(first.wrapping_add(step)) % speakers.len()])
             })
             .collect()
     }
 
-    /// Probes the next zone, when this entry is a speaker.
+    /// Probes the next zone if this entry is a speaker.
     pub(super) fn probe_zone(&mut self, now: Instant, out: &mut Vec<Action>) {
         self.refresh_speakers();
-        let Some((rank, _)) = self.rank() else { return };
+        let Some((rank, _)) = self.speaker_rank() else { return };
         if self.me.state == member::State::Left {
             return;
         }
         let Some(zone) = self.next_zone() else { return };
-        let failures = self.zones.get(&zone).map_or(0, |view| view.failures);
+        let failures = self.zones.get(&zone).map_or(0, |view| view.probe_failures);
         let speakers = self.speakers_of(&zone);
-        // The same partner each time keeps connections few: a handshake costs as much as ten probes. After a failure
-        // any member will do, since the speakers themselves may be what failed.
+        // Probing the same partner each time keeps the number of connections low: a handshake costs as much as ten
+        // probes. After a failure any member is probed, since the speakers themselves may have failed.
         let target = if failures == 0 && !speakers.is_empty() {
             speakers[rank % speakers.len()]
         } else {
@@ -138,7 +138,7 @@
         self.start_probe(now, target, Purpose::Zone(zone), true, out);
     }
 
-    /// Returns a zone that has just begun to fail, or else the next in turn.
+    /// Returns a zone that has begun to fail but is not lost yet, or else the next zone in turn.
     fn next_zone(&self) -> Option<name::Zone> {
         let others: Vec<&name::Zone> = self
             .zones
@@ -146,8 +146,8 @@
             .filter(|zone| **zone != self.me.zone && self.members.live_in(zone).next().is_some())
             .collect();
         let failing = others.iter().find(|zone| {
-            let failures = self.zones[**zone].failures;
-            failures > 0 && failures < self.settings.cross_failures
+            let failures = self.zones[**zone].probe_failures;
+            failures > 0 && failures < self.settings.max_zone_probe_failures
         });
         if let Some(zone) = failing {
             return Some((*zone).clone());
@@ -162,12 +162,12 @@
     pub(super) fn lost_zones(&self) -> Vec<tag::Short> {
         self.zones
             .iter()
-            .filter(|(_, view)| view.failures >= self.settings.cross_failures)
+            .filter(|(_, view)| view.probe_failures >= self.settings.max_zone_probe_failures)
             .map(|(zone, _)| tag::Short::of(zone))
             .collect()
     }
 
-    pub(super) fn learn_term(&mut self, now: Instant, term: zone::Term, origin: Origin) {
+    pub(super) fn apply_term(&mut self, now: Instant, term: zone::Term, origin: Origin) {
         let found = self
             .zones
             .iter_mut()
@@ -178,14 +178,16 @@
         }
         view.term = term.number;
         if *zone == self.me.zone {
-            self.speakers.since = now;
+            self.speakers.rotated = now;
         }
-        self.hurry(now, Item::Term(term), origin);
+        self.queue_urgent(now, Item::Term(term), origin);
     }
 
-    /// Passes the speakers' duty on after a while, so that its cost goes round.
-    pub(super) fn rotate(&mut self, now: Instant) {
-        if now.since(self.speakers.since) < self.settings.rotation || self.rank().is_none_or(|(rank, _)| rank != 0) {
+    /// Raises the term after the rotation interval, so that the cost of being a speaker rotates.
+    pub(super) fn rotate_speakers(&mut self, now: Instant) {
+        if now.since(self.speakers.rotated) < self.settings.rotation_interval
+            || self.speaker_rank().is_none_or(|(rank, _)| rank != 0)
+        {
             return;
         }
         let term = self.zones.get(&self.me.zone).map_or(0, |view| view.term);
@@ -193,6 +195,6 @@
             zone: tag::Short::of(&self.me.zone),
             number: term + 1,
         };
-        self.learn_term(now, term, Origin::Own);
+        self.apply_term(now, term, Origin::Local);
     }
 }
--- a/bergamotshift-fleet/src/kernel/status.rs
+++ b/bergamotshift-fleet/src/kernel/status.rs
@@ -1,4 +1,4 @@
-//! What an entry shows of its view to operators.
+//! An entry's view of the fleet, for operators.
 
 use bergamotshift_core::clock::Instant;
 use bergamotshift_core::name;
@@ -13,11 +13,11 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Zone {
-    /// The zone.
+    /// Name of the zone.
     pub name: name::Zone,
-    /// How it is reached.
+    /// Reachability of the zone.
     pub reach: Reach,
-    /// Its speakers.
+    /// Speakers of the zone.
     pub speakers: Vec<name::Entry>,
 }
 
@@ -25,24 +25,24 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Status {
-    /// The entry whose view it is.
+    /// Entry that the view belongs to.
     pub entry: name::Entry,
-    /// All members, in the order of their names.
+    /// All members, ordered by name.
     pub members: Vec<member::Record>,
     /// All zones.
     pub zones: Vec<Zone>,
-    /// Endpoints by the VM list.
+    /// Number of endpoints that the VM list shows.
     pub endpoints: usize,
-    /// Endpoints that leave.
+    /// Number of endpoints that leave.
     pub leaving: usize,
-    /// Pauses noticed in this entry's own clock.
+    /// Number of pauses detected in this entry's own clock.
     pub pauses: u64,
-    /// Frames that could not be read.
+    /// Number of frames that could not be decoded.
     pub unreadable: u64,
 }
 
 impl Kernel {
-    /// Returns this entry's view.
+    /// Returns this entry's view of the fleet.
     pub fn status(&self, now: Instant) -> Status {
         let zones = self.zones.keys().map(|zone| Zone {
             name: zone.clone(),
--- a/bergamotshift-fleet/src/kernel/sync.rs
+++ b/bergamotshift-fleet/src/kernel/sync.rs
@@ -1,4 +1,4 @@
-//! Joining, and the full exchange that settles what news alone left different.
+//! Joining the fleet, and the full exchange that resolves differences which gossip has left.
 
 use core::net::SocketAddr;
 use core::time::Duration;
@@ -21,20 +21,20 @@
 use crate::zone;
 
 impl Kernel {
-    /// The dead and the departed are remembered this long, against late news that they live.
-    const RETENTION: Duration = Duration::from_hours(1);
-    /// The least time between two full exchanges with one member.
-    const SYNC: Duration = Duration::from_secs(2);
+    /// Time for which dead and left members are remembered, so that late updates do not revive them.
+    const DEPARTED_RETENTION: Duration = Duration::from_hours(1);
+    /// Minimum interval between two full exchanges with one member.
+    const MIN_SYNC_INTERVAL: Duration = Duration::from_secs(2);
 
-    /// Takes the platform's VM list in. It lags: it adds and marks, and never takes a mark back.
-    pub(super) fn listed(&mut self, now: Instant, list: &[vm::Listing], out: &mut Vec<Action>) {
+    /// Applies the platform's VM list. The list lags, so it adds endpoints and marks but never revokes a mark.
+    pub(super) fn handle_listing(&mut self, now: Instant, list: &[vm::Listing], out: &mut Vec<Action>) {
         self.directory.update(list);
-        self.listed = list
+        self.listed_addresses = list
             .iter()
             .filter(|listing| listing.role == vm::Role::Entry)
             .map(|listing| listing.address)
             .collect();
-        self.bury_unlisted(now, list, out);
+        self.declare_unlisted_dead(now, list, out);
         for listing in list {
             let vm::State::Leaving { notice_ms } = listing.state else {
                 continue;
@@ -47,24 +47,24 @@
                 incarnation: listing.incarnation,
             };
             let notice = u32::try_from(notice_ms).ok();
-            self.mark(now, endpoint, mark::Source::List, notice, out);
+            self.mark_leaving(now, endpoint, mark::Source::List, notice, out);
         }
     }
 
-    /// Declares members of a lost zone dead that the VM list no longer shows.
+    /// Declares members of a lost zone dead if the VM list no longer shows them.
     ///
-    /// Only a zone's own members notice each other's deaths. When all of them are gone at once nobody is left to say
-    /// so. The list alone is no proof, since it lags and may show no entries at all; silence alone is none either,
-    /// since the zone may only be cut off. Both together, three lists in a row, are.
-    fn bury_unlisted(&mut self, now: Instant, list: &[vm::Listing], out: &mut Vec<Action>) {
-        const LISTS: u8 = 3;
+    /// Only members of a zone detect each other's deaths, so nobody is left to report them when all fail at once. A
+    /// missing listing is no proof, because the list lags and may show no entries at all. Silence is no proof either,
+    /// because the zone may only be cut off. Both together, in three consecutive lists, are taken as proof.
+    fn declare_unlisted_dead(&mut self, now: Instant, list: &[vm::Listing], out: &mut Vec<Action>) {
+        const MAX_MISSED_LISTS: u8 = 3;
         let shown: std::collections::BTreeSet<&str> = list
             .iter()
             .filter(|listing| listing.role == vm::Role::Entry)
             .map(|listing| listing.name.as_str())
             .collect();
         if shown.is_empty() {
-            self.unlisted.clear();
+            self.unlisted_counts.clear();
             return;
         }
         let missing: Vec<key::Entry> = self
@@ -74,22 +74,24 @@
             .filter(|(_, record)| self.reach(now, &record.zone) == zone::Reach::Lost)
             .map(|(key, _)| key)
             .collect();
-        self.unlisted.retain(|key, _| missing.contains(key));
+        self.unlisted_counts.retain(|key, _| missing.contains(key));
         for key in missing {
-            let lists = self.unlisted.entry(key).or_default();
+            let lists = self.unlisted_counts.entry(key).or_default();
             *lists += 1;
-            if *lists >= LISTS {
+            if *lists >= MAX_MISSED_LISTS {
                 self.declare_dead(now, key, out);
             }
         }
     }
 
-    /// Asks seeds and listed entries that are no members yet; all of them while alone, else one now and then.
+    /// Contacts seeds and listed entries that are no members yet: several at once while this entry is alone, else one
+    /// at random intervals.
     pub(super) fn join(&mut self, out: &mut Vec<Action>) {
-        /// One in this many seconds: halves of a fleet that were started apart have to find each other.
-        const RARELY: u32 = 10;
-        /// Seeds asked at once while alone.
-        const AT_ONCE: usize = 3;
+        /// One in this many rounds contacts an unknown entry, so that parts of a fleet that were started separately
+        /// find each other.
+        const REJOIN_ODDS: u32 = 10;
+        /// Number of entries that are contacted at once while this entry is alone.
+        const MAX_JOINS: usize = 3;
         if self.me.state == member::State::Left {
             return;
         }
@@ -100,18 +102,18 @@
             .map(|(_, record)| record.address)
             .collect();
         let is_alone = live.len() <= 1;
-        if !is_alone && self.random.random_range(0..RARELY) != 0 {
+        if !is_alone && self.random.random_range(0..REJOIN_ODDS) != 0 {
             return;
         }
         let mut unknown: Vec<SocketAddr> = self
             .settings
             .seeds
             .iter()
-            .chain(&self.listed)
+            .chain(&self.listed_addresses)
             .copied()
             .filter(|address| !live.contains(address))
             .collect();
-        for _ in 0..if is_alone { AT_ONCE } else { 1 } {
+        for _ in 0..if is_alone { MAX_JOINS } else { 1 } {
             if unknown.is_empty() {
                 return;
             }
@@ -135,8 +137,8 @@
         });
     }
 
-    /// Sends a newcomer all that it needs.
-    pub(super) fn welcome(&mut self, now: Instant, to: SocketAddr, out: &mut Vec<Action>) {
+    /// Sends a newcomer the whole state.
+    pub(super) fn send_full_state(&mut self, now: Instant, to: SocketAddr, out: &mut Vec<Action>) {
         let mut items: Vec<Item> = self
             .members
             .iter()
@@ -167,7 +169,7 @@
         }
     }
 
-    /// Returns the hashes over what this entry holds.
+    /// Returns the hashes of this entry's state.
     pub(super) fn digest(&self) -> wire::Digest {
         let members = self.members.zones().map(|zone| {
             let digest = self.members.digest(zone);
@@ -180,7 +182,8 @@
         }
     }
 
-    /// Sends a member what its digest shows to differ; it does the same with this entry's answer.
+    /// Sends a member the state in which its digest differs; the member does the same when it receives this entry's
+    /// digest.
     pub(super) fn reconcile(&mut self, now: Instant, sender: key::Entry, theirs: &wire::Digest, out: &mut Vec<Action>) {
         let ours = self.digest();
         if ours == *theirs {
@@ -188,11 +191,11 @@
         }
         let Some(record) = self.members.get(sender) else { return };
         let (to, tag) = (record.address, record.tag());
-        self.synced.retain(|_, at| now.since(*at) < Self::SYNC);
-        if self.synced.contains_key(&tag) {
+        self.last_syncs.retain(|_, at| now.since(*at) < Self::MIN_SYNC_INTERVAL);
+        if self.last_syncs.contains_key(&tag) {
             return;
         }
-        self.synced.insert(tag, now);
+        self.last_syncs.insert(tag, now);
         let differing: Vec<name::Zone> = self
             .members
             .zones()
@@ -218,37 +221,37 @@
         self.send_all(to, &items, out);
     }
 
-    /// Forgets what is old.
-    pub(super) fn forget(&mut self, now: Instant) {
+    /// Removes expired state.
+    pub(super) fn expire_state(&mut self, now: Instant) {
         let old: Vec<key::Entry> = self
-            .gone
+            .departed
             .iter()
-            .filter(|(_, since)| now.since(**since) >= Self::RETENTION)
+            .filter(|(_, since)| now.since(**since) >= Self::DEPARTED_RETENTION)
             .map(|(key, _)| *key)
             .collect();
         for key in old {
-            self.gone.remove(&key);
+            self.departed.remove(&key);
             self.members.remove(key);
         }
-        self.gone.retain(|key, _| self.members.get(*key).is_some());
+        self.departed.retain(|key, _| self.members.get(*key).is_some());
         self.suspects.retain(|key, _| self.members.get(*key).is_some());
         let directory = &self.directory;
         self.marks.expire(now, |endpoint| {
             directory.get(&endpoint.vm).is_some_and(|known| known.id == *endpoint)
         });
         self.notes.expire(now);
-        let near = self.near_tags();
-        self.usage.retain_entries(|entry| near.contains(&entry));
-        let silence = self.settings.silence;
+        let zone_tags = self.zone_tags();
+        self.usage.retain_entries(|entry| zone_tags.contains(&entry));
+        let silence = self.settings.zone_silence_timeout;
         let lost: Vec<tag::Short> = self
             .zones
             .iter()
-            .filter(|(zone, view)| **zone != self.me.zone && now.since(view.news) >= silence)
+            .filter(|(zone, view)| **zone != self.me.zone && now.since(view.last_update) >= silence)
             .map(|(zone, _)| tag::Short::of(zone))
             .collect();
         self.usage.retain_zones(|zone| !lost.contains(&zone));
         self.summaries.retain(|(zone, _), _| !lost.contains(zone));
-        self.loads.retain(|tag, _| directory.tagged(*tag).is_some());
+        self.loads.retain(|tag, _| directory.find_by_tag(*tag).is_some());
         for view in self.zones.values_mut() {
             view.expire(now, silence);
         }
--- a/bergamotshift-fleet/src/kernel/watch.rs
+++ b/bergamotshift-fleet/src/kernel/watch.rs
@@ -1,4 +1,4 @@
-//! Which endpoints this entry watches for the others.
+//! Assignment of the endpoints whose load this entry reads for the whole zone.
 
 use core::time::Duration;
 use std::collections::BTreeMap;
@@ -13,23 +13,23 @@
 use crate::rendezvous;
 use crate::tag;
 
-/// Watchers per endpoint: the second one steps in when the first falls silent.
-const WATCHERS: usize = 2;
+/// Watchers per endpoint; the second one publishes when the first one stops.
+const WATCHERS_PER_ENDPOINT: usize = 2;
 
-/// The endpoints that this entry watches.
+/// Endpoints that this entry watches.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Watches {
     by_endpoint: BTreeMap<endpoint::Id, Watch>,
-    /// The generations of the members and of the directory for which they were computed.
-    stamp: Option<(u64, u64)>,
+    /// Generations of the members and of the directory that the watches were computed for.
+    computed_for: Option<(u64, u64)>,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Watch {
-    is_first: bool,
+    is_primary: bool,
     published: Option<Published>,
-    /// When a report of the other watcher last arrived.
-    heard: Option<Instant>,
+    /// Time at which a report of the other watcher last arrived.
+    other_reported: Option<Instant>,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -48,9 +48,10 @@
         self.by_endpoint.len() * (size_of::<endpoint::Id>() + size_of::<Watch>())
     }
 
-    /// Returns whether this entry is to publish a load.
+    /// Returns whether this entry has to publish a load.
     ///
-    /// The second watcher is silent while the first is heard: both at once would double the traffic for nothing.
+    /// The second watcher is silent as long as reports of the first one arrive, because both together would double the
+    /// traffic for nothing.
     pub(super) fn is_due(
         &self,
         now: Instant,
@@ -62,7 +63,11 @@
         let Some(watch) = self.by_endpoint.get(endpoint) else {
             return false;
         };
-        if !watch.is_first && watch.heard.is_some_and(|at| now.since(at) < interval * (repeat + 2)) {
+        if !watch.is_primary
+            && watch
+                .other_reported
+                .is_some_and(|at| now.since(at) < interval * (repeat + 2))
+        {
             return false;
         }
         let Some(published) = watch.published else { return true };
@@ -70,12 +75,13 @@
         (published.level != level && since >= interval) || since >= interval * repeat
     }
 
-    /// Notes that a report of an endpoint arrived; this entry's own ones come back too and say nothing.
-    pub(super) fn set_heard(&mut self, now: Instant, endpoint: tag::Short, sequence: u64) {
+    /// Records that a report of an endpoint arrived by gossip. Reports of this entry itself come back too and are
+    /// ignored.
+    pub(super) fn record_report(&mut self, now: Instant, endpoint: tag::Short, sequence: u64) {
         let watch = self.by_endpoint.iter_mut().find(|(id, _)| id.tag() == endpoint);
         let Some((_, watch)) = watch else { return };
         if watch.published.is_none_or(|published| published.sequence < sequence) {
-            watch.heard = Some(now);
+            watch.other_reported = Some(now);
         }
     }
 
@@ -91,17 +97,17 @@
 }
 
 impl Kernel {
-    /// Computes this entry's watches anew when members or endpoints changed.
+    /// Recomputes this entry's watches if members or endpoints have changed.
     pub(super) fn refresh_watches(&mut self, out: &mut Vec<Action>) {
-        let stamp = Some((self.members.generation(), self.directory.generation()));
-        if self.watches.stamp == stamp {
+        let computed_for = Some((self.members.generation(), self.directory.generation()));
+        if self.watches.computed_for == computed_for {
             return;
         }
-        self.watches.stamp = stamp;
+        self.watches.computed_for = computed_for;
         let mut wanted = BTreeMap::new();
         for known in self.directory.iter() {
-            if let Some(is_first) = self.watches_it(known) {
-                wanted.insert(known.id.clone(), is_first);
+            if let Some(is_primary) = self.watch_role(known) {
+                wanted.insert(known.id.clone(), is_primary);
             }
         }
         let watches = &mut self.watches.by_endpoint;
@@ -112,33 +118,41 @@
             }
             keep
         });
-        for (endpoint, is_first) in wanted {
+        for (endpoint, is_primary) in wanted {
             let watch = watches.entry(endpoint).or_insert_with_key(|endpoint| {
                 out.push(Action::Watch(endpoint.clone()));
                 Watch {
-                    is_first,
+                    is_primary,
                     published: None,
-                    heard: None,
+                    other_reported: None,
                 }
             });
-            watch.is_first = is_first;
+            watch.is_primary = is_primary;
         }
     }
 
-    /// Returns whether this entry is the first watcher of an endpoint, if it is one at all.
-    fn watches_it(&self, known: &endpoint::Known) -> Option<bool> {
+    /// Returns whether this entry is the first watcher of an endpoint, or `None` if it does not watch it.
+    fn watch_role(&self, known: &endpoint::Record) -> Option<bool> {
         let is_own = known.zone == self.me.zone;
-        // A zone without entries is watched from the others.
+        // A zone without entries is watched from the other zones.
         if !is_own && self.members.live_in(&known.zone).next().is_some() {
             return None;
         }
         let key = xxh3_64_with_seed(known.id.vm.as_str().as_bytes(), known.id.incarnation.get());
         let watchers = if is_own {
             let live = self.members.live_in(&known.zone);
-            rendezvous::top(key, WATCHERS, live.map(|(key, record)| (record.tag().get(), key)))
+            rendezvous::top(
+                key,
+                WATCHERS_PER_ENDPOINT,
+                live.map(|(key, record)| (record.tag().get(), key)),
+            )
         } else {
             let live = self.members.iter().filter(|(_, record)| record.is_live());
-            rendezvous::top(key, WATCHERS, live.map(|(key, record)| (record.tag().get(), key)))
+            rendezvous::top(
+                key,
+                WATCHERS_PER_ENDPOINT,
+                live.map(|(key, record)| (record.tag().get(), key)),
+            )
         };
         let me = self.members.find(&self.me.name)?;
         let rank = watchers.iter().position(|watcher| *watcher == me)?;
--- a/bergamotshift-fleet/src/lib.rs
+++ b/bergamotshift-fleet/src/lib.rs
@@ -1,8 +1,8 @@
 //! Membership, failure detection, leaving marks and handover placement without I/O.
 //!
-//! An entry holds one [`Kernel`](kernel::Kernel). Frames, timers, VM lists and load reports go in as events together
-//! with the time; frames to send and news for the rest of the entry come out as actions. Two kernels that are given
-//! each other's frames form a fleet, over sockets or in a test's virtual time alike.
+//! An entry runs one [`Kernel`](kernel::Kernel). It takes frames, timers, VM lists and load reports as events together
+//! with the time, and returns frames to send and updates for the rest of the entry as actions. Two kernels that receive
+//! each other's frames form a fleet, whether over sockets or in the virtual time of a test.
 //!
 //! ```
 //! use bergamotshift_core::prelude::*;
--- a/bergamotshift-fleet/src/load/mod.rs
+++ b/bergamotshift-fleet/src/load/mod.rs
@@ -8,28 +8,29 @@
 
 use crate::tag;
 
-/// Steps per doubling: neighbouring levels differ by a fifth, well inside a report's lag.
+/// Steps per doubling; neighbouring levels differ by a fifth, which is well within the error that a report's lag
+/// causes.
 const STEPS_PER_OCTAVE: f64 = 4.0;
 
-/// Puts a figure on a logarithmic scale of 129 steps; zero stays zero.
-pub fn quantise(figure: u32) -> u8 {
-    if figure == 0 {
+/// Maps a value to a logarithmic scale of 129 steps; zero maps to zero.
+pub fn quantise(value: u32) -> u8 {
+    if value == 0 {
         return 0;
     }
-    let step = (f64::from(figure).log2() * STEPS_PER_OCTAVE).round();
+    let step = (f64::from(value).log2() * STEPS_PER_OCTAVE).round();
     1 + step as u8
 }
 
-/// Returns the figure in the middle of a step.
-pub fn restore(step: u8) -> u32 {
+/// Returns the value in the middle of a step.
+pub fn dequantise(step: u8) -> u32 {
     if step == 0 {
         return 0;
     }
-    let figure = (f64::from(step - 1) / STEPS_PER_OCTAVE).exp2();
-    figure.round().min(f64::from(u32::MAX)) as u32
+    let value = (f64::from(step - 1) / STEPS_PER_OCTAVE).exp2();
+    value.round().min(f64::from(u32::MAX)) as u32
 }
 
-/// A load report in six bytes.
+/// Load report quantised to six bytes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Level {
@@ -57,42 +58,42 @@
         }
     }
 
-    /// Returns the report that these levels stand for.
+    /// Returns the report that the levels stand for.
     pub fn report(self, sequence: u64) -> Report {
         Report {
             sequence,
-            running: restore(self.running),
-            waiting: restore(self.waiting),
-            slots: restore(self.slots),
-            prefill_backlog: restore(self.prefill),
-            decode_rate: restore(self.rate),
+            running: dequantise(self.running),
+            waiting: dequantise(self.waiting),
+            slots: dequantise(self.slots),
+            prefill_backlog: dequantise(self.prefill),
+            decode_rate: dequantise(self.rate),
             cache_permille: u16::from(self.cache) * Self::CACHE_STEP,
             leaving: false,
         }
     }
 }
 
-/// A load report on its way through a zone.
+/// Gossiped load report of an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Load {
-    /// The endpoint.
+    /// Tag of the endpoint.
     pub endpoint: tag::Short,
-    /// Counts the endpoint's reports.
+    /// Sequence number of the report.
     pub sequence: u64,
-    /// What it reports.
+    /// Quantised report.
     pub level: Level,
     /// Age of the report in tenths of a second, at most 25.5 s.
     pub age_ds: u8,
 }
 
-/// Returns whether sequence `new` comes after `old`, modulo 2^16.
+/// Returns whether the sequence number `new` comes after `old`, modulo 2^16.
 pub const fn is_newer(new: u16, old: u16) -> bool {
     let ahead = new.wrapping_sub(old);
     ahead != 0 && ahead < 0x8000
 }
 
-/// Returns an age in tenths of a second.
-pub fn tenths(age: Duration) -> u8 {
+/// Converts an age to tenths of a second, at most 255.
+pub fn to_deciseconds(age: Duration) -> u8 {
     u8::try_from(age.as_millis() / 100).unwrap_or(u8::MAX)
 }
--- a/bergamotshift-fleet/src/mark/mod.rs
+++ b/bergamotshift-fleet/src/mark/mod.rs
@@ -1,4 +1,4 @@
-//! Leaving marks of endpoints: sticky for one life of a VM.
+//! Leaving marks of endpoints; a mark is permanent for one incarnation of a VM.
 
 use core::time::Duration;
 use std::collections::BTreeMap;
@@ -10,31 +10,31 @@
 
 use crate::endpoint;
 
-/// How the fleet learned that an endpoint leaves.
+/// Source of the information that an endpoint leaves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Serialize, Deserialize)]
 pub enum Source {
-    /// The platform's notice.
+    /// A notice of the platform.
     Notice,
     /// The platform's VM list.
     List,
-    /// The endpoint's own word.
+    /// The endpoint itself.
     Endpoint,
-    /// The endpoint refused a connection.
+    /// A connection that the endpoint refused.
     Refused,
 }
 
-/// The news that an endpoint leaves.
+/// Gossiped mark of an endpoint that leaves.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Mark {
-    /// The life that leaves; a successor on the same VM name is not touched.
+    /// Incarnation that leaves; a successor with the same VM name is not affected.
     pub endpoint: endpoint::Id,
-    /// How it became known.
+    /// Source of the information.
     pub source: Source,
-    /// What was left of the notice when the mark was set, in milliseconds, where known.
+    /// Time left of the notice when the mark was set, in milliseconds, if known.
     pub notice_ms: Option<u32>,
-    /// How long ago the mark was set, in seconds.
+    /// Age of the mark in seconds.
     pub age_s: u16,
 }
 
@@ -46,13 +46,13 @@
 }
 
 impl Table {
-    /// Marks are kept this long: longer than a lagging list can still show the VM as live.
+    /// Time for which marks are kept: longer than a lagging list can still show the VM as live.
     pub const RETENTION: Duration = Duration::from_hours(1);
 
-    /// Takes a mark in and returns whether it is new.
+    /// Adds a mark and returns whether it is new.
     ///
-    /// Nothing takes a mark back. An expired mark that still travels is not taken in again, else two entries could
-    /// keep it alive between them for ever.
+    /// A mark is never revoked. An expired mark that is still being gossiped is refused; otherwise two entries could
+    /// keep it alive between them forever.
     pub fn insert(&mut self, now: Instant, mark: Mark) -> bool {
         let age = Duration::from_secs(u64::from(mark.age_s));
         if age >= Self::RETENTION || self.marks.contains_key(&mark.endpoint) {
@@ -63,12 +63,12 @@
         true
     }
 
-    /// Returns whether this life of an endpoint leaves.
+    /// Returns whether this incarnation of an endpoint leaves.
     pub fn contains(&self, endpoint: &endpoint::Id) -> bool {
         self.marks.contains_key(endpoint)
     }
 
-    /// Returns all marks with their ages brought up to date.
+    /// Returns all marks with their current ages.
     pub fn iter(&self, now: Instant) -> impl Iterator<Item = Mark> {
         self.marks.values().map(move |(mark, set)| Mark {
             age_s: u16::try_from(now.since(*set).as_secs()).unwrap_or(u16::MAX),
@@ -76,7 +76,7 @@
         })
     }
 
-    /// Forgets marks past their retention, but for endpoints that are still listed.
+    /// Removes marks past their retention, except those of endpoints that are still listed.
     pub fn expire(&mut self, now: Instant, is_listed: impl Fn(&endpoint::Id) -> bool) {
         let digest = &mut self.digest;
         self.marks.retain(|endpoint, (_, set)| {
@@ -88,7 +88,7 @@
         });
     }
 
-    /// Returns a hash over the marked endpoints.
+    /// Returns a hash of the marked endpoints.
     pub const fn digest(&self) -> u32 {
         self.digest
     }
@@ -98,7 +98,7 @@
         self.marks.len()
     }
 
-    /// Returns whether nothing is marked.
+    /// Returns whether there are no marks.
     pub fn is_empty(&self) -> bool {
         self.marks.is_empty()
     }
--- a/bergamotshift-fleet/src/member/mod.rs
+++ b/bergamotshift-fleet/src/member/mod.rs
@@ -12,49 +12,49 @@
 use crate::tag;
 pub use table::Table;
 
-/// What is thought of a member.
+/// State of a member as other members see it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Serialize, Deserialize)]
 pub enum State {
-    /// It answers.
+    /// The member answers.
     #[default]
     Alive,
-    /// It missed a probe and may still refute that.
+    /// The member missed a probe and can still refute the suspicion.
     Suspect,
-    /// It refuted nothing in time.
+    /// The member did not refute the suspicion in time.
     Dead,
-    /// It said itself that it leaves; final for this incarnation.
+    /// The member announced that it leaves; final for this incarnation.
     Left,
 }
 
-/// One life of one entry, as it is told from entry to entry.
+/// Gossiped record of one incarnation of an entry.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Record {
-    /// The entry's name.
+    /// Name of the entry.
     pub name: name::Entry,
-    /// Which life of the name.
+    /// Incarnation of the entry.
     pub incarnation: Incarnation,
-    /// Counts the member's own refutations within this life.
+    /// Number of the member's own refutations within this incarnation.
     pub version: u32,
-    /// What is thought of it.
+    /// State of the member.
     pub state: State,
-    /// Where its link listens.
+    /// Listening address of the member's link.
     pub address: SocketAddr,
-    /// Its availability zone.
+    /// Availability zone of the member.
     pub zone: name::Zone,
 }
 
 impl Record {
-    /// Returns the tag by which frames name this life.
+    /// Returns the tag by which frames refer to this incarnation.
     pub fn tag(&self) -> tag::Long {
-        tag::Long::of_life(&self.name, self.incarnation.get())
+        tag::Long::of_incarnation(&self.name, self.incarnation.get())
     }
 
     /// Returns whether this record replaces `known`, which has the same name.
     ///
-    /// A later life always wins. Within a life its own farewell is final; otherwise the member's last refutation
-    /// wins, and between equals the worse state, so that every entry settles on the same record in any order.
+    /// A later incarnation always wins. Within an incarnation, `Left` is final; otherwise the highest version wins, and
+    /// of equal versions the worse state. Every entry thus arrives at the same record in whatever order records arrive.
     pub fn supersedes(&self, known: &Self) -> bool {
         let rank = |record: &Self| {
             (
--- a/bergamotshift-fleet/src/member/table.rs
+++ b/bergamotshift-fleet/src/member/table.rs
@@ -1,4 +1,4 @@
-//! The arena of members with its indexes.
+//! Arena of members with its indexes.
 
 use std::collections::BTreeMap;
 
@@ -22,7 +22,7 @@
 }
 
 impl Table {
-    /// Takes a record in when it replaces what is known, and returns its key in that case.
+    /// Merges a record and returns its key if it replaced what was known.
     pub fn merge(&mut self, record: Record) -> Option<key::Entry> {
         let known = self.by_name.get(&record.name).copied();
         if let Some(key) = known {
@@ -31,13 +31,13 @@
                 return None;
             }
             if old.incarnation == record.incarnation {
-                self.flip_digest(key);
+                self.toggle_digest(key);
                 self.generation += u64::from(self.arena[key].is_live() != record.is_live());
-                // The zone and address of one life never change; only the opinion of it does.
+                // The zone and address of an incarnation never change; only its version and state do.
                 let old = &mut self.arena[key];
                 old.version = record.version;
                 old.state = record.state;
-                self.flip_digest(key);
+                self.toggle_digest(key);
                 return Some(key);
             }
             self.remove(key);
@@ -48,16 +48,16 @@
         self.by_name.insert(name, key);
         self.by_tag.insert(tag, key);
         self.by_zone.entry(zone).or_default().push(key);
-        self.flip_digest(key);
+        self.toggle_digest(key);
         Some(key)
     }
 
-    /// Forgets a member.
+    /// Removes a member.
     pub fn remove(&mut self, key: key::Entry) {
         if !self.arena.contains_key(key) {
             return;
         }
-        self.flip_digest(key);
+        self.toggle_digest(key);
         let Some(record) = self.arena.remove(key) else { return };
         self.generation += 1;
         self.by_name.remove(&record.name);
@@ -71,7 +71,7 @@
         }
     }
 
-    /// Returns a member.
+    /// Returns a member by its key.
     pub fn get(&self, key: key::Entry) -> Option<&Record> {
         self.arena.get(key)
     }
@@ -81,17 +81,17 @@
         self.by_name.get(name).copied()
     }
 
-    /// Finds a member by the tag of its life.
-    pub fn tagged(&self, tag: tag::Long) -> Option<key::Entry> {
+    /// Finds a member by the tag of its incarnation.
+    pub fn find_by_tag(&self, tag: tag::Long) -> Option<key::Entry> {
         self.by_tag.get(&tag).copied()
     }
 
-    /// Returns all members in the order of their names.
+    /// Returns all members, ordered by name.
     pub fn iter(&self) -> impl Iterator<Item = (key::Entry, &Record)> {
         self.by_name.values().map(|&key| (key, &self.arena[key]))
     }
 
-    /// Returns the members of a zone that may be given work, in the order in which they became known.
+    /// Returns the live members of a zone, in the order in which they became known.
     pub fn live_in<'a>(&'a self, zone: &name::Zone) -> impl Iterator<Item = (key::Entry, &'a Record)> {
         let keys = self.by_zone.get(zone).map_or(&[][..], Vec::as_slice);
         keys.iter()
@@ -120,21 +120,21 @@
         self.arena.is_empty()
     }
 
-    /// Returns a number that changes whenever a member comes, goes, or turns from live to not live or back.
+    /// Returns a number that changes whenever a member is added, removed, or changes between live and not live.
     pub const fn generation(&self) -> u64 {
         self.generation
     }
 
-    /// Returns a hash over a zone's live records, equal on two entries that hold the same ones.
+    /// Returns a hash of a zone's live records; it is equal on two entries that hold the same records.
     pub fn digest(&self, zone: &name::Zone) -> u32 {
         self.digests.get(zone).copied().unwrap_or_default()
     }
 
-    /// Adds a record to its zone's digest, or takes it out again.
-    fn flip_digest(&mut self, key: key::Entry) {
+    /// Adds a record to its zone's digest or removes it again.
+    fn toggle_digest(&mut self, key: key::Entry) {
         let record = &self.arena[key];
-        // The dead and the departed are kept for a while and then forgotten, at each entry in its own time; a suspicion
-        // comes and goes within seconds. Neither is worth a full exchange.
+        // Dead and left members expire at different times on different entries, and a suspicion lasts only seconds.
+        // Neither is worth a full exchange.
         if !record.is_live() {
             return;
         }
--- a/bergamotshift-fleet/src/note/mod.rs
+++ b/bergamotshift-fleet/src/note/mod.rs
@@ -1,7 +1,7 @@
-//! Notes: news of other parts of the entry that the fleet spreads without reading it.
+//! Notes: versioned values of other modules that the fleet gossips without interpreting them.
 //!
-//! The configuration's head and the suspicions of the quarantine travel so. Each note has a topic, a key within it and
-//! a version; the highest version of a key wins everywhere.
+//! The head of the configuration and the suspicions of the quarantine are spread as notes. Each note has a topic, a key
+//! within it and a version; the highest version of a key wins everywhere.
 
 use core::time::Duration;
 use std::collections::BTreeMap;
@@ -13,47 +13,47 @@
 
 use crate::tag;
 
-/// What a note is about; a topic that an entry does not know is spread all the same.
+/// Topic of a note; a topic that an entry does not know is gossiped all the same.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Serialize, Deserialize)]
 pub struct Topic(u8);
 
 impl Topic {
-    /// The head of the configuration, under one key. It is kept for good.
+    /// Head of the configuration, under a single key; permanent.
     pub const CONFIG: Self = Self(1);
-    /// Deaths of endpoints under a request. They are forgotten after [`Table::RETENTION`].
+    /// Deaths of endpoints while they processed a request; removed after [`Table::RETENTION`].
     pub const QUARANTINE: Self = Self(2);
 
-    /// Returns whether notes of this topic are kept for good.
-    const fn is_kept(self) -> bool {
+    /// Returns whether notes of this topic are never removed.
+    const fn is_permanent(self) -> bool {
         self.0 == Self::CONFIG.0
     }
 }
 
-/// One note.
+/// Gossiped, versioned value.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Note {
-    /// What it is about.
+    /// Topic of the note.
     pub topic: Topic,
-    /// What it is about within the topic.
+    /// Key within the topic.
     pub key: u128,
-    /// The highest wins.
+    /// Version of the value; the highest wins.
     pub version: u64,
-    /// How long ago it was first told, in seconds.
+    /// Time since the note was first published, in seconds.
     pub age_s: u16,
-    /// Who told it first.
+    /// Entry that published the note first.
     pub origin: tag::Long,
-    /// The content, at most [`Note::MOST`] bytes.
+    /// Content, at most [`Note::MAX_BODY`] bytes.
     pub body: Vec<u8>,
 }
 
 impl Note {
-    /// Most bytes of content, so that two notes fit in a datagram.
-    pub const MOST: usize = 480;
+    /// Maximum size of the content in bytes; two notes fit in a datagram.
+    pub const MAX_BODY: usize = 480;
 }
 
-/// The notes that an entry holds.
+/// Notes that an entry holds.
 #[derive(Clone, Debug, Default)]
 pub struct Table {
     notes: BTreeMap<(Topic, u128), (Note, Instant)>,
@@ -61,23 +61,23 @@
 }
 
 impl Table {
-    /// Notes that are not kept for good are forgotten after this.
+    /// Time after which notes that are not permanent are removed.
     pub const RETENTION: Duration = Duration::from_mins(10);
-    /// A burst takes no more room than this many notes.
+    /// Number of notes at which new ones are refused, permanent ones excepted; bounds the memory that a burst can take.
     pub const CAPACITY: usize = 4_096;
 
-    /// Takes a note in and returns whether it is news.
+    /// Adds a note and returns whether it is new.
     ///
-    /// A note past its retention is refused, else two entries could keep it alive between them.
+    /// A note past its retention is refused; otherwise two entries could keep it alive between them.
     pub fn insert(&mut self, now: Instant, note: &Note) -> bool {
         let age = Duration::from_secs(u64::from(note.age_s));
-        let is_old = !note.topic.is_kept() && age >= Self::RETENTION;
-        if is_old || note.body.len() > Note::MOST {
+        let is_old = !note.topic.is_permanent() && age >= Self::RETENTION;
+        if is_old || note.body.len() > Note::MAX_BODY {
             return false;
         }
         let key = (note.topic, note.key);
         let known = self.notes.get(&key).map(|(known, _)| known.version);
-        let is_full = known.is_none() && !note.topic.is_kept() && self.notes.len() >= Self::CAPACITY;
+        let is_full = known.is_none() && !note.topic.is_permanent() && self.notes.len() >= Self::CAPACITY;
         if is_full || known.is_some_and(|known| known >= note.version) {
             return false;
         }
@@ -94,22 +94,22 @@
         self.notes.get(&(topic, key)).map(|(note, _)| note)
     }
 
-    /// Returns all notes with their ages brought up to date.
+    /// Returns all notes with their current ages.
     pub fn iter(&self, now: Instant) -> impl Iterator<Item = Note> {
-        self.notes.values().map(move |(note, told)| Note {
-            age_s: u16::try_from(now.since(*told).as_secs()).unwrap_or(u16::MAX),
+        self.notes.values().map(move |(note, published)| Note {
+            age_s: u16::try_from(now.since(*published).as_secs()).unwrap_or(u16::MAX),
             ..note.clone()
         })
     }
 
-    /// Forgets old notes.
+    /// Removes notes past their retention, permanent ones excepted.
     pub fn expire(&mut self, now: Instant) {
-        let is_young = |told: &Instant| now.since(*told) < Self::RETENTION;
+        let is_recent = |published: &Instant| now.since(*published) < Self::RETENTION;
         self.notes
-            .retain(|(topic, _), (_, told)| topic.is_kept() || is_young(told));
+            .retain(|(topic, _), (_, published)| topic.is_permanent() || is_recent(published));
     }
 
-    /// Returns a hash over the notes that are kept for good.
+    /// Returns a hash of the permanent notes.
     pub const fn digest(&self) -> u32 {
         self.digest
     }
@@ -119,14 +119,14 @@
         self.notes.len()
     }
 
-    /// Returns whether there are none.
+    /// Returns whether there are no notes.
     pub fn is_empty(&self) -> bool {
         self.notes.is_empty()
     }
 }
 
 fn hash(note: &Note) -> u32 {
-    if !note.topic.is_kept() {
+    if !note.topic.is_permanent() {
         return 0;
     }
     xxh3_64_with_seed(&note.key.to_le_bytes(), note.version) as u32
--- a/bergamotshift-fleet/src/rendezvous/mod.rs
+++ b/bergamotshift-fleet/src/rendezvous/mod.rs
@@ -1,6 +1,6 @@
-//! Rendezvous hashing: who of the live members has a duty, agreed without a message.
+//! Rendezvous hashing: assigns a role to live members without any communication.
 //!
-//! Every entry that has the same view computes the same ranking, and the loss of one member moves only its own duties.
+//! Entries with the same view compute the same ranking, and the loss of a member moves only that member's roles.
 //!
 //! ```
 //! use bergamotshift_fleet::rendezvous;
@@ -18,9 +18,9 @@
     xxh3_64_with_seed(&member.to_le_bytes(), key)
 }
 
-/// Returns the `count` candidates of highest weight for a key, the highest first.
+/// Returns the `count` candidates with the highest weights for a key, highest first.
 ///
-/// A candidate is the hash it is ranked by and the value to return.
+/// Each candidate is a pair of the hash that it is ranked by and the value to return.
 pub fn top<T>(key: u64, count: usize, candidates: impl Iterator<Item = (u64, T)>) -> Vec<T> {
     let mut ranked: Vec<(u64, u64, T)> = candidates
         .map(|(member, value)| (weight(key, member), member, value))
--- a/bergamotshift-fleet/src/settings/mod.rs
+++ b/bergamotshift-fleet/src/settings/mod.rs
@@ -3,7 +3,7 @@
 use core::net::SocketAddr;
 use core::time::Duration;
 
-/// How often an entry probes, how long it waits and how much it says.
+/// Intervals, timeouts and traffic limits of an entry.
 ///
 /// ```
 /// use bergamotshift_fleet::settings::Settings;
@@ -13,48 +13,49 @@
 /// ```
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Addresses of entries to ask first.
+    /// Addresses of the entries that are contacted first.
     pub seeds: Vec<SocketAddr>,
-    /// Time between two probes of members of the own zone.
+    /// Interval between two probes of members of the own zone.
     pub probe_interval: Duration,
-    /// Time after which a probe is repeated, directly and through others.
+    /// Delay after which an unanswered probe is repeated, directly and through other members.
     pub probe_retry_delay: Duration,
-    /// Members asked to probe in this entry's stead.
-    pub relays: usize,
-    /// Time in which a suspect may refute.
-    pub suspicion: Duration,
-    /// Time between two probes of other zones by a speaker.
+    /// Number of members that are asked to probe on behalf of this entry.
+    pub indirect_probes: usize,
+    /// Time in which a suspect can refute the suspicion before it is declared dead.
+    pub suspicion_timeout: Duration,
+    /// Interval between two probes of other zones by a speaker.
     pub zone_probe_interval: Duration,
-    /// Probes of a zone in a row that fail before a speaker calls it lost.
-    pub cross_failures: u32,
-    /// Time without any news of a zone after which it is lost.
-    pub silence: Duration,
-    /// Time that urgent news waits for more of its kind, so that a wave goes in few datagrams.
-    pub coalesce: Duration,
-    /// Members that urgent news is passed on to at once.
+    /// Consecutive failed probes after which a speaker reports a zone as lost.
+    pub max_zone_probe_failures: u32,
+    /// Time without any update about a zone after which the zone counts as lost.
+    pub zone_silence_timeout: Duration,
+    /// Time that an urgent update waits for others, so that a burst takes few datagrams.
+    pub coalesce_delay: Duration,
+    /// Number of members that an urgent update is sent to at once.
     pub fanout: usize,
-    /// Times that lasting news is sent along with other traffic.
-    pub sends_lasting: u8,
-    /// Times that a load report or another passing figure is sent along.
-    pub sends_passing: u8,
-    /// Most bytes of news that go along with one probe or answer.
-    pub budget: usize,
-    /// The same between zones, where the few speakers bear the traffic.
-    pub budget_far: usize,
-    /// In-zone probes per digest.
-    pub digest_every: u32,
-    /// Time after which a speaker passes its duty on.
-    pub rotation: Duration,
-    /// Load reports per second that one zone may publish in all.
+    /// Number of times that a persistent update is piggybacked.
+    pub persistent_sends: u8,
+    /// Number of times that a load report or another transient value is piggybacked.
+    pub transient_sends: u8,
+    /// Maximum size of a probe or answer with its piggybacked items, in bytes.
+    pub max_probe_bytes: usize,
+    /// Maximum size of a probe or answer between zones, in bytes; lower, because a few speakers carry that traffic.
+    pub max_cross_zone_probe_bytes: usize,
+    /// Number of probes within the zone for each one that carries a digest.
+    pub probes_per_digest: u32,
+    /// Time after which a zone's speakers are chosen anew.
+    pub rotation_interval: Duration,
+    /// Load reports per second that all entries of a zone may publish together.
     pub loads_per_second: u32,
-    /// Use publications per second that one zone may make in all, and a third as many for whole zones.
-    pub uses_per_second: u32,
-    /// Beats and summaries per second that the fleet may publish in all.
+    /// Usage updates per second that all entries of a zone may publish together; updates for whole zones, of all zones
+    /// together, get a third of that.
+    pub usages_per_second: u32,
+    /// Heartbeats and summaries per second that the whole fleet may publish.
     pub summaries_per_second: u32,
-    /// A gap in this entry's own clock from which on it counts as paused and drops what it held.
+    /// Gap in this entry's own clock above which the entry counts as paused and drops its state.
     ///
-    /// It has to be shorter than any lease's margin.
-    pub pause: Duration,
+    /// Must be shorter than the safety margin of any lease.
+    pub pause_threshold: Duration,
 }
 
 impl Default for Settings {
@@ -63,23 +64,23 @@
             seeds: Vec::new(),
             probe_interval: Duration::from_secs(1),
             probe_retry_delay: Duration::from_millis(250),
-            relays: 3,
-            suspicion: Duration::from_secs(3),
+            indirect_probes: 3,
+            suspicion_timeout: Duration::from_secs(3),
             zone_probe_interval: Duration::from_secs(2),
-            cross_failures: 3,
-            silence: Duration::from_secs(45),
-            coalesce: Duration::from_millis(20),
+            max_zone_probe_failures: 3,
+            zone_silence_timeout: Duration::from_secs(45),
+            coalesce_delay: Duration::from_millis(20),
             fanout: 5,
-            sends_lasting: 6,
-            sends_passing: 3,
-            budget: 560,
-            budget_far: 320,
-            digest_every: 8,
-            rotation: Duration::from_mins(10),
+            persistent_sends: 6,
+            transient_sends: 3,
+            max_probe_bytes: 560,
+            max_cross_zone_probe_bytes: 320,
+            probes_per_digest: 8,
+            rotation_interval: Duration::from_mins(10),
             loads_per_second: 30,
-            uses_per_second: 3,
+            usages_per_second: 3,
             summaries_per_second: 9,
-            pause: Duration::from_secs(2),
+            pause_threshold: Duration::from_secs(2),
         }
     }
 }
--- a/bergamotshift-fleet/src/usage/mod.rs
+++ b/bergamotshift-fleet/src/usage/mod.rs
@@ -1,4 +1,4 @@
-//! Use of the organisations, gossiped so that their limits hold across entries.
+//! Rates at which organisations are served, gossiped so that their limits hold across entries.
 
 use std::collections::BTreeMap;
 
@@ -9,55 +9,55 @@
 use crate::load;
 use crate::tag;
 
-/// The rate at which an organisation is served.
+/// Rate at which an organisation is served.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Rate {
-    /// The organisation.
+    /// Tag of the organisation.
     pub organisation: tag::Short,
-    /// The rate on the scale of [`load::quantise`].
+    /// Rate on the scale of [`load::quantise`].
     pub level: u8,
 }
 
-/// Where organisations are served.
+/// Scope of published rates.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 #[derive(Serialize, Deserialize)]
 pub enum Place {
-    /// At one entry of the zone.
+    /// One entry of the zone.
     Entry(tag::Short),
-    /// In a whole zone.
+    /// A whole zone.
     Zone(tag::Short),
 }
 
-/// What one place serves for some organisations.
+/// Published rates of one entry or zone for some organisations.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
-pub struct Use {
-    /// The place.
+pub struct Update {
+    /// Entry or zone that the rates belong to.
     pub place: Place,
-    /// Tells the parts of a place's use apart, when it has many organisations.
+    /// Number of this part, for an entry or zone with more than [`Update::MAX_RATES`] organisations.
     pub part: u8,
-    /// Counts the place's publications, modulo 2^16.
+    /// Sequence number of the publication, modulo 2^16.
     pub sequence: u16,
-    /// The rates, at most [`Use::MOST`].
+    /// Rates, at most [`Update::MAX_RATES`].
     pub rates: Vec<Rate>,
 }
 
-impl Use {
-    /// Most rates in one publication, so that it fits in the room beside a probe.
-    pub const MOST: usize = 16;
+impl Update {
+    /// Maximum number of rates in one update, so that it fits in a frame beside a probe.
+    pub const MAX_RATES: usize = 16;
 }
 
-/// The rates that an entry knows: its own exactly, its zone's per entry, the other zones' in sum.
+/// Known rates: exact for this entry, per entry for its zone, and as sums for the other zones.
 #[derive(Clone, Debug, Default)]
-pub struct Book {
+pub struct Table {
     own: BTreeMap<name::Organisation, u32>,
     entries: BTreeMap<(tag::Short, tag::Short), (u16, u8)>,
     zones: BTreeMap<(tag::Short, tag::Short), (u16, u8)>,
 }
 
-impl Book {
-    /// Sets this entry's own rate.
+impl Table {
+    /// Sets this entry's own rate for an organisation.
     pub fn set_own(&mut self, organisation: name::Organisation, rate: u32) {
         self.own.insert(organisation, rate);
     }
@@ -67,25 +67,25 @@
         self.own.iter().map(|(organisation, rate)| (organisation, *rate))
     }
 
-    /// Takes a publication in and returns whether it is news.
-    pub fn merge(&mut self, news: &Use) -> bool {
-        let (table, place) = match news.place {
+    /// Merges an update and returns whether any of its rates is new.
+    pub fn merge(&mut self, update: &Update) -> bool {
+        let (table, place) = match update.place {
             Place::Entry(entry) => (&mut self.entries, entry),
             Place::Zone(zone) => (&mut self.zones, zone),
         };
-        let mut is_news = false;
-        for rate in &news.rates {
+        let mut is_new = false;
+        for rate in &update.rates {
             let key = (rate.organisation, place);
             let known = table.get(&key);
-            if known.is_none_or(|(known, _)| load::is_newer(news.sequence, *known)) {
-                table.insert(key, (news.sequence, rate.level));
-                is_news = true;
+            if known.is_none_or(|(known, _)| load::is_newer(update.sequence, *known)) {
+                table.insert(key, (update.sequence, rate.level));
+                is_new = true;
             }
         }
-        is_news
+        is_new
     }
 
-    /// Returns the highest sequence that a zone published.
+    /// Returns the highest sequence number that a zone published.
     pub fn zone_sequence(&self, zone: tag::Short) -> u16 {
         let sequences = self.zones.iter().filter(|((_, other), _)| *other == zone);
         sequences
@@ -94,17 +94,17 @@
             .unwrap_or(0)
     }
 
-    /// Forgets the rates of entries for which `keep` is false: a dead entry serves nothing.
+    /// Keeps only the rates of entries for which `keep` is true: a dead entry serves nothing.
     pub fn retain_entries(&mut self, keep: impl Fn(tag::Short) -> bool) {
         self.entries.retain(|(_, entry), _| keep(*entry));
     }
 
-    /// Forgets the rates of zones for which `keep` is false: a cut-off zone's figures are too old to count.
+    /// Keeps only the rates of zones for which `keep` is true: the rates of a lost zone are too old to count.
     pub fn retain_zones(&mut self, keep: impl Fn(tag::Short) -> bool) {
         self.zones.retain(|(_, zone), _| keep(*zone));
     }
 
-    /// Returns the organisations that the zone serves, each with the sum over its entries, this one included.
+    /// Returns the rates of all organisations in the own zone, summed over its entries including this one.
     pub fn in_zone(&self) -> BTreeMap<tag::Short, u32> {
         let mut sums: BTreeMap<tag::Short, u32> = BTreeMap::new();
         for (organisation, rate) in &self.own {
@@ -112,12 +112,12 @@
         }
         for ((organisation, _), (_, rate)) in &self.entries {
             let sum = sums.entry(*organisation).or_default();
-            *sum = sum.saturating_add(load::restore(*rate));
+            *sum = sum.saturating_add(load::dequantise(*rate));
         }
         sums
     }
 
-    /// Returns what all others serve for an organisation: the zone's other entries and the other zones.
+    /// Returns the rate of an organisation at the zone's other entries and in the other zones.
     pub fn elsewhere(&self, organisation: &name::Organisation, own_zone: &name::Zone) -> u32 {
         let organisation = tag::Short::of(organisation);
         let own_zone = tag::Short::of(own_zone);
@@ -125,18 +125,18 @@
             table
                 .iter()
                 .filter(|((other, place), _)| *other == organisation && Some(*place) != except)
-                .map(|(_, (_, rate))| load::restore(*rate))
+                .map(|(_, (_, rate))| load::dequantise(*rate))
                 .fold(0_u32, u32::saturating_add)
         };
         of(&self.entries, None).saturating_add(of(&self.zones, Some(own_zone)))
     }
 
-    /// Returns the number of figures held.
+    /// Returns the number of rates held.
     pub fn len(&self) -> usize {
         self.own.len() + self.entries.len() + self.zones.len()
     }
 
-    /// Returns whether no figure is held.
+    /// Returns whether no rate is held.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
--- a/bergamotshift-fleet/src/wire/item.rs
+++ b/bergamotshift-fleet/src/wire/item.rs
@@ -1,4 +1,4 @@
-//! News items that frames carry.
+//! Gossip items that frames carry.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -14,82 +14,82 @@
 use crate::usage;
 use crate::zone;
 
-/// Hashes over what the sender holds; a difference makes both sides send theirs.
+/// Hashes of the sender's state; when they differ, each side sends the other its state.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Digest {
-    /// Per zone, the hash over its members.
+    /// Hash of the live members of each zone.
     pub members: Vec<(tag::Short, [u8; 4])>,
-    /// The hash over the leaving marks.
+    /// Hash of the leaving marks.
     pub marks: [u8; 4],
-    /// The hash over the notes that are kept for good.
+    /// Hash of the permanent notes.
     pub notes: [u8; 4],
 }
 
-/// One piece of news.
+/// One update of the gossiped state.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Item {
-    /// A member's record.
+    /// Record of a member.
     Member(member::Record),
-    /// An endpoint leaves.
+    /// Mark of an endpoint that leaves.
     Mark(mark::Mark),
-    /// News of another part of the entry.
+    /// Note of another module of the entry.
     Note(note::Note),
-    /// An endpoint's load.
+    /// Load of an endpoint.
     Load(load::Load),
-    /// A speaker's sign of life.
-    Beat(zone::Beat),
-    /// A service's load in a zone.
+    /// Heartbeat of a speaker.
+    Heartbeat(zone::Heartbeat),
+    /// Load of a service in a zone.
     Summary(zone::Summary),
-    /// What a place serves for organisations.
-    Use(usage::Use),
-    /// A zone's speakers change.
+    /// Rates at which an entry or a zone serves organisations.
+    Usage(usage::Update),
+    /// Term by which a zone's speakers are chosen.
     Term(zone::Term),
-    /// Hashes over what the sender holds.
+    /// Hashes of the sender's state.
     Digest(Digest),
 }
 
-/// What an item is about: newer news under the same key takes the place of older.
+/// Subject of an item; a newer item replaces an older one with the same key.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Key {
-    /// A member, by the tag of its life.
+    /// Tag of the member's incarnation.
     Member(tag::Long),
-    /// An endpoint's leaving.
+    /// Endpoint that leaves.
     Mark(endpoint::Id),
-    /// A note.
+    /// Topic of the note and its key within the topic.
     Note(note::Topic, u128),
-    /// An endpoint's load.
+    /// Tag of the endpoint.
     Load(tag::Short),
-    /// A speaker's sign of life.
-    Beat(tag::Short),
-    /// A service in a zone.
+    /// Tag of the speaker.
+    Heartbeat(tag::Short),
+    /// Tags of the zone and of the service.
     Summary(tag::Short, tag::Short),
-    /// A part of a place's use.
-    Use(usage::Place, u8),
-    /// A zone's term.
+    /// Entry or zone, and the part of its rates.
+    Usage(usage::Place, u8),
+    /// Tag of the zone.
     Term(tag::Short),
-    /// The digest.
+    /// The digest; a frame carries at most one.
     Digest,
 }
 
 impl Item {
-    /// Returns what the item is about.
+    /// Returns the key of the item.
     pub fn key(&self) -> Key {
         match self {
             Self::Member(record) => Key::Member(record.tag()),
             Self::Mark(mark) => Key::Mark(mark.endpoint.clone()),
             Self::Note(note) => Key::Note(note.topic, note.key),
             Self::Load(load) => Key::Load(load.endpoint),
-            Self::Beat(beat) => Key::Beat(beat.speaker),
+            Self::Heartbeat(heartbeat) => Key::Heartbeat(heartbeat.speaker),
             Self::Summary(summary) => Key::Summary(summary.zone, summary.service),
-            Self::Use(usage) => Key::Use(usage.place, usage.part),
+            Self::Usage(usage) => Key::Usage(usage.place, usage.part),
             Self::Term(term) => Key::Term(term.zone),
             Self::Digest(_) => Key::Digest,
         }
     }
 
-    /// Returns whether both say the same, whatever their ages.
-    pub fn is_same_news(&self, other: &Self) -> bool {
+    /// Returns whether both items carry the same update, whatever their ages.
+    pub fn is_same_update(&self, other: &Self) -> bool {
         match (self, other) {
             (Self::Load(left), Self::Load(right)) => (left.endpoint, left.sequence) == (right.endpoint, right.sequence),
             (Self::Mark(left), Self::Mark(right)) => left.endpoint == right.endpoint,
@@ -100,69 +100,73 @@
         }
     }
 
-    /// Returns whether the item concerns its own zone only.
-    pub const fn is_local(&self) -> bool {
+    /// Returns whether the item is of use only within the sender's zone.
+    pub const fn is_zone_local(&self) -> bool {
         match self {
             Self::Load(_) => true,
-            Self::Use(usage) => matches!(usage.place, usage::Place::Entry(_)),
+            Self::Usage(usage) => matches!(usage.place, usage::Place::Entry(_)),
             _ => false,
         }
     }
 
-    /// Returns whether the next publication makes up for this one when it gets lost.
-    pub const fn is_passing(&self) -> bool {
-        matches!(self, Self::Load(_) | Self::Use(_) | Self::Beat(_) | Self::Summary(_))
+    /// Returns whether the next publication replaces this one if it is lost.
+    pub const fn is_transient(&self) -> bool {
+        matches!(
+            self,
+            Self::Load(_) | Self::Usage(_) | Self::Heartbeat(_) | Self::Summary(_)
+        )
     }
 
-    /// Returns the order in which news goes along: what lasts, then loads, then what is slower to change.
+    /// Returns the order in which items are added to a frame: persistent ones, then loads, then values that change more
+    /// slowly.
     pub(crate) const fn precedence(&self) -> u8 {
         match self {
             Self::Load(_) => 1,
-            Self::Use(_) | Self::Beat(_) | Self::Summary(_) => 2,
+            Self::Usage(_) | Self::Heartbeat(_) | Self::Summary(_) => 2,
             _ => 0,
         }
     }
 
-    /// Returns the number that stands for the kind on the wire.
+    /// Returns the number of the item's kind on the wire.
     pub(super) const fn kind(&self) -> u8 {
         match self {
             Self::Member(_) => 1,
             Self::Mark(_) => 2,
             Self::Note(_) => 3,
             Self::Load(_) => 4,
-            Self::Beat(_) => 5,
+            Self::Heartbeat(_) => 5,
             Self::Summary(_) => 6,
-            Self::Use(_) => 7,
+            Self::Usage(_) => 7,
             Self::Term(_) => 8,
             Self::Digest(_) => 9,
         }
     }
 
-    /// Appends the item without its kind.
+    /// Appends the encoded item without its kind.
     pub(super) fn encode(&self, out: Vec<u8>) -> Vec<u8> {
         match self {
             Self::Member(value) => append(value, out),
             Self::Mark(value) => append(value, out),
             Self::Note(value) => append(value, out),
             Self::Load(value) => append(value, out),
-            Self::Beat(value) => append(value, out),
+            Self::Heartbeat(value) => append(value, out),
             Self::Summary(value) => append(value, out),
-            Self::Use(value) => append(value, out),
+            Self::Usage(value) => append(value, out),
             Self::Term(value) => append(value, out),
             Self::Digest(value) => append(value, out),
         }
     }
 
-    /// Reads a group of items of one kind; an unknown kind or a broken rest is left out.
+    /// Decodes a group of items of one kind; skips an unknown kind and the rest of a group after a malformed item.
     pub(super) fn decode_group(kind: u8, bytes: &[u8], out: &mut Vec<Self>) {
         match kind {
             1 => read(bytes, Self::Member, out),
             2 => read(bytes, Self::Mark, out),
             3 => read(bytes, Self::Note, out),
             4 => read(bytes, Self::Load, out),
-            5 => read(bytes, Self::Beat, out),
+            5 => read(bytes, Self::Heartbeat, out),
             6 => read(bytes, Self::Summary, out),
-            7 => read(bytes, Self::Use, out),
+            7 => read(bytes, Self::Usage, out),
             8 => read(bytes, Self::Term, out),
             9 => read(bytes, Self::Digest, out),
             _ => {}
--- a/bergamotshift-fleet/src/wire/mod.rs
+++ b/bergamotshift-fleet/src/wire/mod.rs
@@ -1,7 +1,7 @@
 //! Frames between entries: typed, bounded in size, and readable by older and newer versions.
 //!
-//! A frame is a version, the sender's tag, one [`Body`] and groups of news [`Item`]s, each group under its kind and
-//! length. An older entry skips kinds that it does not know, so a fleet can be replaced entry by entry. Fields are
+//! A frame is a version, the sender's tag, one [`Body`] and groups of gossip [`Item`]s, each group preceded by its kind
+//! and length. An older entry skips kinds that it does not know, so a fleet can be upgraded entry by entry. Fields are
 //! never added to a kind; a changed kind gets a new number.
 
 mod item;
@@ -17,81 +17,83 @@
 pub use item::Key;
 pub use writer::Writer;
 
-/// The version of the frame's outer layout.
+/// Version of the frame's outer layout.
 pub const VERSION: u8 = 1;
 
-/// Most bytes of a frame that goes as one datagram, below QUIC's smallest path.
+/// Maximum size of a datagram frame in bytes, below the smallest path MTU that QUIC allows.
 pub const MAX_DATAGRAM: usize = 1_100;
 
-/// Most bytes of a frame on a stream.
+/// Maximum size of a stream frame in bytes.
 pub const MAX_STREAM: usize = 64 * 1_024;
 
-/// What a frame asks or answers, besides the news it carries.
+/// Request or response of a frame, apart from the items that it carries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub enum Body {
-    /// Carries news only.
+    /// Carries items only.
     Push,
-    /// Asks for a sign of life.
+    /// Asks the receiver for a [`Body::Ack`].
     Ping {
-        /// Chosen by the asker and repeated in the answer.
+        /// Number chosen by the sender and repeated in the answer.
         sequence: u32,
-        /// The life that is asked; another life at this address says so.
+        /// Incarnation that is probed. Another incarnation at the address answers with its own record, and
+        /// [`tag::Long::UNKNOWN`] asks for the receiver's whole state.
         target: tag::Long,
     },
-    /// Gives a sign of life.
+    /// Answers a [`Body::Ping`].
     Ack {
-        /// The asker's sequence.
+        /// Sequence of the ping.
         sequence: u32,
-        /// The life that answers.
+        /// Incarnation that answers.
         of: tag::Long,
     },
     /// Asks the receiver to ping a third member.
     Relay {
-        /// Chosen by the asker and repeated in the answer.
+        /// Number chosen by the sender and repeated in the answer.
         sequence: u32,
-        /// The life to ping.
+        /// Incarnation to ping.
         target: tag::Long,
     },
-    /// Says that the sender of the last frame is not known here.
-    Stranger,
+    /// Tells the receiver that its tag is unknown to the sender, so that it sends its record.
+    #[serde(rename = "Stranger")]
+    UnknownSender,
 }
 
-/// One message between entries.
+/// Message between two entries.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Frame {
-    /// The sender's life.
+    /// Tag of the sender's incarnation.
     pub from: tag::Long,
-    /// What it asks or answers.
+    /// Request or response.
     pub body: Body,
-    /// The news it carries; unknown kinds are left out.
+    /// Items that the frame carries; unknown kinds are left out.
     pub items: Vec<Item>,
 }
 
-/// Why bytes are not a frame that this version can read.
+/// Error of decoding a frame.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Error)]
 pub enum Error {
-    /// The outer layout is of another version.
-    #[error("frame layout {0} is not known")]
+    /// The outer layout has an unsupported version.
+    #[error("unsupported frame layout version {0}")]
     Version(u8),
-    /// The frame is larger than any sender may make it.
-    #[error("a frame of {0} bytes is too large")]
+    /// The frame exceeds [`MAX_STREAM`].
+    #[error("frame of {0} bytes exceeds the maximum size")]
     Size(usize),
-    /// The frame ends early.
-    #[error("the frame ends early")]
+    /// The frame is truncated.
+    #[error("truncated frame")]
     Short,
-    /// The body is of a kind that this version does not know.
-    #[error("the frame's body is not known")]
+    /// The body is malformed or of an unsupported kind.
+    #[error("malformed or unsupported frame body")]
     Body,
 }
 
 impl Frame {
-    /// Reads a frame and skips what this version does not know.
+    /// Decodes a frame and skips items that this version does not support.
     ///
     /// # Errors
     ///
-    /// Returns an error when the outer layout or the body cannot be read. News that cannot be read is left out.
+    /// Returns an error when the outer layout or the body cannot be decoded. Malformed items are left out.
     pub fn decode(bytes: &[u8]) -> Result<Self, Error> {
         if bytes.len() > MAX_STREAM {
             return Err(Error::Size(bytes.len()));
@@ -114,7 +116,7 @@
         Ok(Self { from, body, items })
     }
 
-    /// Writes the frame with all its items.
+    /// Encodes the frame with as many of its items as fit in [`MAX_STREAM`] bytes.
     pub fn encode(&self) -> Vec<u8> {
         let mut writer = Writer::new(self.from, self.body, MAX_STREAM);
         for item in &self.items {
--- a/bergamotshift-fleet/src/wire/writer.rs
+++ b/bergamotshift-fleet/src/wire/writer.rs
@@ -1,4 +1,4 @@
-//! Builds a frame within a bound on its size.
+//! Builds a frame of limited size.
 
 use std::collections::BTreeMap;
 
@@ -9,62 +9,62 @@
 use super::VERSION;
 use crate::tag;
 
-/// Collects items until the frame is full.
+/// Encoder that collects items until the frame is full.
 #[derive(Debug)]
 pub struct Writer {
-    head: Vec<u8>,
+    header: Vec<u8>,
     groups: BTreeMap<u8, Vec<u8>>,
     size: usize,
     limit: usize,
 }
 
 impl Writer {
-    /// Most bytes of a group's kind and length.
-    const GROUP_HEAD: usize = 4;
+    /// Maximum size of a group's kind and length, in bytes.
+    const MAX_GROUP_HEADER: usize = 4;
 
     /// Starts a frame of at most `limit` bytes.
     pub fn new(from: tag::Long, body: Body, limit: usize) -> Self {
-        let mut head = append(&from, vec![VERSION]);
+        let mut header = append(&from, vec![VERSION]);
         let body = append(&body, Vec::new());
-        // A body is a few fixed fields, far below 256 bytes.
-        head.push(body.len() as u8);
-        head.extend_from_slice(&body);
+        // A body has a few fixed fields, far below 256 bytes.
+        header.push(body.len() as u8);
+        header.extend_from_slice(&body);
         Self {
-            size: head.len(),
-            head,
+            size: header.len(),
+            header,
             groups: BTreeMap::new(),
             limit,
         }
     }
 
-    /// Takes an item in, unless the frame would grow past its limit; returns whether it was taken.
+    /// Adds an item unless the frame would exceed its limit; returns whether it was added.
     pub fn push(&mut self, item: &Item) -> bool {
         let group = self.groups.entry(item.kind()).or_default();
         let before = group.len();
-        let head = if before == 0 { Self::GROUP_HEAD } else { 0 };
+        let header = if before == 0 { Self::MAX_GROUP_HEADER } else { 0 };
         *group = item.encode(core::mem::take(group));
-        let grown = group.len() - before + head;
-        if self.size + grown > self.limit {
+        let added = group.len() - before + header;
+        if self.size + added > self.limit {
             group.truncate(before);
             return false;
         }
-        self.size += grown;
+        self.size += added;
         true
     }
 
-    /// Returns whether no item was taken.
+    /// Returns whether the frame has no items.
     pub fn is_empty(&self) -> bool {
         self.groups.values().all(Vec::is_empty)
     }
 
-    /// Returns the bytes that are still free.
+    /// Returns the number of free bytes.
     pub const fn room(&self) -> usize {
         self.limit.saturating_sub(self.size)
     }
 
-    /// Returns the frame's bytes.
+    /// Returns the encoded frame.
     pub fn finish(self) -> Vec<u8> {
-        let mut out = self.head;
+        let mut out = self.header;
         for (kind, group) in self.groups {
             if group.is_empty() {
                 continue;
@@ -77,7 +77,7 @@
     }
 }
 
-/// Appends a value's encoding.
+/// Appends the encoding of a value.
 pub(super) fn append<T: Serialize>(value: &T, out: Vec<u8>) -> Vec<u8> {
-    postcard::to_extend(value, out).expect("a growing buffer takes every plain value")
+    postcard::to_extend(value, out).expect("encoding into a growing buffer never fails")
 }
--- a/bergamotshift-fleet/src/zone/mod.rs
+++ b/bergamotshift-fleet/src/zone/mod.rs
@@ -1,8 +1,8 @@
 //! Zones as the fleet sees them: their speakers, heartbeats and load summaries.
 //!
-//! A few members of each zone, its speakers, exchange news with the speakers of the other zones. They follow from a
-//! rendezvous hash over the zone's live members and a term number that a speaker raises now and then, so that the
-//! duty goes round and no election is needed.
+//! A few members of each zone, its speakers, exchange updates with the speakers of the other zones. They are chosen by
+//! a rendezvous hash of the zone's live members and of a term number, which a speaker raises at intervals. The role
+//! thus rotates and needs no election.
 
 mod view;
 
@@ -14,82 +14,82 @@
 use crate::tag;
 pub use view::View;
 
-/// Raises the number by which a zone's speakers are chosen; the highest wins.
+/// Term by which a zone's speakers are chosen; the highest number wins.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Term {
-    /// The zone.
+    /// Tag of the zone.
     pub zone: tag::Short,
-    /// The number.
+    /// Number of the term.
     pub number: u32,
 }
 
-/// A speaker's sign of life, with the zones that it cannot reach.
+/// Heartbeat of a speaker, with the zones that it cannot reach.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
-pub struct Beat {
-    /// The speaker's zone.
+pub struct Heartbeat {
+    /// Tag of the speaker's zone.
     pub zone: tag::Short,
-    /// The speaker.
+    /// Tag of the speaker.
     pub speaker: tag::Short,
-    /// Counts the speaker's beats, modulo 2^16.
+    /// Sequence number of the speaker's heartbeats, modulo 2^16.
     pub sequence: u16,
-    /// The zones that did not answer the speaker's last probes.
+    /// Zones that did not answer the speaker's last probes.
     pub lost: Vec<tag::Short>,
 }
 
-/// The load of a service in a zone, summed over its endpoints.
+/// Load of a service in a zone, summed over its endpoints.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Summary {
-    /// The zone.
+    /// Tag of the zone.
     pub zone: tag::Short,
-    /// The service.
+    /// Tag of the service.
     pub service: tag::Short,
-    /// Counts the zone's summaries, modulo 2^16.
+    /// Sequence number of the zone's summaries, modulo 2^16.
     pub sequence: u16,
-    /// Endpoints that take work, on the scale of [`crate::load::quantise`].
+    /// Number of endpoints that accept work, on the scale of [`crate::load::quantise`].
     pub endpoints: u8,
-    /// Slots of these endpoints, on the same scale.
+    /// Number of slots of these endpoints, on the same scale.
     pub slots: u8,
-    /// Requests that run or wait there, on the same scale.
+    /// Number of requests that run or wait there, on the same scale.
     pub busy: u8,
-    /// Prompt tokens not yet computed, on the same scale.
+    /// Number of prompt tokens not yet computed, on the same scale.
     pub prefill: u8,
 }
 
-/// How a zone can be reached from here.
+/// Reachability of a zone from this entry's zone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Reach {
-    /// Its entries answer.
+    /// The zone's entries answer.
     Direct,
-    /// Only news of it arrives, by way of a third zone.
+    /// Only updates about the zone arrive, through a third zone.
     Relayed,
     /// Nothing arrives.
     Lost,
 }
 
-/// Returns how many speakers a zone of this size has.
+/// Returns the number of speakers of a zone with `members` live members.
 ///
-/// One in ten, so that a speaker's share of the traffic between zones stays flat as the zone grows, and two at
-/// least, so that one may fail.
+/// One in ten, so that a speaker's share of the traffic between zones stays constant as the zone grows, but at least
+/// two, so that one may fail, and at most four.
 pub const fn speaker_count(members: usize) -> usize {
     const MEMBERS_PER_SPEAKER: usize = 10;
-    const LEAST: usize = 2;
-    const MOST: usize = 4;
+    const MIN_SPEAKERS: usize = 2;
+    const MAX_SPEAKERS: usize = 4;
     let wanted = members.div_ceil(MEMBERS_PER_SPEAKER);
-    if wanted < LEAST {
-        LEAST
-    } else if wanted > MOST {
-        MOST
+    if wanted < MIN_SPEAKERS {
+        MIN_SPEAKERS
+    } else if wanted > MAX_SPEAKERS {
+        MAX_SPEAKERS
     } else {
         wanted
     }
 }
 
-/// Returns the key under which a zone's speakers are ranked in a term.
+/// Returns the key by which a zone's speakers are ranked in a term.
 pub fn speaker_key(zone: &name::Zone, term: u32) -> u64 {
     xxh3_64_with_seed(zone.as_str().as_bytes(), u64::from(term))
 }
--- a/bergamotshift-fleet/tests/budget.rs
+++ b/bergamotshift-fleet/tests/budget.rs
@@ -1,4 +1,4 @@
-//! What the fleet costs and how fast it reacts at today's size and at the target, in counts and virtual time.
+//! Traffic, memory and reaction times of the fleet at its current and its target size, in virtual time.
 
 mod support;
 
@@ -8,10 +8,11 @@
 use support::Fleet;
 use support::Shape;
 
-/// Control bytes per second that an entry may send and receive, headers, acknowledgements and handshakes included.
+/// Maximum control traffic of an entry in bytes per second, sent plus received, including headers, acknowledgements and
+/// handshakes.
 const BYTES_PER_SECOND: u64 = 4_000;
 
-/// Most bytes of state per entry; the memory bound of 128 MB has to leave room for the requests.
+/// Maximum state per entry in bytes; the memory limit of 128 MB has to leave room for the requests.
 const STATE_BYTES: usize = 2_000_000;
 
 struct Bounds {
@@ -21,7 +22,8 @@
     leaving: Duration,
     note: Duration,
     death: Duration,
-    /// Age of a load report that an entry holds of its own zone, at the 50th and the 99th percentile.
+    /// Maximum age in milliseconds of the load reports that an entry holds of its own zone, at the 50th and 99th
+    /// percentile.
     load_ages: [u128; 2],
 }
 
@@ -31,8 +33,8 @@
     assert!(fleet.has_converged(), "the fleet did not form in {} s", bounds.warm_up);
 
     let rates = fleet.bytes_per_second(Duration::from_secs(bounds.window));
-    let most = rates.last().copied().unwrap_or_default();
-    assert!(most <= BYTES_PER_SECOND, "an entry spends {most} B/s");
+    let max_rate = rates.last().copied().unwrap_or_default();
+    assert!(max_rate <= BYTES_PER_SECOND, "an entry spends {max_rate} B/s");
     let ages = fleet.load_ages();
     let [p50, p99, _] = ages.summary();
     assert!(
@@ -56,7 +58,7 @@
 }
 
 #[test]
-fn today() {
+fn current_size() {
     let bounds = Bounds {
         warm_up: 30,
         window: 30,
@@ -66,11 +68,11 @@
         death: Duration::from_secs(8),
         load_ages: [1_000, 2_000],
     };
-    check(Shape::TODAY, &bounds);
+    check(Shape::CURRENT, &bounds);
 }
 
 #[test]
-fn the_target_size() {
+fn target_size() {
     let bounds = Bounds {
         warm_up: 100,
         window: 20,
@@ -85,5 +87,5 @@
 
 #[test]
 fn a_note_fits_in_the_room_beside_a_probe() {
-    assert!(Note::MOST < bergamotshift_fleet::settings::Settings::default().budget);
+    assert!(Note::MAX_BODY < bergamotshift_fleet::settings::Settings::default().max_probe_bytes);
 }
--- a/bergamotshift-fleet/tests/gossip.rs
+++ b/bergamotshift-fleet/tests/gossip.rs
@@ -1,8 +1,8 @@
-//! The queue of news.
+//! The queue of updates.
 
 use bergamotshift_core::prelude::*;
 use bergamotshift_fleet::gossip::Queue;
-use bergamotshift_fleet::gossip::Told;
+use bergamotshift_fleet::gossip::Received;
 use bergamotshift_fleet::note;
 use bergamotshift_fleet::tag;
 use bergamotshift_fleet::wire::Body;
@@ -21,43 +21,43 @@
     })
 }
 
-fn told(item: &Item) -> Told {
-    Told::from([(item.key(), item.clone())])
+fn received(item: &Item) -> Received {
+    Received::from([(item.key(), item.clone())])
 }
 
-fn fill(queue: &mut Queue, told_by_it: &Told) -> Vec<Item> {
+fn fill(queue: &mut Queue, received: &Received) -> Vec<Item> {
     let mut writer = Writer::new(tag::Long::UNKNOWN, Body::Push, 500);
-    queue.fill(Instant::ZERO, &mut writer, false, told_by_it);
+    queue.fill(Instant::ZERO, &mut writer, false, received);
     Frame::decode(&writer.finish()).map(|frame| frame.items).unwrap()
 }
 
 #[test]
-fn who_tells_old_news_is_told_the_newer() {
-    // An entry probes another one and mentions configuration 1, which it is still spreading. The other one knows
-    // configuration 2. When it left out all that the asker mentioned, the asker stayed at 1 for seconds.
+fn an_outdated_update_is_answered_with_the_newer_one() {
+    // An entry with configuration 2 is probed by one that still gossips configuration 1. The answer used to leave out
+    // every key that the probe mentioned, so the prober stayed at 1 for seconds.
     let mut queue = Queue::default();
     queue.push(Instant::ZERO, note(2), 3);
-    assert_eq!(fill(&mut queue, &told(&note(1))), [note(2)]);
-    assert!(fill(&mut queue, &told(&note(2))).is_empty());
+    assert_eq!(fill(&mut queue, &received(&note(1))), [note(2)]);
+    assert!(fill(&mut queue, &received(&note(2))).is_empty());
 }
 
 #[test]
-fn only_the_same_news_heard_again_is_told_less() {
+fn only_a_duplicate_of_the_same_update_reduces_its_sends() {
     let mut queue = Queue::default();
     queue.push(Instant::ZERO, note(2), 1);
-    queue.heard_again(&note(1));
+    queue.count_duplicate(&note(1));
     assert_eq!(queue.len(), 1);
-    queue.heard_again(&note(2));
+    queue.count_duplicate(&note(2));
     assert!(queue.is_empty());
 }
 
 #[test]
-fn news_is_told_as_often_as_asked_and_then_forgotten() {
+fn an_update_is_sent_the_given_number_of_times_and_then_dropped() {
     let mut queue = Queue::default();
     queue.push(Instant::ZERO, note(1), 2);
     for _ in 0..2 {
-        assert_eq!(fill(&mut queue, &Told::new()), [note(1)]);
+        assert_eq!(fill(&mut queue, &Received::new()), [note(1)]);
     }
-    assert!(fill(&mut queue, &Told::new()).is_empty());
+    assert!(fill(&mut queue, &Received::new()).is_empty());
     assert!(queue.is_empty());
 }
--- a/bergamotshift-fleet/tests/handover.rs
+++ b/bergamotshift-fleet/tests/handover.rs
@@ -1,4 +1,4 @@
-//! Handing open requests over: who keeps them, in what order they go, and that nothing runs twice.
+//! Handover of open requests: choice of keepers, order of the plan, and no request run twice.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -6,17 +6,17 @@
 use bergamotshift_core::attempt;
 use bergamotshift_core::prelude::*;
 use bergamotshift_fleet::handover::Answer;
-use bergamotshift_fleet::handover::Bounds;
+use bergamotshift_fleet::handover::Budget;
+use bergamotshift_fleet::handover::Disposition;
 use bergamotshift_fleet::handover::Error;
-use bergamotshift_fleet::handover::Fate;
 use bergamotshift_fleet::handover::Keeper;
 use bergamotshift_fleet::handover::Key;
-use bergamotshift_fleet::handover::Open;
 use bergamotshift_fleet::handover::Parcel;
 use bergamotshift_fleet::handover::Plan;
 use bergamotshift_fleet::handover::Progress;
 use bergamotshift_fleet::handover::Question;
 use bergamotshift_fleet::handover::Receipt;
+use bergamotshift_fleet::handover::Request;
 use bergamotshift_fleet::handover::Retrieval;
 use bergamotshift_fleet::handover::candidates;
 use bergamotshift_fleet::handover::keepers;
@@ -83,8 +83,8 @@
 
 #[test]
 fn keepers_are_in_two_zones_other_than_the_lost_one_and_are_found() {
-    // A whole zone goes with its entries. For each request its leaving entry names two keepers; afterwards an entry
-    // that never heard of the request asks the candidates of its own view and has to meet both.
+    // A whole zone is reclaimed with its entries. Each leaving entry chooses two keepers per request, and an entry that
+    // does not know the request has to find both among its candidates.
     for (entries, zones) in [(8, 4), (50, 5), (390, 10)] {
         let before = fleet(entries, zones);
         for lost in 0..zones.min(4) {
@@ -130,10 +130,10 @@
 
 #[test]
 fn a_plan_hands_over_the_urgent_and_nearly_finished_first() {
-    let open = |text: &str, urgency, left_ms| Open {
+    let open = |text: &str, urgency, left_ms| Request {
         key: key(text),
         urgency,
-        left: Duration::from_millis(left_ms),
+        remaining: Duration::from_millis(left_ms),
         deadline: NOW + Duration::from_mins(1),
         bytes: 1_000_000,
         is_durable: false,
@@ -151,32 +151,32 @@
         open("done-soon", Urgency::Normal, 500),
         open("slower", Urgency::Normal, 25_000),
     ];
-    let bounds = Bounds {
+    let budget = Budget {
         notice: Duration::from_secs(5),
-        // Room for three parcels of a megabyte to two keepers each within 4.5 s.
+        // Enough for three parcels of a megabyte to two keepers each within 4.5 s.
         bytes_per_second: 1_400_000,
         reserve: Duration::from_millis(500),
     };
-    let plan = Plan::new(NOW, open, bounds);
-    let steps: Vec<(&str, Fate)> = plan
+    let plan = Plan::new(NOW, open, budget);
+    let steps: Vec<(&str, Disposition)> = plan
         .steps()
         .iter()
         .map(|(key, fate)| (key.text.as_str(), *fate))
         .collect();
     let expected = [
-        ("urgent-short", Fate::Hand),
-        ("urgent-long", Fate::Hand),
-        ("done-soon", Fate::Finish),
-        ("slow", Fate::Hand),
-        ("slower", Fate::Refuse),
-        ("job", Fate::Leave),
+        ("urgent-short", Disposition::HandOver),
+        ("urgent-long", Disposition::HandOver),
+        ("done-soon", Disposition::Finish),
+        ("slow", Disposition::HandOver),
+        ("slower", Disposition::Refuse),
+        ("job", Disposition::LeaveToPlatform),
     ];
     assert_eq!(steps, expected);
 }
 
 #[test]
-fn crossed_copies_of_one_attempt_end_with_the_furthest() {
-    // The leaving entry sends a parcel, goes on, and sends a later copy. The two cross, in either order.
+fn reordered_copies_of_one_attempt_keep_the_most_advanced() {
+    // The leaving entry sends a parcel and later a copy with more progress. The two arrive in either order.
     let early = parcel("request", running(b"one ", 1));
     let late = parcel("request", running(b"one two ", 2));
     for order in [[&early, &late], [&late, &early]] {
@@ -191,9 +191,9 @@
 }
 
 #[test]
-fn what_was_sent_and_must_not_repeat_never_becomes_sendable_again() {
-    // A shift confirmation was handed over as waiting by one entry and, by the entry that took it up and left as
-    // well, as sent. The older parcel arrives last. If it won, the confirmation would go out a second time.
+fn a_sent_request_that_must_not_repeat_never_becomes_sendable_again() {
+    // One entry handed the request over as waiting. The entry that took it sent it, left as well, and handed it over as
+    // sent. The older parcel arrives last; if it won, the request would be sent a second time.
     let mut sent = parcel("request", Progress::Sent);
     sent.repeatable = false;
     sent.hops = 1;
@@ -215,8 +215,8 @@
 
 #[test]
 fn a_caller_that_comes_back_twice_is_served_once() {
-    // The caller's connection broke and it came back to two entries at once. The first to ask goes on; the second is
-    // told who does, until the first has been silent for long.
+    // The caller reconnects to two entries at once. The first to ask continues the request; the second is referred to
+    // the first until the retake timeout has passed.
     let mut keeper = Keeper::default();
     keeper.put(NOW, parcel("request", running(b"one ", 1)));
     let key = key("request");
@@ -226,7 +226,7 @@
         Retrieval::Elsewhere("first".into())
     );
     assert!(matches!(keeper.take(NOW, &key, &"first".into()), Retrieval::Parcel(_)));
-    let later = NOW + Keeper::RETAKE;
+    let later = NOW + Keeper::RETAKE_TIMEOUT;
     assert!(matches!(
         keeper.take(later, &key, &"second".into()),
         Retrieval::Parcel(_)
@@ -236,7 +236,7 @@
 }
 
 #[test]
-fn parcels_end_at_their_deadlines_and_within_the_room() {
+fn parcels_expire_at_their_deadlines_and_respect_the_capacity() {
     let mut keeper = Keeper::new(parcel("a", Progress::Waiting).size() * 2);
     assert_eq!(keeper.put(NOW, parcel("a", Progress::Waiting)), Receipt::Kept);
     assert_eq!(keeper.put(NOW, parcel("b", Progress::Waiting)), Receipt::Kept);
@@ -254,7 +254,7 @@
 
 #[test]
 fn a_leaving_keeper_hands_its_parcels_on() {
-    // The keeper itself goes. What it holds becomes parcels again, with what is left of their time and one hop more.
+    // The keeper itself leaves. Its parcels keep the rest of their time and get one hop more.
     let mut keeper = Keeper::default();
     keeper.put(NOW, parcel("request", running(b"one ", 1)));
     let drained = keeper.drain(NOW + Duration::from_secs(5));
@@ -279,7 +279,7 @@
 
 quickcheck! {
     fn the_order_of_copies_does_not_matter(copies: Vec<(u8, u8, bool)>) -> bool {
-        // Copies of one request by one attempt, each with some progress, arrive in any order.
+        // Copies of one attempt, each with some progress, arrive in any order.
         let parcels: Vec<Parcel> = copies
             .iter()
             .map(|(length, delivered, is_done)| {
@@ -303,7 +303,7 @@
         end(&mut parcels.iter()) == end(&mut parcels.iter().rev())
     }
 
-    fn any_bytes_are_no_harm(bytes: Vec<u8>) -> bool {
+    fn arbitrary_bytes_decode_or_are_refused(bytes: Vec<u8>) -> bool {
         Question::decode(&bytes).map_or(true, |question| Question::decode(&question.encode()) == Ok(question))
     }
 }
--- a/bergamotshift-fleet/tests/leaving.rs
+++ b/bergamotshift-fleet/tests/leaving.rs
@@ -1,4 +1,4 @@
-//! Leaving marks of endpoints, the VM list's lag, and the watchers of load.
+//! Leaving marks of endpoints, the lag of the VM list, and the watchers of load.
 
 mod support;
 
@@ -18,7 +18,7 @@
     ..Shape::TARGET
 };
 
-fn warm(seed: u64) -> Fleet {
+fn warmed_up(seed: u64) -> Fleet {
     let mut fleet = Fleet::new(MIDDLE, seed);
     fleet.run(Duration::from_secs(40));
     assert!(fleet.has_converged(), "the fleet did not form");
@@ -27,8 +27,9 @@
 
 #[test]
 fn every_entry_knows_of_a_leaving_endpoint_within_three_seconds_under_loss() {
-    // One entry learns that an endpoint goes; new work must stop everywhere. One frame in twenty is lost.
-    let mut fleet = warm(61);
+    // One entry learns that an endpoint leaves, and every entry has to know in time although one frame in twenty is
+    // lost.
+    let mut fleet = warmed_up(61);
     fleet.faults = Faults {
         loss: 0.05,
         ..Faults::default()
@@ -39,9 +40,9 @@
 
 #[test]
 fn a_whole_zone_of_endpoints_leaves_at_once() {
-    // A zone is reclaimed: one entry reads notices for all of its endpoints in the same instant. The wave has to fit
-    // in few datagrams and still reach everybody in time.
-    let mut fleet = warm(62);
+    // One entry reads the notices of all endpoints of a reclaimed zone at once. The burst has to reach every entry in
+    // time.
+    let mut fleet = warmed_up(62);
     let zone: Vec<usize> = (0..MIDDLE.endpoints).filter(|index| index % 5 == 2).collect();
     for &index in &zone {
         let event = Event::EndpointLeaving {
@@ -59,9 +60,9 @@
 
 #[test]
 fn a_lagging_list_brings_nothing_back() {
-    // A notice marks an endpoint. The VM list still shows it as live for a while, and once an even older life of the
-    // VM. Neither takes the mark back. The next life of the same VM is not touched by the mark.
-    let mut fleet = warm(63);
+    // An endpoint is marked as leaving while the VM list still shows it as live, and once an older incarnation of the
+    // VM. Neither revokes the mark, and the mark does not affect the next incarnation of the VM.
+    let mut fleet = warmed_up(63);
     let old = fleet.endpoint(4);
     let event = Event::EndpointLeaving {
         endpoint: old.clone(),
@@ -98,7 +99,7 @@
 
 #[test]
 fn the_list_and_the_endpoint_itself_mark_too() {
-    let mut fleet = warm(64);
+    let mut fleet = warmed_up(64);
     let mut list = fleet.list.clone();
     list[7].state = vm::State::Leaving { notice_ms: 20_000 };
     let by_list = fleet.endpoint(7);
@@ -126,7 +127,7 @@
 
 #[test]
 fn every_endpoint_has_two_watchers_in_its_zone_also_after_deaths() {
-    let mut fleet = warm(65);
+    let mut fleet = warmed_up(65);
     let watchers = |fleet: &Fleet, index: usize| {
         let endpoint = fleet.endpoint(index);
         let watch = |node: &support::Node| node.kernel.watched().any(|other| *other == endpoint);
@@ -146,8 +147,9 @@
 
 #[test]
 fn a_zone_without_entries_is_watched_from_the_others() {
-    // All entries of zone 1 are gone while its endpoints still serve. Their load would be unknown to everybody.
-    let mut fleet = warm(66);
+    // All entries of zone 1 leave while its endpoints still serve. Without watchers in other zones their load would be
+    // unknown.
+    let mut fleet = warmed_up(66);
     for index in (0..MIDDLE.entries).filter(|index| index % 5 == 1) {
         fleet.event(index, Event::Leave);
     }
--- a/bergamotshift-fleet/tests/load.rs
+++ b/bergamotshift-fleet/tests/load.rs
@@ -1,4 +1,4 @@
-//! Load reports on their way through a zone.
+//! Gossip of load reports within a zone.
 
 mod support;
 
@@ -20,11 +20,11 @@
     endpoints: 6,
     zones: 1,
     organisations: 0,
-    ..Shape::TODAY
+    ..Shape::CURRENT
 };
 
-/// Gives an entry a report on the way and returns the sequence of the one that it holds then.
-fn hear(kernel: &mut Kernel, at: u64, endpoint: &endpoint::Id, sequence: u64, age_ds: u8) -> Option<u64> {
+/// Delivers a gossiped report to an entry and returns the sequence number of the report that the entry then holds.
+fn receive_load(kernel: &mut Kernel, at: u64, endpoint: &endpoint::Id, sequence: u64, age_ds: u8) -> Option<u64> {
     let from = kernel.me().address;
     let load = Load {
         endpoint: endpoint.tag(),
@@ -44,15 +44,15 @@
 }
 
 #[test]
-fn an_old_report_never_comes_back_and_a_new_count_is_taken() {
-    // Reports of a count 7 arrived, then nothing for long. A copy of the earlier report 6 that still travels is no
-    // news, however long the silence: taken for a count that began anew, it would be told on for ever. A report 1 that
-    // was made after the silence is such a count. One whose age is off the scale is refused.
+fn an_old_report_is_ignored_and_a_restarted_sequence_is_accepted() {
+    // After report 7 nothing arrives for long. A delayed copy of report 6 must not be taken for a restarted sequence,
+    // or it would circulate forever. Report 1, made after the silence, is a restarted sequence. A report whose age is
+    // saturated is refused.
     let fleet = Fleet::new(ZONE, 81);
     let endpoint = fleet.endpoint(0);
-    // A pause would make the entry forget the reports; here only their order counts.
+    // A pause would clear the reports, and only their order matters here.
     let settings = Settings {
-        pause: Duration::from_mins(10),
+        pause_threshold: Duration::from_mins(10),
         ..Settings::default()
     };
     let me = fleet.nodes[0].kernel.me().clone();
@@ -62,17 +62,17 @@
         Event::VmsListed(fleet.list.clone()),
         &mut Vec::new(),
     );
-    assert_eq!(hear(&mut kernel, 101, &endpoint, 7, 0), Some(7));
-    assert_eq!(hear(&mut kernel, 102, &endpoint, 6, 20), Some(7));
-    assert_eq!(hear(&mut kernel, 120, &endpoint, 6, 210), Some(7));
-    assert_eq!(hear(&mut kernel, 140, &endpoint, 6, u8::MAX), Some(7));
-    assert_eq!(hear(&mut kernel, 141, &endpoint, 1, 3), Some(1));
+    assert_eq!(receive_load(&mut kernel, 101, &endpoint, 7, 0), Some(7));
+    assert_eq!(receive_load(&mut kernel, 102, &endpoint, 6, 20), Some(7));
+    assert_eq!(receive_load(&mut kernel, 120, &endpoint, 6, 210), Some(7));
+    assert_eq!(receive_load(&mut kernel, 140, &endpoint, 6, u8::MAX), Some(7));
+    assert_eq!(receive_load(&mut kernel, 141, &endpoint, 1, 3), Some(1));
 }
 
 #[test]
-fn the_second_watcher_steps_in_when_the_first_falls_silent() {
-    // The first watcher of an endpoint lives and gossips, but gets no reports any more. The entries that watch nothing
-    // have only the second watcher to hear from; while it took its own readings for the first one's it kept silent.
+fn the_second_watcher_publishes_when_the_first_stops() {
+    // The first watcher of an endpoint is alive but gets no reports any more. The second watcher used to count its own
+    // reports as those of the first one and never published.
     let mut fleet = Fleet::new(ZONE, 82);
     fleet.run(Duration::from_secs(40));
     let endpoint = fleet.endpoint(0);
@@ -86,7 +86,7 @@
     for silent in watchers {
         let mut fleet = Fleet::new(ZONE, 82);
         fleet.run(Duration::from_secs(40));
-        fleet.deaf.insert(silent);
+        fleet.without_reports.insert(silent);
         fleet.run(Duration::from_mins(1));
         for (index, node) in fleet.running().filter(|(index, _)| *index != silent) {
             let (_, at) = node.kernel.load(&endpoint).expect("somebody told");
--- a/bergamotshift-fleet/tests/notes.rs
+++ b/bergamotshift-fleet/tests/notes.rs
@@ -1,4 +1,4 @@
-//! News of other parts of an entry.
+//! Notes of other modules of an entry.
 
 use bergamotshift_core::prelude::*;
 use bergamotshift_fleet::member::State;
@@ -17,7 +17,7 @@
     }
 }
 
-/// Has an entry receive one item from another, and returns who is named as the teller of notes.
+/// Delivers one item from another entry and returns the reported origins of notes.
 fn receive(kernel: &mut Kernel, millis: u64, from: &member::Record, item: &wire::Item) -> Vec<Option<name::Entry>> {
     let mut frame = wire::Writer::new(from.tag(), wire::Body::Push, wire::MAX_DATAGRAM);
     assert!(frame.push(item));
@@ -27,17 +27,17 @@
     };
     let mut actions = Vec::new();
     kernel.handle(Instant::from_millis(millis), event, &mut actions);
-    let noted = actions.into_iter().filter_map(|action| match action {
+    let origins = actions.into_iter().filter_map(|action| match action {
         Action::NoteReceived { origin, .. } => Some(origin),
         _ => None,
     });
-    noted.collect()
+    origins.collect()
 }
 
-/// Guards against an entry that joins, hears a note before it knows who told it, and never learns whom to ask for what the note
-/// names, since the same note is no news any more.
+/// A joining entry receives a note before it knows the entry that published it. The note is not new when it arrives
+/// again, so the entry would never learn whom to ask for the content.
 #[test]
-fn a_note_is_told_again_once_its_teller_is_known() {
+fn a_note_is_delivered_again_once_its_origin_is_known() {
     let mut kernel = Kernel::new(Instant::ZERO, record("fresh", 1), Settings::default(), Pcg64Mcg::new(1));
     let first = record("first", 2);
     let item = wire::Item::Note(note::Note {
