--- a/bergamotshift-fleet/tests/pause.rs
+++ b/bergamotshift-fleet/tests/pause.rs
@@ -1,4 +1,4 @@
-//! Entries that stop for a while without knowing it, and lost frames that look like it.
+//! Paused entries, and lost frames that look like pauses.
 
 mod support;
 
@@ -16,10 +16,10 @@
     entries: 39,
     endpoints: 60,
     zones: 1,
-    ..Shape::TODAY
+    ..Shape::CURRENT
 };
 
-fn warm(shape: Shape, seed: u64) -> Fleet {
+fn warmed_up(shape: Shape, seed: u64) -> Fleet {
     let mut fleet = Fleet::new(shape, seed);
     fleet.run(Duration::from_secs(40));
     assert!(fleet.has_converged(), "the fleet did not form");
@@ -28,8 +28,8 @@
 
 #[test]
 fn the_first_thing_after_a_pause_is_to_drop_what_was_held() {
-    // The process is frozen for a minute while it holds a lease. When it goes on, its first event is a frame that
-    // waited in the socket. It has to drop the lease before it acts on that frame, so the order of actions counts.
+    // The process is frozen for a minute while it holds a lease. It has to drop the lease before it handles the first
+    // event after the pause, so the order of actions matters.
     let record = member::Record {
         name: "entry".into(),
         incarnation: Incarnation::new(1),
@@ -57,14 +57,14 @@
 }
 
 #[test]
-fn a_paused_entry_is_given_up_and_comes_back_as_itself() {
-    // One entry of a zone stops for 30 s. The others call it dead. When it goes on, it must not call them dead for the
-    // probes that it left unanswered, and it refutes its own death: the same life with a higher version.
-    let mut fleet = warm(ZONE, 11);
+fn a_paused_entry_is_declared_dead_and_returns_in_the_same_incarnation() {
+    // The others declare an entry dead that stops for 30 s. Afterwards it must not declare them dead for its own
+    // unanswered probes, and it refutes its death with a higher version of the same incarnation.
+    let mut fleet = warmed_up(ZONE, 11);
     fleet.pause(5, Duration::from_secs(30));
     fleet.run(Duration::from_secs(25));
     let name = fleet.nodes[5].kernel.me().name.clone();
-    let thinks = |fleet: &Fleet, state: State| {
+    let count_state = |fleet: &Fleet, state: State| {
         let others = fleet.running().filter(|(index, _)| *index != 5);
         let states = others.filter_map(|(_, node)| {
             let members = node.kernel.members();
@@ -72,39 +72,39 @@
         });
         states.filter(|other| *other == state).count()
     };
-    assert_eq!(thinks(&fleet, State::Dead), 38);
+    assert_eq!(count_state(&fleet, State::Dead), 38);
     fleet.run(Duration::from_secs(6));
     assert!(fleet.is_running(5));
     let took = fleet.run_while_not(Duration::from_secs(30), Fleet::has_converged);
     assert!(took.is_some(), "it stays dead");
-    assert_eq!(thinks(&fleet, State::Alive), 38);
+    assert_eq!(count_state(&fleet, State::Alive), 38);
     assert_eq!(fleet.nodes[5].pauses.len(), 1);
-    let by_it = fleet.nodes[5].opinions.iter();
-    assert_eq!(by_it.filter(|(_, record)| record.state == State::Dead).count(), 0);
+    let own_changes = fleet.nodes[5].member_changes.iter();
+    assert_eq!(own_changes.filter(|(_, record)| record.state == State::Dead).count(), 0);
 }
 
 #[test]
-fn five_in_a_hundred_lost_frames_kill_nobody() {
-    // For ten minutes every twentieth frame is lost. A probe whose direct and indirect tries all fail gives a
-    // suspicion, which the suspect refutes before it runs out. The figures are exact for these seeds.
+fn five_percent_frame_loss_causes_no_deaths() {
+    // One frame in twenty is lost for ten minutes. When the direct and indirect probes of a member all fail, it is
+    // suspected and has to refute in time. The numbers are exact for these seeds.
     let mut deaths = 0;
     let mut suspicions = 0;
     for seed in [21, 22, 23] {
-        let mut fleet = warm(ZONE, seed);
+        let mut fleet = warmed_up(ZONE, seed);
         fleet.faults.loss = 0.05;
         fleet.run(Duration::from_mins(10));
         deaths += fleet.false_deaths();
-        suspicions += fleet.opinions(State::Suspect).count();
+        suspicions += fleet.member_changes(State::Suspect).count();
     }
     assert_eq!(deaths, 0);
     assert!(suspicions <= 39 * 6, "{suspicions} times an entry heard of a suspicion");
 }
 
 #[test]
-fn short_pauses_under_loss_kill_nobody() {
-    // Every 5 s some entry stops for one second, as a busy small VM does, while every twentieth frame is lost. That is
-    // shorter than probe and suspicion together, so nobody may be called dead, and nobody drops what it holds.
-    let mut fleet = warm(ZONE, 31);
+fn short_pauses_under_loss_cause_no_deaths() {
+    // Every 5 s an entry stops for one second, as a busy small VM does, while one frame in twenty is lost. That is
+    // shorter than probe and suspicion together, so nobody may be declared dead or drop its state.
+    let mut fleet = warmed_up(ZONE, 31);
     fleet.faults = Faults {
         loss: 0.05,
         ..Faults::default()
@@ -119,10 +119,10 @@
 }
 
 #[test]
-fn a_later_life_at_an_old_address_is_a_new_member() {
-    // A VM is replaced and gets its predecessor's name and address, faster than any probe notices. The others must not
-    // take the new life for the old one: what the old one held is gone.
-    let mut fleet = warm(ZONE, 41);
+fn a_later_incarnation_at_an_old_address_is_a_new_member() {
+    // A replaced VM gets its predecessor's name and address before any probe notices. The others must not take the new
+    // incarnation for the old one, whose state is lost.
+    let mut fleet = warmed_up(ZONE, 41);
     fleet.kill(9);
     fleet.restart(ZONE, 9, 2);
     let took = fleet.run_while_not(Duration::from_secs(20), Fleet::has_converged);
@@ -137,16 +137,16 @@
 }
 
 #[test]
-fn a_zone_that_leaves_at_once_is_missed_nowhere() {
-    // A whole zone is reclaimed and all of its entries say goodbye in the same instant, then end. Nobody of the zone is
-    // left to pass it on, so each goodbye has to cross into the other zones by itself, under loss too.
+fn a_zone_that_leaves_at_once_is_removed_everywhere() {
+    // All entries of a reclaimed zone announce their leaving at the same time and end. No member of the zone is left to
+    // forward it, so each announcement has to reach the other zones by itself, also under loss.
     for (seed, zones) in [(52, 4), (53, 8)] {
         let shape = Shape {
             entries: 32,
             zones,
-            ..Shape::TODAY
+            ..Shape::CURRENT
         };
-        let mut fleet = warm(shape, seed);
+        let mut fleet = warmed_up(shape, seed);
         fleet.faults.loss = 0.05;
         let leaving: Vec<usize> = (0..shape.entries).filter(|index| index % zones == 1).collect();
         for &node in &leaving {
@@ -163,9 +163,9 @@
 
 #[test]
 fn a_goodbye_is_final_and_quick() {
-    // An entry that leaves on purpose says so; nobody waits for a probe to fail. Late news that it lives changes
-    // nothing.
-    let mut fleet = warm(ZONE, 51);
+    // An entry that leaves on purpose announces it, so nobody waits for a failed probe. Late updates that it is alive
+    // are ignored.
+    let mut fleet = warmed_up(ZONE, 51);
     fleet.event(3, Event::Leave);
     fleet.run(Duration::from_millis(100));
     fleet.kill(3);
--- a/bergamotshift-fleet/tests/support/build.rs
+++ b/bergamotshift-fleet/tests/support/build.rs
@@ -18,7 +18,7 @@
 use super::Occurrence;
 use super::Traffic;
 
-/// How large a fleet is.
+/// Size of a fleet.
 #[derive(Clone, Copy, Debug)]
 pub struct Shape {
     pub entries: usize,
@@ -30,8 +30,8 @@
 }
 
 impl Shape {
-    /// One deployment of today.
-    pub const TODAY: Self = Self {
+    /// Size of a current deployment.
+    pub const CURRENT: Self = Self {
         entries: 8,
         endpoints: 16,
         zones: 4,
@@ -40,7 +40,7 @@
         services: 2,
     };
 
-    /// The size to design for.
+    /// Size that the fleet is designed for.
     pub const TARGET: Self = Self {
         entries: 390,
         endpoints: 600,
@@ -57,7 +57,7 @@
         Self::with(shape, seed, &Settings::default())
     }
 
-    /// Starts a fleet with settings of its own.
+    /// Starts a fleet with the given settings.
     pub fn with(shape: Shape, seed: u64, settings: &Settings) -> Self {
         let mut random = Pcg64Mcg::new(u128::from(seed) << 1 | 1);
         let mut fleet = Self {
@@ -69,14 +69,14 @@
                 .map(|index| endpoint_listing(shape, index))
                 .collect(),
             organisations: shape.organisations,
-            deaf: BTreeSet::new(),
+            without_reports: BTreeSet::new(),
             zone_cuts: BTreeSet::new(),
             node_cuts: BTreeSet::new(),
             regions: (0..shape.zones)
                 .map(|zone| zone * shape.regions / shape.zones)
                 .collect(),
             addresses: BTreeMap::new(),
-            agenda: BinaryHeap::new(),
+            queue: BinaryHeap::new(),
             count: 0,
             random: Pcg64Mcg::new(random.random()),
         };
@@ -100,7 +100,7 @@
         fleet
     }
 
-    /// Starts an entry anew at its old address, as a later life.
+    /// Restarts an entry at its old address with the given incarnation.
     pub fn restart(&mut self, shape: Shape, node: usize, incarnation: u64) {
         let settings = Settings {
             seeds: vec![address(0), address(1)],
@@ -108,15 +108,15 @@
         };
         let random = Pcg64Mcg::new(self.random.random());
         let kernel = Kernel::new(self.now, record(shape, node, incarnation), settings, random);
-        let life = self.nodes[node].life + 1;
+        let restarts = self.nodes[node].restarts + 1;
         self.nodes[node] = Node {
-            life,
+            restarts,
             ..Node::start(kernel, node % shape.zones)
         };
         self.event(node, Event::VmsListed(self.list.clone()));
     }
 
-    /// Returns the id of a listed endpoint.
+    /// Returns the ID of a listed endpoint.
     pub fn endpoint(&self, index: usize) -> endpoint::Id {
         endpoint::Id {
             vm: self.list[index].name.clone(),
@@ -133,11 +133,11 @@
             is_up: true,
             paused_until: Instant::ZERO,
             marked: BTreeMap::new(),
-            noted: BTreeMap::new(),
-            opinions: Vec::new(),
+            notes_received: BTreeMap::new(),
+            member_changes: Vec::new(),
             pauses: Vec::new(),
             wake: Instant::ZERO,
-            life: 0,
+            restarts: 0,
         }
     }
 }
@@ -146,7 +146,7 @@
     ([10, 0, (index >> 8) as u8, index as u8], 7_100).into()
 }
 
-/// Returns the name of a zone by its number.
+/// Returns the name of a zone by its index.
 pub fn zone_name(index: usize) -> name::Zone {
     name::Zone::new(format!("zone-{index:02}"))
 }
--- a/bergamotshift-fleet/tests/support/mod.rs
+++ b/bergamotshift-fleet/tests/support/mod.rs
@@ -1,7 +1,7 @@
-//! A seeded faulty network in virtual time, under real kernels.
+//! Simulated network with seeded faults, in virtual time, that connects real kernels.
 //!
-//! Bytes are counted as they would be on the wire: IP and UDP headers, QUIC's short header and seal, acknowledgements
-//! (alone, or along with a frame sent within 25 ms) and the handshakes of connections.
+//! Traffic is counted as on the wire: IP and UDP headers, QUIC's short header and seal, acknowledgements (alone, or
+//! along with a frame sent within 25 ms) and the handshakes of connections.
 
 #![allow(dead_code, reason = "each test file uses its own part of the harness")]
 
@@ -25,12 +25,12 @@
 pub use build::Shape;
 pub use traffic::Traffic;
 
-/// What goes wrong on the way, for every frame alike.
+/// Network faults, equal for all frames.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Faults {
     pub loss: f64,
     pub duplicate: f64,
-    /// Extra delay of up to this.
+    /// Maximum extra delay.
     pub jitter: Duration,
 }
 
@@ -41,11 +41,11 @@
     pub is_up: bool,
     pub paused_until: Instant,
     pub marked: BTreeMap<endpoint::Id, Instant>,
-    pub noted: BTreeMap<u64, Instant>,
-    pub opinions: Vec<(Instant, member::Record)>,
+    pub notes_received: BTreeMap<u64, Instant>,
+    pub member_changes: Vec<(Instant, member::Record)>,
     pub pauses: Vec<Duration>,
     wake: Instant,
-    life: u64,
+    restarts: u64,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -53,7 +53,7 @@
     Deliver {
         from: usize,
         to: usize,
-        life: u64,
+        restarts: u64,
         is_datagram: bool,
         bytes: Vec<u8>,
     },
@@ -69,7 +69,7 @@
     },
 }
 
-/// The fleet, the network and the clock.
+/// Simulated fleet with its network and clock.
 pub struct Fleet {
     pub now: Instant,
     pub nodes: Vec<Node>,
@@ -78,26 +78,26 @@
     pub list: Vec<vm::Listing>,
     pub organisations: usize,
     /// Entries that get no load reports.
-    pub deaf: BTreeSet<usize>,
+    pub without_reports: BTreeSet<usize>,
     /// Cut directions, as (from zone, to zone).
     pub zone_cuts: BTreeSet<(usize, usize)>,
     /// Cut directions, as (from node, to node).
     pub node_cuts: BTreeSet<(usize, usize)>,
     regions: Vec<usize>,
     addresses: BTreeMap<SocketAddr, usize>,
-    agenda: BinaryHeap<Reverse<(Instant, u64, Occurrence)>>,
+    queue: BinaryHeap<Reverse<(Instant, u64, Occurrence)>>,
     count: u64,
     random: Pcg64Mcg,
 }
 
 impl Fleet {
-    /// Runs the clock forward.
+    /// Advances the clock.
     pub fn run(&mut self, length: Duration) {
         let end = self.now + length;
         self.run_until(end, |_| false);
     }
 
-    /// Runs until `done` holds, looking every 100 ms; returns how long that took, or `None` after `limit`.
+    /// Runs until `done` holds, checked every 100 ms. Returns the time that it took, or `None` after `limit`.
     pub fn run_while_not(&mut self, limit: Duration, done: impl Fn(&Self) -> bool) -> Option<Duration> {
         const STEP: Duration = Duration::from_millis(100);
         let start = self.now;
@@ -111,20 +111,20 @@
     }
 
     fn run_until(&mut self, end: Instant, stop: impl Fn(&Self) -> bool) {
-        while let Some(Reverse((at, ..))) = self.agenda.peek() {
+        while let Some(Reverse((at, ..))) = self.queue.peek() {
             if *at > end || stop(self) {
                 break;
             }
-            let Some(Reverse((at, _, occurrence))) = self.agenda.pop() else {
+            let Some(Reverse((at, _, occurrence))) = self.queue.pop() else {
                 break;
             };
             self.now = at;
-            self.occur(occurrence);
+            self.process(occurrence);
         }
         self.now = end;
     }
 
-    fn occur(&mut self, occurrence: Occurrence) {
+    fn process(&mut self, occurrence: Occurrence) {
         let now = self.now;
         match occurrence {
             Occurrence::Wake { node } => {
@@ -135,7 +135,7 @@
             Occurrence::Deliver {
                 from,
                 to,
-                life,
+                restarts,
                 is_datagram,
                 bytes,
             } => {
@@ -149,7 +149,7 @@
                         Occurrence::Deliver {
                             from,
                             to,
-                            life,
+                            restarts,
                             is_datagram,
                             bytes,
                         },
@@ -162,20 +162,20 @@
                 self.event(to, Event::Received { from, bytes });
             }
             Occurrence::Acknowledge { node, peer } => self.traffic.acknowledge(now, node, peer),
-            Occurrence::Second { node } => self.second(node),
+            Occurrence::Second { node } => self.report_load(node),
         }
     }
 
-    /// Gives an entry the load reports of what it watches and its own use, once a second.
-    fn second(&mut self, node: usize) {
+    /// Delivers the load reports of the watched endpoints and the entry's own usage, once a second.
+    fn report_load(&mut self, node: usize) {
         let next = self.now + Duration::from_secs(1);
         self.schedule(next, Occurrence::Second { node });
         if !self.is_running(node) {
             return;
         }
-        let is_deaf = self.deaf.contains(&node);
+        let is_without_reports = self.without_reports.contains(&node);
         let watched = self.nodes[node].kernel.watched();
-        let watched: Vec<endpoint::Id> = watched.filter(|_| !is_deaf).cloned().collect();
+        let watched: Vec<endpoint::Id> = watched.filter(|_| !is_without_reports).cloned().collect();
         for endpoint in watched {
             let report = bergamotshift_core::load::Report {
                 sequence: self.now.as_micros() / 1_000_000,
@@ -196,7 +196,7 @@
         }
     }
 
-    /// Gives an entry an event and carries out its actions.
+    /// Delivers an event to an entry and executes the resulting actions.
     pub fn event(&mut self, node: usize, event: Event) {
         if !self.is_running(node) {
             return;
@@ -221,9 +221,9 @@
                 self.nodes[node].marked.insert(mark.endpoint, now);
             }
             Action::NoteReceived { note, .. } => {
-                self.nodes[node].noted.insert(note.version, now);
+                self.nodes[node].notes_received.insert(note.version, now);
             }
-            Action::MemberChanged(record) => self.nodes[node].opinions.push((now, record)),
+            Action::MemberChanged(record) => self.nodes[node].member_changes.push((now, record)),
             Action::Paused { gap } => self.nodes[node].pauses.push(gap),
             _ => {}
         }
@@ -242,12 +242,12 @@
         self.traffic.sent(self.now, from, to, bytes.len());
         let (from_zone, to_zone) = (self.nodes[from].zone, self.nodes[to].zone);
         let is_cut = self.zone_cuts.contains(&(from_zone, to_zone)) || self.node_cuts.contains(&(from, to));
-        // A stream repeats what is lost, so only a cut stops it; its repeats are not counted.
+        // A stream retransmits lost frames, so only a cut stops it; retransmissions are not counted.
         if is_cut || (is_datagram && self.random.random_bool(self.faults.loss)) {
             return;
         }
         let copies = 1 + usize::from(self.random.random_bool(self.faults.duplicate));
-        let life = self.nodes[to].life;
+        let restarts = self.nodes[to].restarts;
         for _ in 0..copies {
             let delay = self.delay(from_zone, to_zone) + self.faults.jitter.mul_f64(self.random.random::<f64>());
             let bytes = bytes.to_vec();
@@ -256,7 +256,7 @@
                 Occurrence::Deliver {
                     from,
                     to,
-                    life,
+                    restarts,
                     is_datagram,
                     bytes,
                 },
@@ -277,20 +277,20 @@
 
     fn schedule(&mut self, at: Instant, occurrence: Occurrence) {
         self.count += 1;
-        self.agenda.push(Reverse((at, self.count, occurrence)));
+        self.queue.push(Reverse((at, self.count, occurrence)));
     }
 
-    /// Returns whether an entry runs now.
+    /// Returns whether an entry is up and not paused.
     pub fn is_running(&self, node: usize) -> bool {
         self.nodes[node].is_up && self.nodes[node].paused_until <= self.now
     }
 
-    /// Stops an entry without a word.
+    /// Stops an entry without an announcement.
     pub fn kill(&mut self, node: usize) {
         self.nodes[node].is_up = false;
     }
 
-    /// Freezes an entry; what arrives meanwhile is delivered when it wakes up.
+    /// Pauses an entry; frames that arrive meanwhile are delivered when it resumes.
     pub fn pause(&mut self, node: usize, length: Duration) {
         let until = self.now + length;
         self.nodes[node].paused_until = until;
@@ -298,19 +298,19 @@
         self.schedule(until, Occurrence::Wake { node });
     }
 
-    /// Cuts two zones off from each other, both ways.
+    /// Cuts two zones off from each other in both directions.
     pub fn cut_zones(&mut self, left: usize, right: usize) {
         self.zone_cuts.insert((left, right));
         self.zone_cuts.insert((right, left));
     }
 
-    /// Mends a cut.
+    /// Removes the cut between two zones.
     pub fn heal_zones(&mut self, left: usize, right: usize) {
         self.zone_cuts.remove(&(left, right));
         self.zone_cuts.remove(&(right, left));
     }
 
-    /// Returns the entries that run.
+    /// Returns the running entries.
     pub fn running(&self) -> impl Iterator<Item = (usize, &Node)> {
         self.nodes
             .iter()
@@ -318,7 +318,7 @@
             .filter(|(index, _)| self.is_running(*index))
     }
 
-    /// Returns whether every running entry holds exactly the running entries for live.
+    /// Returns whether the live members in every running entry's view are exactly the running entries.
     pub fn has_converged(&self) -> bool {
         let truth: BTreeSet<(&name::Entry, u64)> = self
             .running()
@@ -336,23 +336,23 @@
         })
     }
 
-    /// Returns how often an entry that ran was called dead by another.
+    /// Returns how often an entry that was up was declared dead by another.
     pub fn false_deaths(&self) -> usize {
         let is_up = |record: &member::Record| {
             self.nodes
                 .iter()
                 .any(|node| node.is_up && node.kernel.me().tag() == record.tag())
         };
-        self.opinions(member::State::Dead)
+        self.member_changes(member::State::Dead)
             .filter(|record| is_up(record))
             .count()
     }
 
-    /// Returns the opinions of a kind that the entries came to.
-    pub fn opinions(&self, state: member::State) -> impl Iterator<Item = &member::Record> {
+    /// Returns the member changes to `state` that the entries reported.
+    pub fn member_changes(&self, state: member::State) -> impl Iterator<Item = &member::Record> {
         self.nodes
             .iter()
-            .flat_map(|node| &node.opinions)
+            .flat_map(|node| &node.member_changes)
             .map(|(_, record)| record)
             .filter(move |record| record.state == state)
     }
--- a/bergamotshift-fleet/tests/support/traffic.rs
+++ b/bergamotshift-fleet/tests/support/traffic.rs
@@ -1,25 +1,25 @@
-//! Counts what the frames would take on the wire.
+//! Counts the traffic that the frames would cause on the wire.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use bergamotshift_core::clock::Instant;
 
-/// IP and UDP headers, and QUIC's short header, frame header and seal.
+/// Overhead of a packet in bytes: IP and UDP headers, QUIC's short header, frame header and seal.
 const PACKET: u64 = 28 + 30;
-/// An acknowledgement along with another frame, and one alone in a packet.
+/// Bytes of an acknowledgement, in a packet with another frame and in one of its own.
 const ACK_ALONG: u64 = 5;
 const ACK_ALONE: u64 = PACKET + ACK_ALONG;
-/// Content of a full packet.
+/// Payload of a full packet in bytes.
 const FULL: usize = 1_150;
-/// QUIC may hold an acknowledgement back this long.
+/// Time that QUIC may delay an acknowledgement.
 const ACK_DELAY: Duration = Duration::from_millis(25);
-/// A connection without traffic is closed after this.
+/// Idle time after which a connection is closed.
 const IDLE: Duration = Duration::from_mins(10);
-/// A handshake with certificates on both sides: padded first flights and two chains, in each direction.
+/// Bytes of a handshake with certificates on both sides in each direction: padded first flights and two chains.
 const HANDSHAKE: u64 = 3_600;
 
-/// Bytes and packets per entry.
+/// Traffic per entry.
 #[derive(Clone, Debug)]
 pub struct Traffic {
     pub bytes_sent: Vec<u64>,
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Starts counting anew; connections stay.
+    /// Resets the counters; connections stay open.
     pub fn reset(&mut self) {
         for counts in [
             &mut self.bytes_sent,
@@ -67,7 +67,7 @@
         self.frames[from] += 1;
     }
 
-    /// Counts a received frame, and returns when its acknowledgement is due.
+    /// Counts a received frame and returns the time at which its acknowledgement is due.
     pub(super) fn received(&mut self, now: Instant, from: usize, to: usize, length: usize) -> Instant {
         let packets = length.div_ceil(FULL).max(1) as u64;
         self.bytes_received[to] += length as u64 + packets * PACKET;
--- a/bergamotshift-fleet/tests/support/trial.rs
+++ b/bergamotshift-fleet/tests/support/trial.rs
@@ -1,4 +1,4 @@
-//! Measures how long news takes to reach every entry.
+//! Measures the time in which updates reach all entries.
 
 use std::time::Duration;
 
@@ -8,15 +8,15 @@
 
 use super::Fleet;
 
-/// Times until the entries knew something.
+/// Times after which the entries knew an update.
 #[derive(Clone, Debug, Default)]
 pub struct Spread {
     pub times: Vec<Duration>,
-    /// Entries that did not know in time.
+    /// Entries that did not know it in time.
     pub missed: usize,
 }
 
-/// Returns the value below which this share of the sorted values lies.
+/// Returns the smallest value that at least this share of the values does not exceed.
 pub fn percentile<T: Copy + Ord>(values: &[T], share: f64) -> Option<T> {
     let mut sorted = values.to_vec();
     sorted.sort_unstable();
@@ -25,42 +25,42 @@
 }
 
 impl Spread {
-    fn take(&mut self, start: Instant, at: Option<Instant>) {
+    fn record(&mut self, start: Instant, at: Option<Instant>) {
         match at {
             Some(at) => self.times.push(at.since(start)),
             None => self.missed += 1,
         }
     }
 
-    /// Returns p50, p99 and the largest time in milliseconds.
+    /// Returns the 50th and 99th percentile and the maximum, in milliseconds.
     pub fn summary(&self) -> [u128; 3] {
         [0.5, 0.99, 1.0].map(|share| percentile(&self.times, share).unwrap_or_default().as_millis())
     }
 }
 
 impl Fleet {
-    /// Lets one entry after the other learn that an endpoint leaves, and times the others.
+    /// Lets one random entry per trial learn that an endpoint leaves, and measures when the others know.
     pub fn leaving_spread(&mut self, trials: usize, wait: Duration) -> Spread {
         let mut spread = Spread::default();
         for trial in 0..trials {
             let endpoint = self.endpoint(trial);
-            let learner = self.random.random_range(0..self.nodes.len());
+            let observer = self.random.random_range(0..self.nodes.len());
             let start = self.now;
             let event = Event::EndpointLeaving {
                 endpoint: endpoint.clone(),
                 source: mark::Source::Notice,
                 notice_ms: Some(5_000),
             };
-            self.event(learner, event);
+            self.event(observer, event);
             self.run(wait);
             for (_, node) in self.running() {
-                spread.take(start, node.marked.get(&endpoint).copied());
+                spread.record(start, node.marked.get(&endpoint).copied());
             }
         }
         spread
     }
 
-    /// Lets one entry after the other announce a new configuration, and times the others.
+    /// Lets one random entry per trial announce a new configuration, and measures when the others know.
     pub fn note_spread(&mut self, trials: usize, wait: Duration) -> Spread {
         let mut spread = Spread::default();
         for version in 1..=trials as u64 {
@@ -75,13 +75,13 @@
             self.event(first, event);
             self.run(wait);
             for (_, node) in self.running().filter(|(index, _)| *index != first) {
-                spread.take(start, node.noted.get(&version).copied());
+                spread.record(start, node.notes_received.get(&version).copied());
             }
         }
         spread
     }
 
-    /// Kills one entry after the other and times until the others know.
+    /// Kills one random entry per trial and measures when the others know.
     pub fn death_spread(&mut self, trials: usize, wait: Duration) -> Spread {
         let mut spread = Spread::default();
         for _ in 0..trials {
@@ -92,16 +92,16 @@
             self.run(wait);
             let tag = self.nodes[victim].kernel.me().tag();
             for (_, node) in self.running() {
-                let mut opinions = node.opinions.iter();
-                let dead = opinions
+                let mut member_changes = node.member_changes.iter();
+                let dead = member_changes
                     .find(|(at, record)| *at >= start && record.tag() == tag && record.state == member::State::Dead);
-                spread.take(start, dead.map(|(at, _)| *at));
+                spread.record(start, dead.map(|(at, _)| *at));
             }
         }
         spread
     }
 
-    /// Counts traffic for a while: sent and received bytes per second and entry, sorted.
+    /// Returns the bytes that each entry sends and receives per second within a window, sorted.
     pub fn bytes_per_second(&mut self, window: Duration) -> Vec<u64> {
         self.traffic.reset();
         self.run(window);
@@ -113,14 +113,14 @@
         rates
     }
 
-    /// Returns how old the loads are that the entries hold of their own zone's endpoints, and how many are missing.
+    /// Returns the ages of the loads that entries hold of their own zone's endpoints, and the number of missing ones.
     pub fn load_ages(&self) -> Spread {
         let mut spread = Spread::default();
         for (_, node) in self.running() {
             let zone = &node.kernel.me().zone;
             for known in node.kernel.directory().iter().filter(|known| known.zone == *zone) {
-                let heard = node.kernel.load(&known.id);
-                match heard {
+                let load = node.kernel.load(&known.id);
+                match load {
                     Some((_, at)) => spread.times.push(self.now.since(at)),
                     None => spread.missed += 1,
                 }
@@ -129,10 +129,10 @@
         spread
     }
 
-    /// Returns the most news that waits at any entry.
+    /// Returns the length of the longest queue of updates.
     pub fn longest_queue(&self) -> usize {
         self.running()
-            .map(|(_, node)| node.kernel.pending_news())
+            .map(|(_, node)| node.kernel.pending_updates())
             .max()
             .unwrap_or(0)
     }
--- a/bergamotshift-fleet/tests/wire.rs
+++ b/bergamotshift-fleet/tests/wire.rs
@@ -1,4 +1,4 @@
-//! Frames: what is written is read back, and what cannot be read does no harm.
+//! Frames: encoding round trips, and malformed input is refused without harm.
 
 use bergamotshift_core::prelude::*;
 use bergamotshift_fleet::load;
@@ -44,14 +44,14 @@
 }
 
 #[test]
-fn a_frame_survives_the_wire() {
+fn a_frame_round_trips() {
     assert_eq!(Frame::decode(&frame().encode()), Ok(frame()));
 }
 
 #[test]
-fn news_of_an_unknown_kind_is_skipped() {
-    // A newer entry sends a kind of news that this version does not know, between kinds that it knows. The rest of
-    // the frame still counts, else the first upgraded entry would cut itself off.
+fn items_of_an_unknown_kind_are_skipped() {
+    // A newer entry sends a kind of item that this version does not know. The other items still count; otherwise the
+    // first upgraded entry would cut itself off.
     let mut bytes = frame().encode();
     bytes.extend([200, 3, 1, 2, 3]);
     assert_eq!(Frame::decode(&bytes), Ok(frame()));
@@ -86,7 +86,7 @@
 }
 
 quickcheck! {
-    fn any_bytes_are_read_or_refused(bytes: Vec<u8>) -> bool {
+    fn arbitrary_bytes_decode_or_are_refused(bytes: Vec<u8>) -> bool {
         Frame::decode(&bytes).map_or(true, |frame| Frame::decode(&frame.encode()) == Ok(frame))
     }
 
@@ -97,8 +97,8 @@
         Frame::decode(&bytes).map_or(true, |frame| frame.items.len() <= bytes.len())
     }
 
-    fn a_quantised_figure_is_within_a_tenth(figure: u32) -> bool {
-        let restored = f64::from(load::restore(load::quantise(figure)));
-        (restored - f64::from(figure)).abs() <= f64::from(figure) * 0.1 + 0.5
+    fn a_quantised_value_is_within_a_tenth(value: u32) -> bool {
+        let restored = f64::from(load::dequantise(load::quantise(value)));
+        (restored - f64::from(value)).abs() <= f64::from(value) * 0.1 + 0.5
     }
 }
