--- a/bergamotshift-forward/src/serve/choose.rs
+++ b/bergamotshift-forward/src/serve/choose.rs
@@ -165,7 +165,7 @@
         // A repeat goes to the version in force.
         let canary = service.canary_for(job.is_canary && history.tried.is_empty());
         let candidate = placed.or_else(|| {
-            let recall = self.shared.recall();
+            let recall = self.shared.cache_index();
             let choice = choice::choose_with_canary(&self.weights, now, service, canary, &request, &recall)?;
             Some(Candidate {
                 choice,
@@ -206,7 +206,7 @@
             .iter()
             .filter(|endpoint| endpoint.registration.zone == *zone);
         let here: Vec<_> = here.cloned().collect();
-        let choice = choice::choose(&self.weights, now, &here, request, &self.shared.recall());
+        let choice = choice::choose(&self.weights, now, &here, request, &self.shared.cache_index());
         choice.ok_or_else(|| {
             let refusal = self.closed(now, service, history);
             if refusal.reason == Reason::NoEndpoint {
@@ -219,7 +219,7 @@
 
     /// Notes what decided that no endpoint is expected to answer in time.
     fn overloaded(&self, now: Instant, job: &Job, choice: &Choice, left: f64) {
-        if let Some((logger, left_out)) = self.shared.log.room(now, Topic::Limit) {
+        if let Some((logger, left_out)) = self.shared.log.rate_limited(now, Topic::Limit) {
             info!(logger, "no endpoint in time"; "request" => job.ask.id.as_str(),
                 "route" => job.route.name.as_str(), "best" => choice.endpoint.registration.id.as_str(),
                 "expected_ms" => choice.cost as u64, "useful_ms" => left as u64,
