--- a/bergamotshift-fleet/src/kernel/probe.rs
+++ b/bergamotshift-fleet/src/kernel/probe.rs
@@ -180,7 +180,8 @@
         }
     }
 
-    /// Suspects a member and gossips the suspicion. The suspect itself is told at once, so that it can refute in time.
+    /// Suspects a member and gossips the suspicion. The suspect itself is notified at once, so that it can refute in
+    /// time.
     fn suspect(&mut self, now: Instant, target: key::Entry, out: &mut Vec<Action>) {
         let Some(record) = self.members.get(target) else { return };
         if record.state != member::State::Alive {
--- a/bergamotshift-fleet/src/kernel/speaker.rs
+++ b/bergamotshift-fleet/src/kernel/speaker.rs
@@ -77,8 +77,8 @@
     /// Returns the speakers of all other zones, in random order.
     pub(super) fn remote_speakers(&mut self) -> Vec<key::Entry> {
         let own = &self.me.zone;
-        let far = self.speakers.by_zone.iter().filter(|(zone, _)| *zone != own);
-        let mut all: Vec<key::Entry> = far.flat_map(|(_, keys)| keys.iter().copied()).collect();
+        let remote = self.speakers.by_zone.iter().filter(|(zone, _)| *zone != own);
+        let mut all: Vec<key::Entry> = remote.flat_map(|(_, keys)| keys.iter().copied()).collect();
         all.shuffle(&mut self.random);
         all
     }
@@ -104,7 +104,7 @@
     }
 
     /// Returns some speakers of each other zone, chosen by this entry's tag so that the load of many entries is spread.
-    pub(super) fn speakers_of_other_zones(&self) -> Vec<key::Entry> {
+    pub(super) fn some_remote_speakers(&self) -> Vec<key::Entry> {
         let own = &self.me.zone;
         let others = self.speakers.by_zone.iter().filter(|(zone, _)| *zone != own);
         others
--- a/bergamotshift-fleet/src/kernel/update.rs
+++ b/bergamotshift-fleet/src/kernel/update.rs
@@ -19,9 +19,9 @@
 /// Origin of an update; decides where it is forwarded to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Origin {
-    /// This entry.
+    /// This entry, or a newcomer of another zone or of an unknown one, which has contacted only this entry.
     Local,
-    /// Another entry of the zone.
+    /// Another entry of the own zone.
     SameZone,
     /// Another zone.
     OtherZone,
@@ -104,7 +104,7 @@
         let mut receivers = self.zone_peers();
         receivers.shuffle(&mut self.random);
         receivers.truncate(self.settings.fanout);
-        receivers.extend(self.speakers_of_other_zones());
+        receivers.extend(self.some_remote_speakers());
         self.me.state = member::State::Left;
         self.members.merge(self.me.clone());
         let announcement = Item::Member(self.me.clone());
@@ -120,7 +120,7 @@
 
     pub(super) fn apply_member(&mut self, now: Instant, record: member::Record, origin: Origin, out: &mut Vec<Action>) {
         if record.name == self.me.name {
-            self.refute(now, &record, out);
+            self.handle_own_record(now, &record, out);
             return;
         }
         let is_known = self.members.find(&record.name).is_some();
@@ -151,14 +151,14 @@
             .or_insert_with(|| crate::zone::View::new(now));
         out.push(Action::MemberChanged(record.clone()));
         if self.unresolved_origins.remove(&record.tag()) {
-            self.resolve_origin(now, &record, out);
+            self.report_notes_of(now, &record, out);
         }
         self.queue_urgent(now, Item::Member(record), origin);
     }
 
-    /// Reports the notes of a member that was unknown when they arrived. The note itself is not new when it arrives
-    /// again, so it would not be reported a second time.
-    fn resolve_origin(&self, now: Instant, record: &member::Record, out: &mut Vec<Action>) {
+    /// Reports notes again whose origin was not a known member when they arrived. The note itself is not new when it
+    /// arrives again, so it would not be reported a second time.
+    fn report_notes_of(&self, now: Instant, record: &member::Record, out: &mut Vec<Action>) {
         let tag = record.tag();
         let notes = self.notes.iter(now).filter(|note| note.origin == tag);
         out.extend(notes.map(|note| Action::NoteReceived {
@@ -167,8 +167,9 @@
         }));
     }
 
-    /// Refutes a record that wrongly describes this entry as suspect, dead or left.
-    fn refute(&mut self, now: Instant, record: &member::Record, out: &mut Vec<Action>) {
+    /// Handles a record about this entry: refutes it if it wrongly says that this incarnation is suspect, dead or left,
+    /// and reports a later incarnation.
+    fn handle_own_record(&mut self, now: Instant, record: &member::Record, out: &mut Vec<Action>) {
         if record.incarnation > self.me.incarnation {
             out.push(Action::Superseded);
             return;
