--- a/bergamotshift-forward/tests/daemon/endpoint.rs
+++ b/bergamotshift-forward/tests/daemon/endpoint.rs
@@ -127,7 +127,7 @@
         mut stream: TcpStream,
         script: &(dyn Fn(&Request, usize, &mut TcpStream) -> io::Result<Connection> + Send + Sync),
     ) {
-        while let Ok(Some(request)) = read(&mut stream) {
+        while let Ok(Some(request)) = read_request(&mut stream) {
             let earlier = {
                 let mut all = lock(&self.requests);
                 all.push(request.clone());
@@ -143,8 +143,8 @@
 }
 
 /// Reads one request; `None` when the connection has ended.
-fn read(stream: &mut TcpStream) -> io::Result<Option<Request>> {
-    let Some(head) = head(stream)? else {
+fn read_request(stream: &mut TcpStream) -> io::Result<Option<Request>> {
+    let Some(head) = read_head(stream)? else {
         return Ok(None);
     };
     let length = header(&head, "content-length")
@@ -156,7 +156,7 @@
 }
 
 /// Reads a head with its final blank line; `None` when the connection has ended.
-pub fn head(stream: &mut TcpStream) -> io::Result<Option<String>> {
+pub fn read_head(stream: &mut TcpStream) -> io::Result<Option<String>> {
     let mut head = Vec::new();
     let mut byte = [0];
     while !head.ends_with(b"\r\n\r\n") {
--- a/bergamotshift-forward/tests/daemon/growth.rs
+++ b/bergamotshift-forward/tests/daemon/growth.rs
@@ -11,7 +11,7 @@
 use socket2::Type;
 
 use crate::endpoint::Endpoint;
-use crate::endpoint::head;
+use crate::endpoint::read_head;
 use crate::link::Link;
 use crate::outside::lock;
 use crate::site::Caller;
@@ -129,7 +129,7 @@
     // Version 0 means that the asking entry has no document.
     let question = b"POST /document HTTP/1.1\r\nhost: e\r\ncontent-length: 1\r\n\r\n\0";
     stream.write_all(question).expect("the connection stands");
-    let head = head(&mut stream).expect("an answer comes").expect("it has a head");
+    let head = read_head(&mut stream).expect("an answer comes").expect("it has a head");
     let status = head.split(' ').nth(1).and_then(|status| status.parse().ok());
     (stream, status.expect("a status"))
 }
--- a/bergamotshift-forward/tests/daemon/link.rs
+++ b/bergamotshift-forward/tests/daemon/link.rs
@@ -18,8 +18,8 @@
 use bergamotshift_forward::peers::Reply;
 use bergamotshift_forward::peers::State;
 
-use crate::endpoint::head;
 use crate::endpoint::header;
+use crate::endpoint::read_head;
 use crate::outside::lock;
 
 /// Path of the exchange of states between entries, as it appears in a request line.
@@ -66,11 +66,11 @@
             .collect();
         let address = |listener: &TcpListener| listener.local_addr().expect("it is bound");
         let addresses: Vec<SocketAddr> = listeners.iter().map(address).collect();
-        let unused_address = TcpListener::bind("127.0.0.1:0").expect("a port is free");
+        let unused_listener = TcpListener::bind("127.0.0.1:0").expect("a port is free");
         let link = Self {
             shared: Arc::new(Shared {
                 link_addresses: entries.iter().copied().zip(addresses.iter().copied()).collect(),
-                unused_address: address(&unused_address),
+                unused_address: address(&unused_listener),
                 bandwidth: Mutex::default(),
                 large_answers: AtomicUsize::new(0),
                 is_stalled: AtomicBool::new(false),
@@ -104,12 +104,12 @@
 impl Shared {
     fn forward(&self, mut client: TcpStream, entry: SocketAddr) -> io::Result<()> {
         let mut server = TcpStream::connect(entry)?;
-        while let Some(query) = head(&mut client)? {
+        while let Some(query) = read_head(&mut client)? {
             let body = read_body(&mut client, &query)?;
             let is_exchange = query.contains(EXCHANGE_PATH);
             let body = if is_exchange { self.rewrite_query(&body) } else { body };
             send(&mut server, &query, &body)?;
-            let Some(answer) = head(&mut server)? else {
+            let Some(answer) = read_head(&mut server)? else {
                 return Ok(());
             };
             let body = read_body(&mut server, &answer)?;
--- a/bergamotshift-forward/tests/daemon/site.rs
+++ b/bergamotshift-forward/tests/daemon/site.rs
@@ -28,8 +28,8 @@
 use tokio::sync::oneshot;
 
 use crate::endpoint::Endpoint;
-use crate::endpoint::head;
 use crate::endpoint::header;
+use crate::endpoint::read_head;
 use crate::outside;
 use crate::outside::Shared;
 use crate::outside::lock;
@@ -92,7 +92,7 @@
         };
         let asked = caller.write_all(b"GET /ready HTTP/1.1\r\nhost: r\r\nconnection: close\r\n\r\n");
         asked.is_ok()
-            && head(&mut caller)
+            && read_head(&mut caller)
                 .ok()
                 .flatten()
                 .is_some_and(|head| head.contains(" 200 "))
@@ -277,7 +277,7 @@
 
     /// Reads an answer; `None` when the connection ends before the head is complete.
     pub fn read_answer(&mut self) -> Option<Answer> {
-        let head = head(&mut self.0).ok().flatten()?;
+        let head = read_head(&mut self.0).ok().flatten()?;
         let status = head.split(' ').nth(1)?.parse().ok()?;
         let (body, is_complete) = match header(&head, "content-length") {
             Some(length) => self.read_sized(length.parse().ok()?),
