--- a/bergamotshift-claim/tests/batch.rs
+++ b/bergamotshift-claim/tests/batch.rs
@@ -1,4 +1,4 @@
-//! Group commit: what each sender is told, and the rate that the table's writes carry, in virtual time.
+//! Group commit: the ending that each submitter gets, and the load that the table's rate allows, in virtual time.
 
 use core::time::Duration;
 use std::collections::BTreeSet;
@@ -25,10 +25,10 @@
     transaction.writes.iter().map(|write| write.key.sort.as_str()).collect()
 }
 
-// Three callers' claims share a transaction and the second one's key is taken. The table cancels all three. The
-// second is told of the conflict; the other two must still be claimed, without the caller noticing.
+// Three claims share a transaction, and the second one's key is already claimed, so the table cancels all three. Only
+// the second may end with a conflict; the other two have to be written by the next transaction.
 #[test]
-fn a_conflict_leaves_the_others_to_go_again() {
+fn writes_beside_a_conflicting_one_are_retried() {
     let mut batch = Batch::new(batch::Settings::default());
     for (ticket, name) in ["a", "b", "c"].into_iter().enumerate() {
         batch.push(ticket, write(name)).unwrap();
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn a_lost_answer_is_lost_to_all() {
+fn an_unknown_ending_applies_to_all_writes() {
     let mut batch = Batch::new(batch::Settings::default());
     batch.push('a', write("a")).unwrap();
     batch.push('b', write("b")).unwrap();
@@ -57,9 +57,10 @@
     );
 }
 
-// A conflict that names no write would be sent again for ever, and its callers would wait until their deadlines.
+// A transaction that is cancelled without a conflicting write would be retried forever, and its callers would wait
+// until their deadlines.
 #[test]
-fn a_conflict_without_places_is_a_refusal() {
+fn a_conflict_that_names_no_write_is_a_refusal() {
     let mut batch = Batch::new(batch::Settings::default());
     batch.push('a', write("a")).unwrap();
     let id = batch.next(Instant::ZERO).unwrap().id;
@@ -68,7 +69,7 @@
 }
 
 #[test]
-fn writes_of_one_row_go_one_after_the_other() {
+fn writes_to_one_row_are_sequential() {
     let mut batch = Batch::new(batch::Settings::default());
     for (ticket, name) in ["a", "a", "b"].into_iter().enumerate() {
         batch.push(ticket, write(name)).unwrap();
@@ -81,7 +82,7 @@
 }
 
 #[test]
-fn a_full_queue_refuses() {
+fn a_full_queue_rejects_writes() {
     let mut batch = Batch::new(batch::Settings {
         max_queued: 1,
         ..batch::Settings::default()
@@ -91,7 +92,7 @@
 }
 
 quickcheck! {
-    // Whatever the table answers, every write is settled once, and no transaction breaks the table's limits.
+    // With any endings, each write is settled exactly once, and no transaction exceeds the table's limits.
     fn every_write_is_settled_once(keys: Vec<u8>, answers: Vec<u8>) -> bool {
         let settings = batch::Settings { max_items: 4, max_bytes: 60, ..batch::Settings::default() };
         let mut batch = Batch::new(settings);
@@ -124,16 +125,16 @@
     }
 }
 
-/// What a run in virtual time gave.
+/// Result of a simulation in virtual time.
 struct Load {
     transactions_per_second: f64,
-    worst: Duration,
+    max_latency: Duration,
     refused: usize,
 }
 
-/// Runs `entries` committers for ten seconds before a table that answers after 10 ms and takes `rate` transactions
-/// a second in all; each request brings two writes, its claim and its final state.
-fn run(entries: u32, rate: u32, requests_per_second: u32) -> Load {
+/// Simulates `entries` committers for ten seconds, with a table that answers after 10 ms and accepts `rate`
+/// transactions per second in total. Each request causes two writes, its claim and its final state.
+fn simulate(entries: u32, rate: u32, requests_per_second: u32) -> Load {
     const LATENCY: Duration = Duration::from_millis(10);
     const TICK: Duration = Duration::from_millis(1);
     const SECONDS: u32 = 10;
@@ -148,20 +149,20 @@
     let mut answers = BTreeSet::<(Instant, usize, batch::Id)>::new();
     let mut load = Load {
         transactions_per_second: 0.0,
-        worst: Duration::ZERO,
+        max_latency: Duration::ZERO,
         refused: 0,
     };
     let mut transactions = 0_u32;
-    let mut asked = 0_u64;
+    let mut submitted = 0_u64;
     let mut now = Instant::ZERO;
     while now < Instant::from_secs(u64::from(SECONDS)) {
         now = now + TICK;
         let due = now.as_micros() * u64::from(2 * requests_per_second) / 1_000_000;
-        while asked < due {
-            let at = asked as usize % batches.len();
-            let refused = batches[at].push(now, write(&format!("{asked}"))).is_err();
+        while submitted < due {
+            let at = submitted as usize % batches.len();
+            let refused = batches[at].push(now, write(&format!("{submitted}"))).is_err();
             load.refused += usize::from(refused);
-            asked += 1;
+            submitted += 1;
         }
         while let Some(&(at, entry, id)) = answers.first() {
             if at > now {
@@ -169,7 +170,7 @@
             }
             answers.pop_first();
             for (pushed, _) in batches[entry].complete(id, &Ending::Applied) {
-                load.worst = load.worst.max(now.since(pushed));
+                load.max_latency = load.max_latency.max(now.since(pushed));
             }
         }
         for (entry, batch) in batches.iter_mut().enumerate() {
@@ -183,36 +184,36 @@
     load
 }
 
-// The platform takes several hundred writes a second; counted as transactions, 300 of them carry every request of
-// today's eight entries, and would carry the target's whole 2,400 requests a second if all were non-repeatable.
+// The platform accepts several hundred writes per second. Counted as transactions, 300 per second are enough for all
+// requests of eight entries, and for the targeted 2,400 requests per second even if all of them are non-repeatable.
 #[test]
 fn three_hundred_transactions_carry_eight_entries() {
     for requests in [100, 300, 1_200, 2_400, 12_000] {
-        let load = run(8, 300, requests);
+        let load = simulate(8, 300, requests);
         println!(
             "8 entries, {requests} requests/s: {:.0} transactions/s, slowest write {:?}, refused {}",
-            load.transactions_per_second, load.worst, load.refused
+            load.transactions_per_second, load.max_latency, load.refused
         );
         assert!(load.transactions_per_second <= 300.5);
         assert_eq!(load.refused, 0);
-        assert!(load.worst <= Duration::from_millis(80), "{:?}", load.worst);
+        assert!(load.max_latency <= Duration::from_millis(80), "{:?}", load.max_latency);
     }
 }
 
-// With 390 entries each has less than one transaction a second, so a claim waits more than a second: at that size
-// claims have to be gathered by fewer committers before they go to the table.
+// With 390 entries, each has less than one transaction per second, so a claim waits for more than a second. At that
+// size, claims have to be combined by fewer committers before they are written to the table.
 #[test]
 fn three_hundred_transactions_are_too_few_for_390_separate_committers() {
-    let load = run(390, 300, 240);
+    let load = simulate(390, 300, 240);
     println!(
         "390 entries, 240 requests/s: {:.0} transactions/s, slowest write {:?}",
-        load.transactions_per_second, load.worst
+        load.transactions_per_second, load.max_latency
     );
-    assert!(load.worst > Duration::from_millis(500), "{:?}", load.worst);
-    let load = run(10, 300, 2_400);
+    assert!(load.max_latency > Duration::from_millis(500), "{:?}", load.max_latency);
+    let load = simulate(10, 300, 2_400);
     println!(
         "10 committers for all, 2,400 requests/s: {:.0} transactions/s, slowest write {:?}",
-        load.transactions_per_second, load.worst
+        load.transactions_per_second, load.max_latency
     );
-    assert!(load.worst <= Duration::from_millis(100), "{:?}", load.worst);
+    assert!(load.max_latency <= Duration::from_millis(100), "{:?}", load.max_latency);
 }
--- a/bergamotshift-claim/tests/driver.rs
+++ b/bergamotshift-claim/tests/driver.rs
@@ -1,4 +1,4 @@
-//! What a driver answers when a row already stands under the key, and what it records.
+//! Replies of a driver when the key's row exists already, and the records that it writes.
 
 use bergamotshift_claim::answer;
 use bergamotshift_claim::codec;
@@ -34,7 +34,7 @@
     }
 }
 
-fn standing(state: State) -> Record {
+fn existing(state: State) -> Record {
     Record {
         scope: request().scope,
         digest: request().digest,
@@ -52,8 +52,8 @@
     }
 }
 
-/// Asks, meets `record` at version 4, and returns what the driver does about it.
-fn meet(record: &Record, now: Instant) -> Vec<Action> {
+/// Starts a driver whose key has the row `record` at version 4, and returns the actions after it read the row.
+fn reply_to_existing(record: &Record, now: Instant) -> Vec<Action> {
     let body = record.encode();
     let mut driver = Driver::new(request(), driver::Settings::default());
     let op = op_of(&driver.on(now, Event::Ask));
@@ -72,19 +72,19 @@
 }
 
 #[test]
-fn a_standing_row_decides_the_reply() {
+fn an_existing_row_determines_the_reply() {
     let other = Digest::of("POST", "/confirm", b"waiter");
     let soon = Instant::from_secs(1);
     let late = Instant::from_secs(11);
     let cases = [
-        (standing(State::Sent), soon, 409, Outcome::Unknown),
-        (standing(State::Sent), late, 502, Outcome::Unknown),
-        (standing(State::Unknown), soon, 502, Outcome::Unknown),
-        (standing(State::Done(answer(b"ok"))), soon, 201, Outcome::Ran),
+        (existing(State::Sent), soon, 409, Outcome::Unknown),
+        (existing(State::Sent), late, 502, Outcome::Unknown),
+        (existing(State::Unknown), soon, 502, Outcome::Unknown),
+        (existing(State::Done(answer(b"ok"))), soon, 201, Outcome::Ran),
         (
             Record {
                 digest: other,
-                ..standing(State::Sent)
+                ..existing(State::Sent)
             },
             soon,
             422,
@@ -93,7 +93,7 @@
         (
             Record {
                 digest: other,
-                ..standing(State::Done(answer(b"ok")))
+                ..existing(State::Done(answer(b"ok")))
             },
             soon,
             422,
@@ -101,7 +101,7 @@
         ),
     ];
     for (record, now, status, outcome) in cases {
-        let actions = meet(&record, now);
+        let actions = reply_to_existing(&record, now);
         let [Action::Reply(reply)] = actions.as_slice() else {
             panic!("{record:?}: {actions:?}");
         };
@@ -111,15 +111,15 @@
 
 #[test]
 fn a_withdrawn_key_is_claimed_again_over_its_version() {
-    let actions = meet(&standing(State::Withdrawn), Instant::ZERO);
+    let actions = reply_to_existing(&existing(State::Withdrawn), Instant::ZERO);
     let [Action::Write { write, .. }] = actions.as_slice() else {
         panic!("{actions:?}");
     };
     assert_eq!(write.condition, Condition::Version(4));
 }
 
-// A later release writes rows in a layout that this one cannot read. The row may belong to a request that ran, so
-// the caller must not be told that nothing ran.
+// A later release wrote the row in a layout that this one cannot read. The row may belong to a request that was
+// executed, so the reply must not be `not-run`.
 #[test]
 fn an_unreadable_row_is_unknown() {
     let mut driver = Driver::new(request(), driver::Settings::default());
@@ -147,8 +147,8 @@
         let op = op_of(&driver.on(Instant::ZERO, Event::Ask));
         let ending = Ending::Applied;
         assert_eq!(driver.on(Instant::ZERO, Event::Written { op, ending }), [Action::Send]);
-        let verdict = Completion::Answered(answer(b"long"));
-        let actions = driver.on(Instant::ZERO, Event::Completed(verdict));
+        let completion = Completion::Answered(answer(b"long"));
+        let actions = driver.on(Instant::ZERO, Event::Completed(completion));
         assert_eq!(actions[0], Action::Reply(Reply::Answer(answer(b"long"))));
         let op = op_of(&actions[1..]);
         let actions = driver.on(Instant::ZERO, Event::Stored { op, is_stored });
@@ -165,7 +165,7 @@
     }
 }
 
-impl Arbitrary for Wrapped {
+impl Arbitrary for Sample {
     fn arbitrary(g: &mut Gen) -> Self {
         let header = |g: &mut Gen| answer::Header {
             name: String::arbitrary(g).into(),
@@ -198,50 +198,49 @@
 }
 
 #[derive(Clone, Debug)]
-struct Wrapped(Record);
+struct Sample(Record);
 
 quickcheck! {
-    fn records_survive_their_encoding(record: Wrapped) -> bool {
+    fn records_are_unchanged_by_encoding_and_decoding(record: Sample) -> bool {
         Record::decode(&record.0.encode()) == Ok(record.0)
     }
 
-    fn any_bytes_decode_or_are_refused(bytes: Vec<u8>) -> bool {
+    fn any_bytes_decode_or_are_an_error(bytes: Vec<u8>) -> bool {
         !matches!(Record::decode(&bytes), Err(codec::Error::Empty)) || bytes.is_empty()
     }
 
-    fn a_cut_record_is_refused(record: Wrapped, cut: usize) -> bool {
+    fn a_truncated_record_is_an_error(record: Sample, cut: usize) -> bool {
         let bytes = record.0.encode();
         Record::decode(&bytes[..cut % bytes.len()]).is_err()
     }
 
-    fn scopes_keep_their_borders(organisation: String, service: String, key: String) -> bool {
+    fn scopes_split_differently_have_different_rows(organisation: String, service: String, key: String) -> bool {
         let whole = Scope::new(&organisation, &service, &key);
         let moved = Scope::new(format!("{organisation}{service}"), "", &key);
         whole == moved || whole.row() != moved.row()
     }
 
-    // Whatever comes in whatever order, a driver sends at most once and replies at most once, and never sends after
-    // it has replied.
-    fn any_events_give_one_send_and_one_reply(events: Vec<(u8, u8, u16)>) -> bool {
+    // With any events in any order, a driver sends at most once, replies at most once, and never sends after its reply.
+    fn any_events_cause_at_most_one_send_and_one_reply(events: Vec<(u8, u8, u16)>) -> bool {
         let settings = driver::Settings { claim_tries: 3, ..driver::Settings::default() };
         let mut driver = Driver::new(request(), settings);
         let mut ops = vec![];
         let mut sends = 0;
         let mut replies = 0;
         let mut now = Instant::ZERO;
-        let mut fine = true;
+        let mut is_valid = true;
         for (kind, choice, wait) in events {
             now = now + core::time::Duration::from_millis(u64::from(wait) / 8);
             for action in driver.on(now, event(kind, choice, &ops)) {
                 match action {
                     Action::Write { op, .. } | Action::Read { op, .. } | Action::Store { op, .. } => ops.push(op),
-                    Action::Send => { sends += 1; fine &= replies == 0; }
+                    Action::Send => { sends += 1; is_valid &= replies == 0; }
                     Action::Reply(_) => replies += 1,
                     Action::Wake(_) => {}
                 }
             }
         }
-        fine && sends <= 1 && replies <= 1
+        is_valid && sends <= 1 && replies <= 1
     }
 }
 
@@ -256,20 +255,20 @@
         Ending::Unknown,
     ][usize::from(choice % 4)]
     .clone();
-    let mine = Record {
+    let own = Record {
         attempt: request().attempt,
-        ..standing(State::Sent)
+        ..existing(State::Sent)
     };
     let row = match choice % 4 {
         0 => Ok(None),
         1 => Err(driver::Unreachable),
         2 => Ok(Some(Row {
             version: 1,
-            body: mine.encode(),
+            body: own.encode(),
         })),
         _ => Ok(Some(Row {
             version: 1,
-            body: standing(State::Withdrawn).encode(),
+            body: existing(State::Withdrawn).encode(),
         })),
     };
     match kind % 8 {
--- a/bergamotshift-claim/tests/job.rs
+++ b/bergamotshift-claim/tests/job.rs
@@ -1,4 +1,4 @@
-//! Finding open jobs, sharing the listing out, and the rows' encodings.
+//! Detection of open jobs, distribution of shards, and encoding of rows.
 
 use core::time::Duration;
 
@@ -33,35 +33,35 @@
     candidates.iter().map(|candidate| candidate.id).collect()
 }
 
-// The holder of a rebuild dies. Its lease shows no sign of it but that the row is not renewed. Another entry sees
-// the same version for the lease's length on its own clock and takes the job; a renewal in between starts anew.
+// The holder of a job dies, which only shows in that its lease is not renewed. Another entry may take the job once it
+// has seen the same row version for the lease's length by its own clock; a renewal restarts that time.
 #[test]
-fn a_lease_lapses_when_its_row_stands_still() {
+fn a_lease_expires_when_its_row_stays_unchanged() {
     let mut watch = job::Watch::default();
     let id = job::Id::new(0);
     let held = open(Some(60_000), Urgency::Normal);
-    let mut list = |seconds, version| watch.update(Instant::from_secs(seconds), 0, &[(id, row(version, &held))]);
-    assert_eq!(ids(&list(0, 4)), []);
-    assert_eq!(ids(&list(59, 4)), []);
-    assert_eq!(ids(&list(61, 5)), [], "it was renewed");
-    assert_eq!(ids(&list(120, 5)), []);
-    assert_eq!(ids(&list(121, 5)), [id]);
+    let mut scan = |seconds, version| watch.update(Instant::from_secs(seconds), 0, &[(id, row(version, &held))]);
+    assert_eq!(ids(&scan(0, 4)), []);
+    assert_eq!(ids(&scan(59, 4)), []);
+    assert_eq!(ids(&scan(61, 5)), [], "it was renewed");
+    assert_eq!(ids(&scan(120, 5)), []);
+    assert_eq!(ids(&scan(121, 5)), [id]);
 }
 
 #[test]
-fn free_jobs_come_at_once_and_the_pressing_first() {
+fn free_jobs_are_returned_at_once_by_urgency() {
     let mut watch = job::Watch::default();
-    let late = job::Id::new(0);
-    let pressing = job::Id::new(1);
+    let deferrable = job::Id::new(0);
+    let urgent = job::Id::new(1);
     let rows = [
-        (late, row(1, &open(None, Urgency::Deferrable))),
-        (pressing, row(1, &open(None, Urgency::Urgent))),
+        (deferrable, row(1, &open(None, Urgency::Deferrable))),
+        (urgent, row(1, &open(None, Urgency::Urgent))),
     ];
-    assert_eq!(ids(&watch.update(Instant::ZERO, 0, &rows)), [pressing, late]);
+    assert_eq!(ids(&watch.update(Instant::ZERO, 0, &rows)), [urgent, deferrable]);
 }
 
 #[test]
-fn a_job_that_was_closed_and_listed_again_starts_anew() {
+fn a_job_that_was_closed_and_listed_again_is_observed_anew() {
     let mut watch = job::Watch::default();
     let id = job::Id::new(0);
     let rows = [(id, row(1, &open(Some(10_000), Urgency::Normal)))];
@@ -76,9 +76,9 @@
         .collect()
 }
 
-// Every shard is listed by exactly one entry, so the reads do not grow with the entries.
+// Each shard is listed by exactly one entry, so the number of reads does not grow with the number of entries.
 #[test]
-fn shards_are_shared_out_among_the_entries() {
+fn shards_are_distributed_among_the_entries() {
     const PERIOD: Duration = Duration::from_secs(5);
     for count in [1, 8, 390] {
         let members = members(count);
@@ -99,40 +99,40 @@
 }
 
 #[test]
-fn a_leaving_entry_moves_its_own_shards_alone() {
+fn a_leaving_entry_moves_only_its_own_shards() {
     let members = members(8);
-    let left = &members[1..];
-    for entry in left {
+    let remaining = &members[1..];
+    for entry in remaining {
         let before = job::shards(entry, &members);
-        let after = job::shards(entry, left);
+        let after = job::shards(entry, remaining);
         assert!(before.iter().all(|shard| after.contains(shard)));
     }
 }
 
 #[test]
-fn a_key_names_its_job_and_no_other_organisations() {
+fn a_key_identifies_a_job_within_its_organisation() {
     let own = job::Id::of(&Scope::new("a", "mapa-llm", "rebuild-1"));
     assert_eq!(own, job::Id::of(&Scope::new("a", "mapa-llm", "rebuild-1")));
     assert_ne!(own, job::Id::of(&Scope::new("b", "mapa-llm", "rebuild-1")));
 }
 
 quickcheck! {
-    fn identifiers_survive_text(bits: u128) -> bool {
+    fn identifiers_are_unchanged_by_formatting_and_parsing(bits: u128) -> bool {
         let id = job::Id::new(bits);
         id.to_string().parse() == Ok(id) && id.shard() < job::SHARDS
     }
 
-    fn open_rows_survive_their_encoding(lease: Option<u32>, fence: u64) -> bool {
+    fn open_rows_are_unchanged_by_encoding_and_decoding(lease: Option<u32>, fence: u64) -> bool {
         let open = job::Open { fence, ..open(lease, Urgency::Normal) };
         job::Open::decode(&open.encode()) == Ok(open)
     }
 
-    fn any_bytes_decode_or_are_refused(bytes: Vec<u8>) -> bool {
+    fn any_bytes_are_an_open_row_or_an_error(bytes: Vec<u8>) -> bool {
         job::Open::decode(&bytes).is_ok_and(|open| job::Open::decode(&open.encode()) == Ok(open))
             || job::Open::decode(&bytes).is_err()
     }
 
-    fn any_bytes_are_a_record_or_refused(bytes: Vec<u8>) -> bool {
+    fn any_bytes_are_a_record_or_an_error(bytes: Vec<u8>) -> bool {
         job::Record::decode(&bytes).is_ok_and(|record| job::Record::decode(&record.encode()) == Ok(record))
             || job::Record::decode(&bytes).is_err()
     }
--- a/bergamotshift-claim/tests/runner.rs
+++ b/bergamotshift-claim/tests/runner.rs
@@ -1,4 +1,4 @@
-//! How a job's runs are counted and spaced.
+//! Counting and spacing of a job's runs.
 
 use core::time::Duration;
 
@@ -25,17 +25,17 @@
     backoff: Duration::from_secs(2),
 };
 
-/// One entry that takes a job whenever it is free, over a table that never fails.
-struct Place {
+/// Entry that takes a job whenever it is free, with a table that never fails.
+struct Entry {
     now: Instant,
     watch: job::Watch,
-    /// The open row, until the job is closed.
+    /// Open row, until the job is closed.
     open: Option<Row>,
     record: job::Record,
     runs: u128,
 }
 
-impl Place {
+impl Entry {
     fn new() -> Self {
         let record = job::Record {
             id: ID,
@@ -63,8 +63,8 @@
         }
     }
 
-    /// Looks once for the job, and if it is free, takes it and lets its run end so.
-    fn look(&mut self, ran: &Completion) -> bool {
+    /// Takes the job if it is free, completes its run with `completion`, and returns whether it was free.
+    fn poll(&mut self, completion: &Completion) -> bool {
         let Some(open) = self.open.clone() else { return false };
         let Some(candidate) = self.watch.update(self.now, ID.shard(), &[(ID, open)]).pop() else {
             return false;
@@ -74,7 +74,9 @@
         let mut runner = Runner::new(SETTINGS, ID, &candidate.open, candidate.version, "e".into(), run);
         let mut actions = runner.on(self.now, Event::Take);
         while !runner.is_closed() {
-            let events = actions.drain(..).filter_map(|action| self.carry_out(action, ran));
+            let events = actions
+                .drain(..)
+                .filter_map(|action| self.carry_out(action, completion));
             let events = events.collect::<Vec<_>>();
             for event in events {
                 actions.extend(runner.on(self.now, event));
@@ -83,7 +85,7 @@
         true
     }
 
-    fn carry_out(&mut self, action: Action, ran: &Completion) -> Option<Event> {
+    fn carry_out(&mut self, action: Action, completion: &Completion) -> Option<Event> {
         match action {
             Action::Transact(writes) => {
                 self.apply(&writes);
@@ -93,7 +95,7 @@
                 let record = row(1, self.record.encode());
                 Some(Event::Rows(Ok([Some(record), self.open.clone()])))
             }
-            Action::Start(_) => Some(Event::Completed(ran.clone())),
+            Action::Start(_) => Some(Event::Completed(completion.clone())),
             Action::Stop | Action::Wake(_) => None,
         }
     }
@@ -115,54 +117,55 @@
     Row { version, body }
 }
 
-// A service's only endpoint restarts. A rebuild that waits for it is taken again and again meanwhile, and never runs.
-// It used to be given up after eight such turns, within a second when the entry looks often, and the caller of a job
-// that had been accepted read that it had not run.
+// While the only endpoint of a service restarts, a waiting job is taken repeatedly without being executed. If these
+// runs were counted, the job would fail after eight of them, within a second if the entry polls often, although it was
+// accepted and could run later.
 #[test]
-fn turns_that_did_not_run_use_up_no_run() {
-    let mut place = Place::new();
+fn runs_that_executed_nothing_are_not_counted() {
+    let mut entry = Entry::new();
     for _ in 0..100 {
-        assert!(place.look(&Completion::NotRun));
-        assert!(!place.look(&Completion::NotRun));
-        place.now = place.now + SETTINGS.backoff;
+        assert!(entry.poll(&Completion::NotRun));
+        assert!(!entry.poll(&Completion::NotRun));
+        entry.now = entry.now + SETTINGS.backoff;
     }
-    assert_eq!(place.record.state, job::State::Open);
-    assert!(place.look(&Completion::Answered(Answer::default())));
-    assert!(matches!(place.record.state, job::State::Done { .. }));
+    assert_eq!(entry.record.state, job::State::Open);
+    assert!(entry.poll(&Completion::Answered(Answer::default())));
+    assert!(matches!(entry.record.state, job::State::Done { .. }));
 }
 
-// The same rebuild must not be taken with each look: that would write to the table some hundred times a second for
-// nothing. Whoever looks leaves it for the backoff, and no longer.
+// A job that cannot run yet must not be taken with each poll, which would cause about a hundred useless writes to the
+// table per second. It may be taken again after the backoff, and no later.
 #[test]
-fn a_job_that_did_not_run_is_left_for_the_backoff() {
-    let mut place = Place::new();
-    assert!(place.look(&Completion::NotRun));
-    assert!(!place.look(&Completion::NotRun));
-    place.now = place.now + SETTINGS.backoff.saturating_sub(Duration::from_millis(1));
-    assert!(!place.look(&Completion::NotRun));
-    place.now = place.now + Duration::from_millis(1);
-    assert!(place.look(&Completion::NotRun));
+fn a_job_that_did_not_run_waits_for_the_backoff() {
+    let mut entry = Entry::new();
+    assert!(entry.poll(&Completion::NotRun));
+    assert!(!entry.poll(&Completion::NotRun));
+    entry.now = entry.now + SETTINGS.backoff.saturating_sub(Duration::from_millis(1));
+    assert!(!entry.poll(&Completion::NotRun));
+    entry.now = entry.now + Duration::from_millis(1);
+    assert!(entry.poll(&Completion::NotRun));
 }
 
-// An endpoint dies of a request each time it gets it. Each of these runs may have had an effect, and a job that kills
-// endpoints must not go round for ever.
+// An endpoint crashes each time it receives the request. Each run may have had an effect, and a job that crashes
+// endpoints must not be retried forever.
 #[test]
-fn runs_that_may_have_run_are_bounded() {
-    let mut place = Place::new();
-    let turns = (0..100).filter(|_| place.look(&Completion::Unknown)).count();
-    assert_eq!(turns, 8);
+fn runs_that_may_have_executed_the_request_are_limited() {
+    let mut entry = Entry::new();
+    let taken = (0..100).filter(|_| entry.poll(&Completion::Unknown)).count();
+    assert_eq!(taken, 8);
     let run = attempt::Id::new(8);
     let outcome = Outcome::Unknown;
-    assert_eq!(place.record.state, job::State::Failed { run, outcome });
+    assert_eq!(entry.record.state, job::State::Failed { run, outcome });
 }
 
-// The operators remove a service whose jobs still wait. No endpoint will ever run them: their callers must be told.
+// The operators remove a service that has waiting jobs. No endpoint will ever run them, so they have to fail instead of
+// staying open.
 #[test]
-fn a_request_that_nobody_can_send_is_given_up() {
-    let mut place = Place::new();
-    let turns = (0..100).filter(|_| place.look(&Completion::Unsendable)).count();
-    assert_eq!(turns, 8);
+fn a_request_that_no_entry_can_send_is_given_up() {
+    let mut entry = Entry::new();
+    let taken = (0..100).filter(|_| entry.poll(&Completion::Unsendable)).count();
+    assert_eq!(taken, 8);
     let run = attempt::Id::new(8);
     let outcome = Outcome::NotRun;
-    assert_eq!(place.record.state, job::State::Failed { run, outcome });
+    assert_eq!(entry.record.state, job::State::Failed { run, outcome });
 }
--- a/bergamotshift-claim/tests/window.rs
+++ b/bergamotshift-claim/tests/window.rs
@@ -1,4 +1,4 @@
-//! Joining and replaying inside one process.
+//! Deduplication of requests within one process.
 
 use core::time::Duration;
 
@@ -40,7 +40,7 @@
     assert_eq!(window.enter(NOW, &scope("a"), digest(b"y"), 5), Decision::Mismatch);
 }
 
-// Two organisations use the same key for the same body. Neither may see that the other's request exists.
+// Two organisations use the same key for the same body. Neither may learn that the other's request exists.
 #[test]
 fn another_organisation_never_joins() {
     let mut window = Window::new(window::Settings::default());
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn a_request_without_an_answer_starts_anew() {
+fn a_request_without_an_answer_is_executed_again() {
     let mut window = Window::new(window::Settings::default());
     window.enter(NOW, &scope("a"), digest(b"x"), 1);
     assert_eq!(window.finish(NOW, &scope("a"), None), []);
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn answers_leave_by_age_and_by_size() {
+fn answers_are_removed_by_age_and_size() {
     let settings = window::Settings {
         max_bytes: 10,
         max_answer_bytes: 6,
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn waiting_callers_are_bounded() {
+fn waiting_callers_are_limited() {
     let mut window = Window::new(window::Settings {
         max_joined: 1,
         ..window::Settings::default()
