--- a/bergamotshift-claim/tests/explore/claim/mod.rs
+++ b/bergamotshift-claim/tests/explore/claim/mod.rs
@@ -1,4 +1,4 @@
-//! The claim protocol: entries, one key, a faulty table and a faulty endpoint.
+//! Model of the claim protocol: entries, one key, a faulty table and a faulty endpoint.
 
 mod steps;
 mod tests;
@@ -20,25 +20,25 @@
 use self::world::*;
 use crate::search::Model;
 
-/// A fault put into the test's own wrapper around the driver, to show that the properties can fail.
+/// Defect injected by the test's wrapper around the driver, which shows that the properties can be violated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Defect {
     None,
-    /// A write without an answer is taken for one that took effect.
+    /// A write with an unknown ending is assumed to be applied.
     TrustsLostWrites,
-    /// The caller is told `not-run` at the timeout, but the driver is not told of it.
+    /// The caller gets `not-run` at the timeout, but the driver does not give up.
     RepliesWithoutGivingUp,
-    /// A request is given out for sending twice.
+    /// A request is sent twice.
     SendsTwice,
-    /// The network repeats a request whose answer is lost.
+    /// The network delivers a request whose answer is lost again.
     SendsAgain,
-    /// The caller is told of a refusal when another sending holds the claim.
+    /// The caller gets a refusal when another request holds the claim.
     RefusesContested,
-    /// A process that starts over sends what its predecessor had claimed.
+    /// A restarted process sends the request that its predecessor claimed.
     SendsAfterCrash,
-    /// What is replayed is this sending's own answer, not the stored one.
+    /// The replayed answer is this request's own one, not the stored one.
     ReplaysOwnAnswer,
-    /// A refusal by the endpoint is reported although the request ran.
+    /// The endpoint reports a refusal although it executed the request.
     RefusesAfterRunning,
 }
 
@@ -49,44 +49,44 @@
     defect: Defect,
 }
 
-fn answer_of(place: usize) -> Answer {
+fn answer_of(index: usize) -> Answer {
     Answer {
         status: 200,
         headers: Vec::new(),
-        body: answer::Body::Inline(vec![place as u8]),
+        body: answer::Body::Inline(vec![index as u8]),
     }
 }
 
 impl Claims {
-    fn tell(&self, world: &mut World, place: usize, event: Event) {
-        if world.sendings[place].crashed {
+    fn handle(&self, world: &mut World, index: usize, event: Event) {
+        if world.sendings[index].has_crashed {
             return;
         }
         let now = world.now();
-        let actions = world.sendings[place].driver.on(now, event);
+        let actions = world.sendings[index].driver.on(now, event);
         for action in actions {
-            self.carry_out(world, place, action);
+            self.carry_out(world, index, action);
         }
-        world.tidy();
+        world.normalise();
     }
 
-    fn carry_out(&self, world: &mut World, place: usize, action: Action) {
+    fn carry_out(&self, world: &mut World, index: usize, action: Action) {
         match action {
-            Action::Write { op, write } => world.post(Message::Write(place, op, write_key(write))),
-            Action::Read { op, .. } => world.post(Message::Read(place, op)),
+            Action::Write { op, write } => world.post(Message::Write(index, op, write_key(write))),
+            Action::Read { op, .. } => world.post(Message::Read(index, op)),
             Action::Send => {
-                world.sendings[place].sends += 1 + u8::from(self.defect == Defect::SendsTwice);
-                world.post(Message::Call(place));
+                world.sendings[index].sends += 1 + u8::from(self.defect == Defect::SendsTwice);
+                world.post(Message::Call(index));
             }
-            Action::Reply(reply) => self.reply(world, place, reply),
+            Action::Reply(reply) => self.reply(world, index, reply),
             Action::Wake(_) => {}
             Action::Store { .. } => unreachable!("the answers are short"),
         }
     }
 
-    fn reply(&self, world: &mut World, place: usize, reply: Reply) {
+    fn reply(&self, world: &mut World, index: usize, reply: Reply) {
         let reply = match (self.defect, reply) {
-            (Defect::ReplaysOwnAnswer, Reply::Replay(_)) => Reply::Replay(answer_of(place)),
+            (Defect::ReplaysOwnAnswer, Reply::Replay(_)) => Reply::Replay(answer_of(index)),
             (Defect::RefusesContested, Reply::InProgress { retry_after }) => {
                 let reason = Reason::Endpoint;
                 Reply::NotRun { reason, retry_after }
@@ -94,8 +94,8 @@
             (_, reply) => reply,
         };
         let ran = world.sendings.iter().any(|sending| sending.runs > 0);
-        let sending = &mut world.sendings[place];
-        sending.run_before_reply = ran;
+        let sending = &mut world.sendings[index];
+        sending.has_run_before_reply = ran;
         sending.reply = Some(reply);
     }
 
@@ -113,7 +113,7 @@
 impl Model for Claims {
     type State = World;
 
-    fn first(&self) -> World {
+    fn initial(&self) -> World {
         let settings = driver::Settings {
             claim_timeout: Duration::ZERO,
             claim_tries: 2,
@@ -123,17 +123,17 @@
             retry_after: Duration::ZERO,
             max_inline_bytes: 16,
         };
-        let sending = |place: u8| Sending {
-            driver: Driver::new(request(place), settings),
-            asked: false,
-            crashed: false,
+        let sending = |index: u8| Sending {
+            driver: Driver::new(request(index), settings),
+            is_started: false,
+            has_crashed: false,
             reply: None,
             sends: 0,
             runs: 0,
-            run_before_reply: false,
+            has_run_before_reply: false,
         };
         World {
-            late: false,
+            is_past_deadline: false,
             row: None,
             sendings: (0..self.sendings).map(sending).collect(),
             messages: Vec::new(),
@@ -142,12 +142,12 @@
         }
     }
 
-    fn steps(&self, state: &World, found: &mut dyn FnMut(String, World)) {
-        self.process_steps(state, found);
-        self.network_steps(state, found);
+    fn steps(&self, state: &World, emit: &mut dyn FnMut(String, World)) {
+        self.process_steps(state, emit);
+        self.network_steps(state, emit);
     }
 
-    fn broken(&self, state: &World) -> Option<&'static str> {
+    fn violated(&self, state: &World) -> Option<&'static str> {
         let runs = state.sendings.iter().map(|sending| sending.runs).sum::<u8>();
         if runs > 1 {
             return Some("at most one run");
@@ -155,15 +155,15 @@
         if state.sendings.iter().any(|sending| sending.sends > 1) {
             return Some("a driver sends once");
         }
-        for (place, sending) in state.sendings.iter().enumerate() {
+        for (index, sending) in state.sendings.iter().enumerate() {
             let Some(reply) = &sending.reply else { continue };
-            let under_way = state.messages.contains(&Message::Call(place));
+            let is_in_flight = state.messages.contains(&Message::Call(index));
             match reply {
-                Reply::NotRun { .. } if sending.runs > 0 || under_way => return Some("not-run is true"),
-                Reply::NotRun { reason, .. } if from_the_row(*reason) && sending.run_before_reply => {
+                Reply::NotRun { .. } if sending.runs > 0 || is_in_flight => return Some("not-run is true"),
+                Reply::NotRun { reason, .. } if is_after_claim(*reason) && sending.has_run_before_reply => {
                     return Some("not-run is true of the key");
                 }
-                Reply::Answer(answer) | Reply::Replay(answer) if !ran_with(state, answer) => {
+                Reply::Answer(answer) | Reply::Replay(answer) if !has_run_with(state, answer) => {
                     return Some("an answer is the run's own");
                 }
                 _ => {}
@@ -173,21 +173,21 @@
     }
 }
 
-/// Reasons that a driver gives only after its own claim stood in the table.
-fn from_the_row(reason: Reason) -> bool {
+/// Returns whether a driver gives this reason only after its own claim was in the table.
+fn is_after_claim(reason: Reason) -> bool {
     reason == Reason::Endpoint
 }
 
-fn ran_with(world: &World, answer: &Answer) -> bool {
-    let mut places = 0..world.sendings.len();
-    places.any(|place| world.sendings[place].runs > 0 && answer_of(place) == *answer)
+fn has_run_with(world: &World, answer: &Answer) -> bool {
+    let mut indices = 0..world.sendings.len();
+    indices.any(|index| world.sendings[index].runs > 0 && answer_of(index) == *answer)
 }
 
-fn request(place: u8) -> driver::Request {
+fn request(index: u8) -> driver::Request {
     driver::Request {
         scope: Scope::new("o", "s", "k"),
         digest: Digest::default(),
-        attempt: attempt::Id::new(u128::from(place) + 1),
+        attempt: attempt::Id::new(u128::from(index) + 1),
         holder: "e".into(),
         deadline: DEADLINE,
         wall_clock: WallClock::new(Instant::ZERO, 0),
--- a/bergamotshift-claim/tests/explore/claim/steps.rs
+++ b/bergamotshift-claim/tests/explore/claim/steps.rs
@@ -1,4 +1,4 @@
-//! What can happen next: to callers and processes, to the table, the network and the endpoint.
+//! Steps of the callers, the processes, the table, the network and the endpoint.
 
 use core::time::Duration;
 
@@ -15,21 +15,21 @@
 use super::world::*;
 
 impl Claims {
-    /// Steps of the callers and of the processes.
-    pub(super) fn process_steps(&self, world: &World, found: &mut dyn FnMut(String, World)) {
-        for (place, sending) in world.sendings.iter().enumerate() {
+    /// Emits the steps of the callers and the processes.
+    pub(super) fn process_steps(&self, world: &World, emit: &mut dyn FnMut(String, World)) {
+        for (index, sending) in world.sendings.iter().enumerate() {
             let mut step = |name: &str, change: &dyn Fn(&mut World)| {
                 let mut next = world.clone();
                 change(&mut next);
-                found(format!("{name} {place}"), next);
+                emit(format!("{name} {index}"), next);
             };
-            if sending.crashed {
+            if sending.has_crashed {
                 continue;
             }
-            if !sending.asked {
+            if !sending.is_started {
                 step("ask", &|next| {
-                    next.sendings[place].asked = true;
-                    self.tell(next, place, Event::Ask);
+                    next.sendings[index].is_started = true;
+                    self.handle(next, index, Event::Ask);
                 });
                 continue;
             }
@@ -37,44 +37,44 @@
                 continue;
             }
             if sending.driver.due().is_some() {
-                step("wake", &|next| self.wake(next, place));
+                step("wake", &|next| self.wake(next, index));
             }
             if sending.reply.is_none() && sending.sends == 0 {
-                step("cancel", &|next| self.tell(next, place, Event::Cancel));
+                step("cancel", &|next| self.handle(next, index, Event::Cancel));
             }
             if world.crashes > 0 {
-                step("crash", &|next| self.crash(next, place));
+                step("crash", &|next| self.crash(next, index));
             }
         }
-        if !world.late {
+        if !world.is_past_deadline {
             let mut next = world.clone();
-            next.late = true;
-            found("the deadline passes".to_owned(), next);
+            next.is_past_deadline = true;
+            emit("the deadline passes".to_owned(), next);
         }
     }
 
-    pub(super) fn wake(&self, world: &mut World, place: usize) {
-        let unanswered = world.sendings[place].reply.is_none();
-        if self.defect == Defect::RepliesWithoutGivingUp && unanswered {
+    pub(super) fn wake(&self, world: &mut World, index: usize) {
+        let is_unanswered = world.sendings[index].reply.is_none();
+        if self.defect == Defect::RepliesWithoutGivingUp && is_unanswered {
             let reason = Reason::Table;
             let retry_after = Duration::ZERO;
-            self.reply(world, place, Reply::NotRun { reason, retry_after });
+            self.reply(world, index, Reply::NotRun { reason, retry_after });
         } else {
-            self.tell(world, place, Event::Woke);
+            self.handle(world, index, Event::Woke);
         }
     }
 
-    pub(super) fn crash(&self, world: &mut World, place: usize) {
+    pub(super) fn crash(&self, world: &mut World, index: usize) {
         world.crashes -= 1;
-        world.sendings[place].crashed = true;
-        world.tidy();
+        world.sendings[index].has_crashed = true;
+        world.normalise();
         if self.defect == Defect::SendsAfterCrash && world.row.is_some() {
-            world.post(Message::Call(place));
+            world.post(Message::Call(index));
         }
     }
 
-    /// Steps of the table, the network and the endpoint.
-    pub(super) fn network_steps(&self, world: &World, found: &mut dyn FnMut(String, World)) {
+    /// Emits the steps of the table, the network and the endpoint.
+    pub(super) fn network_steps(&self, world: &World, emit: &mut dyn FnMut(String, World)) {
         for at in 0..world.messages.len() {
             let mut rest = world.clone();
             let message = rest.messages.remove(at);
@@ -85,68 +85,69 @@
                 let mut next = rest.clone();
                 next.faults -= u8::from(fault);
                 change(&mut next);
-                found(format!("{name} {message:?}"), next);
+                emit(format!("{name} {message:?}"), next);
             };
             match &message {
-                Message::Write(place, op, write) => {
-                    let told = |next: &mut World, finish| next.post(Message::Written(*place, *op, finish));
+                Message::Write(index, op, write) => {
+                    let report = |next: &mut World, finish| next.post(Message::Written(*index, *op, finish));
                     step("apply", false, &|next| {
                         let finish = next.apply(write);
-                        next.tidy();
-                        told(next, finish);
+                        next.normalise();
+                        report(next, finish);
                     });
                     step("apply, lose the answer", true, &|next| {
                         next.apply(write);
-                        told(next, Finish::Unknown);
+                        report(next, Finish::Unknown);
                     });
                     step("delay, lose the answer", true, &|next| {
                         next.post(Message::LateWrite(write.clone()));
-                        told(next, Finish::Unknown);
+                        report(next, Finish::Unknown);
                     });
-                    step("refuse", true, &|next| told(next, Finish::Refused));
+                    step("refuse", true, &|next| report(next, Finish::Refused));
                 }
                 Message::LateWrite(write) => step("apply late", false, &|next| {
                     next.apply(write);
                 }),
-                Message::Read(place, op) => {
+                Message::Read(index, op) => {
                     step("read", false, &|next| {
                         let row = next.row.clone();
-                        let seen = row.map_or(Seen::Nothing, |(version, body)| Seen::Row(version, body));
-                        next.post(Message::Rows(*place, *op, seen));
+                        let reading = row.map_or(Reading::Nothing, |(version, body)| Reading::Row(version, body));
+                        next.post(Message::Rows(*index, *op, reading));
                     });
                     step("fail", true, &|next| {
-                        next.post(Message::Rows(*place, *op, Seen::Failure));
+                        next.post(Message::Rows(*index, *op, Reading::Failure));
                     });
                 }
-                Message::Written(place, op, finish) => step("deliver", false, &|next| {
+                Message::Written(index, op, finish) => step("deliver", false, &|next| {
                     let ending = self.ending(*finish);
-                    self.tell(next, *place, Event::Written { op: *op, ending });
+                    self.handle(next, *index, Event::Written { op: *op, ending });
                 }),
-                Message::Rows(place, op, seen) => step("deliver", false, &|next| {
-                    let row = match seen.clone() {
-                        Seen::Nothing => Ok(None),
-                        Seen::Row(version, body) => Ok(Some(Row { version, body })),
-                        Seen::Failure => Err(driver::Unreachable),
+                Message::Rows(index, op, reading) => step("deliver", false, &|next| {
+                    let row = match reading.clone() {
+                        Reading::Nothing => Ok(None),
+                        Reading::Row(version, body) => Ok(Some(Row { version, body })),
+                        Reading::Failure => Err(driver::Unreachable),
                     };
-                    self.tell(next, *place, Event::Rows { op: *op, row });
+                    self.handle(next, *index, Event::Rows { op: *op, row });
                 }),
-                Message::Call(place) => {
-                    let verdict = |next: &mut World, verdict| self.tell(next, *place, Event::Completed(verdict));
+                Message::Call(index) => {
+                    let complete =
+                        |next: &mut World, completion| self.handle(next, *index, Event::Completed(completion));
                     step("run", false, &|next| {
-                        next.sendings[*place].runs += 1;
-                        verdict(next, Completion::Answered(answer_of(*place)));
+                        next.sendings[*index].runs += 1;
+                        complete(next, Completion::Answered(answer_of(*index)));
                     });
                     step("run, lose the answer", true, &|next| {
-                        next.sendings[*place].runs += 1;
+                        next.sendings[*index].runs += 1;
                         if self.defect == Defect::SendsAgain {
-                            next.post(Message::Call(*place));
+                            next.post(Message::Call(*index));
                         }
-                        verdict(next, Completion::Lost);
+                        complete(next, Completion::Lost);
                     });
                     step("refuse", true, &|next| {
                         let ran = self.defect == Defect::RefusesAfterRunning;
-                        next.sendings[*place].runs += u8::from(ran);
-                        verdict(next, Completion::Refused);
+                        next.sendings[*index].runs += u8::from(ran);
+                        complete(next, Completion::Refused);
                     });
                 }
             }
--- a/bergamotshift-claim/tests/explore/claim/tests.rs
+++ b/bergamotshift-claim/tests/explore/claim/tests.rs
@@ -1,4 +1,4 @@
-//! The properties hold in every reachable state, and each of them can fail.
+//! Checks that the properties hold in every reachable state, and that each of them can be violated.
 
 use super::Claims;
 use super::Defect;
@@ -27,22 +27,21 @@
     assert_eq!((report.states, report.depth), (states, depth));
 }
 
-// A caller sends a request at one entry and again, with the same key, at another. Writes are lost before or after
-// they took effect, or take effect late; reads fail; the endpoint refuses or its answer is lost. Processes pause
-// between any two steps (a pause is an answer that is delivered after everything else). No order of events may give
-// two runs or an untrue outcome.
+// A caller sends a request to one entry and retries it, with the same key, at another. Writes are lost, applied late,
+// or applied without an answer; reads fail; the endpoint refuses the request or its answer is lost. Processes pause
+// between any two steps, which is modelled by late delivery. No order of events may cause two runs or a false outcome.
 #[test]
 fn two_sendings_under_two_faults_keep_every_property() {
     assert_sound(2, 2, 0, 347_911, 32);
 }
 
-// As above, and one of the entries dies at any moment, with its writes still on their way.
+// As above, and one of the entries crashes at any time, with its writes in flight.
 #[test]
 fn two_sendings_under_a_fault_and_a_crash_keep_every_property() {
     assert_sound(2, 1, 1, 138_427, 27);
 }
 
-// A third sending can come after the first was withdrawn, and claims the key again.
+// A third request can arrive after the first one was withdrawn, and claims the key again.
 #[test]
 fn three_sendings_keep_every_property() {
     assert_sound(3, 0, 0, 499_367, 37);
--- a/bergamotshift-claim/tests/explore/claim/world.rs
+++ b/bergamotshift-claim/tests/explore/claim/world.rs
@@ -1,4 +1,4 @@
-//! The state of the model: the table's row, the sendings and the messages on their way.
+//! State of the model: the table's row, the requests and the messages in flight.
 
 use bergamotshift_claim::prelude::*;
 use bergamotshift_core::clock::Instant;
@@ -9,28 +9,28 @@
 use driver::Op;
 use driver::Reply;
 
-/// A driver's action on its way.
+/// Message in flight.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(super) enum Message {
     Write(usize, Op, WriteKey),
-    /// A write whose sender has been told that the answer was lost.
+    /// Write in flight whose sender does not await its ending.
     LateWrite(WriteKey),
     Read(usize, Op),
     Written(usize, Op, Finish),
-    Rows(usize, Op, Seen),
-    /// A request on its way to the endpoint.
+    Rows(usize, Op, Reading),
+    /// Request in flight to the endpoint.
     Call(usize),
 }
 
-/// What a read brought.
+/// Result of a read.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub(super) enum Seen {
+pub(super) enum Reading {
     Nothing,
     Row(u64, Vec<u8>),
     Failure,
 }
 
-/// What a write does, in a form that can be hashed.
+/// Version and body of a write, in a form that can be hashed.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(super) struct WriteKey {
     pub(super) base: u64,
@@ -48,19 +48,19 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct Sending {
     pub(super) driver: Driver,
-    pub(super) asked: bool,
-    pub(super) crashed: bool,
+    pub(super) is_started: bool,
+    pub(super) has_crashed: bool,
     pub(super) reply: Option<Reply>,
-    /// How often the driver gave the request out for sending.
+    /// Number of times that the driver requested to send.
     pub(super) sends: u8,
     pub(super) runs: u8,
-    /// Whether any sending had run when the reply was given.
-    pub(super) run_before_reply: bool,
+    /// Whether any request with the key had been executed when the reply was sent.
+    pub(super) has_run_before_reply: bool,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct World {
-    pub(super) late: bool,
+    pub(super) is_past_deadline: bool,
     pub(super) row: Option<(u64, Vec<u8>)>,
     pub(super) sendings: Vec<Sending>,
     pub(super) messages: Vec<Message>,
@@ -72,35 +72,35 @@
 
 impl World {
     pub(super) fn now(&self) -> Instant {
-        if self.late { DEADLINE } else { Instant::ZERO }
+        if self.is_past_deadline { DEADLINE } else { Instant::ZERO }
     }
 
     pub(super) fn post(&mut self, message: Message) {
         self.messages.push(message);
-        self.tidy();
+        self.normalise();
     }
 
-    /// Brings states that differ in nothing that matters into one form.
-    pub(super) fn tidy(&mut self) {
-        let awaits = |place: usize, op| !self.sendings[place].crashed && self.sendings[place].driver.awaits(op);
+    /// Converts equivalent states into the same form.
+    pub(super) fn normalise(&mut self) {
+        let awaits = |index: usize, op| !self.sendings[index].has_crashed && self.sendings[index].driver.awaits(op);
         self.messages.retain(|message| match message {
-            Message::Written(place, op, _) | Message::Rows(place, op, _) | Message::Read(place, op) => {
-                awaits(*place, *op)
+            Message::Written(index, op, _) | Message::Rows(index, op, _) | Message::Read(index, op) => {
+                awaits(*index, *op)
             }
             Message::Write(..) | Message::LateWrite(_) | Message::Call(_) => true,
         });
-        let stands = self.row.as_ref().map_or(0, |(version, _)| *version);
+        let row_version = self.row.as_ref().map_or(0, |(version, _)| *version);
         for message in &mut self.messages {
-            if let Message::Write(place, op, write) = message
-                && !awaits(*place, *op)
+            if let Message::Write(index, op, write) = message
+                && !awaits(*index, *op)
             {
                 *message = Message::LateWrite(write.clone());
             }
         }
-        // A row's version only grows, so a write that is too late now stays so.
+        // A row's version only increases, so a write that conflicts now will always conflict.
         self.messages
-            .retain(|message| !matches!(message, Message::LateWrite(write) if write.base < stands));
-        // The order of messages carries no meaning: each can be the next to arrive.
+            .retain(|message| !matches!(message, Message::LateWrite(write) if write.base < row_version));
+        // The order of messages has no meaning, as any of them can be delivered next.
         self.messages.sort();
     }
 
--- a/bergamotshift-claim/tests/explore/job/mod.rs
+++ b/bergamotshift-claim/tests/explore/job/mod.rs
@@ -1,4 +1,5 @@
-//! The job protocol: entries that take one job over from each other, with a faulty table and runs that end late.
+//! Model of the job protocol: entries that take one job over from each other, with a faulty table and runs that end
+//! late.
 
 mod steps;
 mod tests;
@@ -21,24 +22,24 @@
 use crate::search;
 use crate::search::Model;
 
-/// A fault put into the test's own wrapper around the runner, to show that the properties can fail.
+/// Defect injected by the test's wrapper around the runner, which shows that the properties can be violated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Defect {
     None,
-    /// Results are written whatever the open row's version is.
+    /// Results are written regardless of the open row's version.
     ClosesUnconditionally,
-    /// Only the record's version guards the result.
+    /// Results are written on condition of the record's version only.
     ClosesWithoutLease,
-    /// The lease is taken whatever the open row's version is.
+    /// The lease is taken regardless of the open row's version.
     TakesUnconditionally,
-    /// A result is written a second time, whatever the versions are.
+    /// A result is written a second time, regardless of the versions.
     RepeatsResults,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) enum Message {
     Transact(usize, Vec<Write>),
-    /// A transaction whose sender has been told that the answer was lost.
+    /// Transaction in flight whose sender does not await its ending.
     Late(Vec<Write>),
     Written(usize, Ending),
     Read(usize),
@@ -48,7 +49,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct Holder {
     pub(super) runner: Runner,
-    pub(super) running: bool,
+    pub(super) is_running: bool,
     pub(super) wakes: u8,
 }
 
@@ -56,17 +57,17 @@
 pub(super) struct World {
     pub(super) record: Option<Row>,
     pub(super) open: Option<Row>,
-    /// Runners in the order in which they listed the job; a crashed one is gone.
+    /// Runners in the order in which they took the job; `None` for a crashed one.
     pub(super) holders: Vec<Option<Holder>>,
     pub(super) messages: Vec<Message>,
     pub(super) faults: u8,
     pub(super) crashes: u8,
-    /// How often the job was closed.
+    /// Number of times that the job was closed.
     pub(super) closed: u8,
-    /// Fencing numbers under which a run was started.
+    /// Fencing numbers under which runs were started.
     pub(super) started: Vec<u64>,
-    pub(super) stale_result: bool,
-    pub(super) twice_under_a_number: bool,
+    pub(super) has_stale_result: bool,
+    pub(super) has_reused_number: bool,
 }
 
 pub(super) struct Jobs {
@@ -88,22 +89,22 @@
         }
     }
 
-    /// Carries a transaction out as the table does.
+    /// Applies a transaction as the table does.
     pub(super) fn apply(&mut self, writes: &[Write]) -> Ending {
-        let mut broken = Vec::new();
-        for (place, write) in writes.iter().enumerate() {
+        let mut conflicting = Vec::new();
+        for (index, write) in writes.iter().enumerate() {
             let version = self.row(&write.key).as_ref().map(|row| row.version);
             let holds = match write.condition {
                 Condition::Absent => version.is_none(),
-                Condition::Version(wanted) => version == Some(wanted),
+                Condition::Version(required) => version == Some(required),
                 Condition::Any => true,
             };
             if !holds {
-                broken.push(place);
+                conflicting.push(index);
             }
         }
-        if !broken.is_empty() {
-            return Ending::Conflict(broken);
+        if !conflicting.is_empty() {
+            return Ending::Conflict(conflicting);
         }
         let holder = self.open.as_ref().map(|row| job::Open::decode(&row.body).unwrap());
         for write in writes {
@@ -118,57 +119,57 @@
                 Change::Check => row.take(),
             };
             if write.key == ID.record_row() {
-                self.note_closed(holder.as_ref());
+                self.record_closed(holder.as_ref());
             }
         }
         Ending::Applied
     }
 
-    fn note_closed(&mut self, holder: Option<&job::Open>) {
+    fn record_closed(&mut self, holder: Option<&job::Open>) {
         self.closed += 1;
         let record = Record::of(self);
         let run = match record {
             job::State::Done { run, .. } | job::State::Failed { run, .. } => run,
             job::State::Open | job::State::Cancelled => return,
         };
-        let held = holder.is_some_and(|open| open.is_held_by(run));
-        self.stale_result |= !held;
+        let is_held = holder.is_some_and(|open| open.is_held_by(run));
+        self.has_stale_result |= !is_held;
     }
 
-    /// Notes the number of the run that starts: it must be a new one.
-    pub(super) fn note_started(&mut self, place: usize) {
-        let Some(holder) = &self.holders[place] else { return };
+    /// Records the fencing number of a run that starts, and whether it was used before.
+    pub(super) fn record_started(&mut self, index: usize) {
+        let Some(holder) = &self.holders[index] else { return };
         let fence = holder.runner.fence();
-        self.twice_under_a_number |= self.started.contains(&fence);
+        self.has_reused_number |= self.started.contains(&fence);
         self.started.push(fence);
         self.started.sort_unstable();
     }
 
-    /// Takes back the number of a run that did not run: the next run may have it.
-    pub(super) fn note_not_run(&mut self, place: usize) {
-        let Some(holder) = &self.holders[place] else { return };
+    /// Removes the fencing number of a run that executed nothing, as the next run may reuse it.
+    pub(super) fn record_not_run(&mut self, index: usize) {
+        let Some(holder) = &self.holders[index] else { return };
         let fence = holder.runner.fence();
         self.started.retain(|started| *started != fence);
     }
 
     pub(super) fn post(&mut self, message: Message) {
         self.messages.push(message);
-        self.tidy();
+        self.normalise();
     }
 
-    /// Brings states that differ in nothing that matters into one form.
-    pub(super) fn tidy(&mut self) {
-        let awaits = |place: usize| {
-            let holder = self.holders[place].as_ref();
+    /// Converts equivalent states into the same form.
+    pub(super) fn normalise(&mut self) {
+        let is_awaiting = |index: usize| {
+            let holder = self.holders[index].as_ref();
             holder.is_some_and(|holder| !holder.runner.is_closed())
         };
         self.messages.retain(|message| match message {
-            Message::Written(place, _) | Message::Rows(place, _) | Message::Read(place) => awaits(*place),
+            Message::Written(index, _) | Message::Rows(index, _) | Message::Read(index) => is_awaiting(*index),
             Message::Transact(..) | Message::Late(_) => true,
         });
         for message in &mut self.messages {
-            if let Message::Transact(place, writes) = message
-                && !awaits(*place)
+            if let Message::Transact(index, writes) = message
+                && !is_awaiting(*index)
             {
                 *message = Message::Late(writes.clone());
             }
@@ -177,7 +178,7 @@
     }
 }
 
-/// Reads the state out of the job's record.
+/// Reader of the state in the job's record.
 struct Record;
 
 impl Record {
@@ -190,7 +191,7 @@
 impl Model for Jobs {
     type State = World;
 
-    fn first(&self) -> World {
+    fn initial(&self) -> World {
         let record = job::Record {
             id: ID,
             organisation: "o".into(),
@@ -223,36 +224,36 @@
             crashes: self.crashes,
             closed: 0,
             started: Vec::new(),
-            stale_result: false,
-            twice_under_a_number: false,
+            has_stale_result: false,
+            has_reused_number: false,
         }
     }
 
-    fn steps(&self, state: &World, found: &mut dyn FnMut(String, World)) {
-        self.process_steps(state, found);
-        self.network_steps(state, found);
+    fn steps(&self, state: &World, emit: &mut dyn FnMut(String, World)) {
+        self.process_steps(state, emit);
+        self.network_steps(state, emit);
     }
 
-    fn broken(&self, state: &World) -> Option<&'static str> {
+    fn violated(&self, state: &World) -> Option<&'static str> {
         let cases = [
             (state.closed > 1, "one result"),
-            (state.stale_result, "no result of a lease that was taken over"),
-            (state.twice_under_a_number, "one run under each number"),
+            (state.has_stale_result, "no result of a lease that was taken over"),
+            (state.has_reused_number, "one run under each number"),
         ];
         cases
             .into_iter()
-            .find_map(|(broken, property)| broken.then_some(property))
+            .find_map(|(is_violated, property)| is_violated.then_some(property))
     }
 }
 
-pub(super) fn runner(place: usize, row: &Row) -> Runner {
+pub(super) fn runner(index: usize, row: &Row) -> Runner {
     let settings = job::Settings {
         lease: Duration::ZERO,
         max_runs: 9,
         backoff: Duration::ZERO,
     };
     let open = job::Open::decode(&row.body).unwrap();
-    let run = attempt::Id::new(place as u128 + 1);
+    let run = attempt::Id::new(index as u128 + 1);
     Runner::new(settings, ID, &open, row.version, "e".into(), run)
 }
 
--- a/bergamotshift-claim/tests/explore/job/steps.rs
+++ b/bergamotshift-claim/tests/explore/job/steps.rs
@@ -1,4 +1,4 @@
-//! What can happen next to the entries, the table and the runs.
+//! Steps of the entries, the table and the runs.
 
 use bergamotshift_claim::driver::Unreachable;
 use bergamotshift_claim::job;
@@ -20,20 +20,20 @@
 use super::runner;
 
 impl Jobs {
-    fn tell(&self, world: &mut World, place: usize, event: Event) {
-        let Some(holder) = &mut world.holders[place] else {
+    fn handle(&self, world: &mut World, index: usize, event: Event) {
+        let Some(holder) = &mut world.holders[index] else {
             return;
         };
         for action in holder.runner.on(NOW, event) {
-            self.carry_out(world, place, action);
+            self.carry_out(world, index, action);
         }
-        world.tidy();
+        world.normalise();
     }
 
-    fn carry_out(&self, world: &mut World, place: usize, action: Action) {
-        let running = |world: &mut World, running| {
-            if let Some(holder) = &mut world.holders[place] {
-                holder.running = running;
+    fn carry_out(&self, world: &mut World, index: usize, action: Action) {
+        let set_running = |world: &mut World, is_running| {
+            if let Some(holder) = &mut world.holders[index] {
+                holder.is_running = is_running;
             }
         };
         match action {
@@ -41,94 +41,95 @@
                 if self.defect == Defect::RepeatsResults && writes.len() > 1 {
                     world.post(Message::Late(without_conditions(writes.clone())));
                 }
-                world.post(Message::Transact(place, self.spoil(writes)));
+                world.post(Message::Transact(index, self.inject_defect(writes)));
             }
-            Action::Read(_) => world.post(Message::Read(place)),
+            Action::Read(_) => world.post(Message::Read(index)),
             Action::Start(_) => {
-                running(world, true);
-                world.note_started(place);
+                set_running(world, true);
+                world.record_started(index);
             }
-            Action::Stop => running(world, false),
+            Action::Stop => set_running(world, false),
             Action::Wake(_) => {}
         }
     }
 
-    fn spoil(&self, mut writes: Vec<Write>) -> Vec<Write> {
-        let closes = writes.len() > 1;
+    fn inject_defect(&self, mut writes: Vec<Write>) -> Vec<Write> {
+        let is_closing = writes.len() > 1;
         for write in &mut writes {
-            let spoilt = match self.defect {
-                Defect::ClosesUnconditionally => closes,
-                Defect::ClosesWithoutLease => closes && write.key == ID.open_row(),
-                Defect::TakesUnconditionally => !closes,
+            let is_defective = match self.defect {
+                Defect::ClosesUnconditionally => is_closing,
+                Defect::ClosesWithoutLease => is_closing && write.key == ID.open_row(),
+                Defect::TakesUnconditionally => !is_closing,
                 Defect::None | Defect::RepeatsResults => false,
             };
-            if spoilt {
+            if is_defective {
                 write.condition = Condition::Any;
             }
         }
         writes
     }
 
-    pub(super) fn process_steps(&self, world: &World, found: &mut dyn FnMut(String, World)) {
-        // Any entry may list and take the job at any time: a wrong idea of a lapsed lease is the worst case.
+    pub(super) fn process_steps(&self, world: &World, emit: &mut dyn FnMut(String, World)) {
+        // Any entry may list and take the job at any time, which includes the worst case of a lease that is wrongly
+        // assumed to have expired.
         if let (Some(open), true) = (&world.open, world.holders.len() < self.holders) {
             let mut next = world.clone();
-            let place = next.holders.len();
+            let index = next.holders.len();
             next.holders.push(Some(Holder {
-                runner: runner(place, open),
-                running: false,
+                runner: runner(index, open),
+                is_running: false,
                 wakes: self.wakes,
             }));
-            self.tell(&mut next, place, Event::Take);
-            found(format!("take {place}"), next);
+            self.handle(&mut next, index, Event::Take);
+            emit(format!("take {index}"), next);
         }
-        for (place, holder) in world.holders.iter().enumerate() {
+        for (index, holder) in world.holders.iter().enumerate() {
             let Some(holder) = holder else { continue };
             let mut step = |name: &str, change: &dyn Fn(&mut World)| {
                 let mut next = world.clone();
                 change(&mut next);
-                found(format!("{name} {place}"), next);
+                emit(format!("{name} {index}"), next);
             };
-            if holder.running {
-                for (name, ran) in [
+            if holder.is_running {
+                for (name, completion) in [
                     ("answer", Completion::Answered(Answer::default())),
                     ("run without an answer", Completion::Unknown),
                     ("not run", Completion::NotRun),
                 ] {
                     step(name, &|next| {
-                        if ran == Completion::NotRun {
-                            next.note_not_run(place);
+                        if completion == Completion::NotRun {
+                            next.record_not_run(index);
                         }
-                        if let Some(holder) = &mut next.holders[place] {
-                            holder.running = false;
+                        if let Some(holder) = &mut next.holders[index] {
+                            holder.is_running = false;
                         }
-                        self.tell(next, place, Event::Completed(ran.clone()));
+                        self.handle(next, index, Event::Completed(completion.clone()));
                     });
                 }
-                step("leave", &|next| self.tell(next, place, Event::Leave));
+                step("leave", &|next| self.handle(next, index, Event::Leave));
             }
             if holder.runner.is_closed() {
                 continue;
             }
             if holder.wakes > 0 {
                 step("wake", &|next| {
-                    if let Some(holder) = &mut next.holders[place] {
+                    if let Some(holder) = &mut next.holders[index] {
                         holder.wakes -= 1;
                     }
-                    self.tell(next, place, Event::Woke);
+                    self.handle(next, index, Event::Woke);
                 });
             }
             if world.crashes > 0 {
                 step("crash", &|next| {
                     next.crashes -= 1;
-                    next.holders[place] = None;
-                    next.tidy();
+                    next.holders[index] = None;
+                    next.normalise();
                 });
             }
         }
     }
 
-    pub(super) fn network_steps(&self, world: &World, found: &mut dyn FnMut(String, World)) {
+    pub(super) fn network_steps(&self, world: &World, emit: &mut dyn FnMut(String, World)) {
         for at in 0..world.messages.len() {
             let mut rest = world.clone();
             let message = rest.messages.remove(at);
@@ -139,41 +140,41 @@
                 let mut next = rest.clone();
                 next.faults -= u8::from(fault);
                 change(&mut next);
-                found(format!("{name} {message:?}"), next);
+                emit(format!("{name} {message:?}"), next);
             };
             match &message {
-                Message::Transact(place, writes) => {
-                    let told = |next: &mut World, ending| next.post(Message::Written(*place, ending));
+                Message::Transact(index, writes) => {
+                    let report = |next: &mut World, ending| next.post(Message::Written(*index, ending));
                     step("apply", false, &|next| {
                         let ending = next.apply(writes);
-                        told(next, ending);
+                        report(next, ending);
                     });
                     step("apply, lose the answer", true, &|next| {
                         next.apply(writes);
-                        told(next, Ending::Unknown);
+                        report(next, Ending::Unknown);
                     });
                     step("delay, lose the answer", true, &|next| {
                         next.post(Message::Late(writes.clone()));
-                        told(next, Ending::Unknown);
+                        report(next, Ending::Unknown);
                     });
-                    step("refuse", true, &|next| told(next, Ending::Refused));
+                    step("refuse", true, &|next| report(next, Ending::Refused));
                 }
                 Message::Late(writes) => step("apply late", false, &|next| {
                     next.apply(writes);
                 }),
-                Message::Read(place) => {
+                Message::Read(index) => {
                     step("read", false, &|next| {
                         let rows = [next.record.clone(), next.open.clone()];
-                        next.post(Message::Rows(*place, Some(rows)));
+                        next.post(Message::Rows(*index, Some(rows)));
                     });
-                    step("fail", true, &|next| next.post(Message::Rows(*place, None)));
+                    step("fail", true, &|next| next.post(Message::Rows(*index, None)));
                 }
-                Message::Written(place, ending) => step("deliver", false, &|next| {
-                    self.tell(next, *place, Event::Written(ending.clone()));
+                Message::Written(index, ending) => step("deliver", false, &|next| {
+                    self.handle(next, *index, Event::Written(ending.clone()));
                 }),
-                Message::Rows(place, rows) => step("deliver", false, &|next| {
+                Message::Rows(index, rows) => step("deliver", false, &|next| {
                     let rows = rows.clone().ok_or(Unreachable);
-                    self.tell(next, *place, Event::Rows(rows));
+                    self.handle(next, *index, Event::Rows(rows));
                 }),
             }
         }
--- a/bergamotshift-claim/tests/explore/job/tests.rs
+++ b/bergamotshift-claim/tests/explore/job/tests.rs
@@ -1,4 +1,4 @@
-//! The properties hold in every reachable state, and each of them can fail.
+//! Checks that the properties hold in every reachable state, and that each of them can be violated.
 
 use super::Defect;
 use super::Jobs;
@@ -21,14 +21,14 @@
     defect: Defect::None,
 };
 
-// One entry runs a rebuild and pauses; its lease lapses and another entry takes the job. Both have a result in the
-// end, while the table loses answers before or after the writes took effect. The caller gets, and is billed for, one.
+// An entry that runs a job is paused, its lease expires, and another entry takes the job. Both finally have a result,
+// while the table fails to apply or answer writes. The caller must get, and be billed for, one result only.
 #[test]
 fn two_holders_leave_one_result() {
     assert_sound(&SOUND, 337_667, 32);
 }
 
-// As above with a third entry and no faults of the table.
+// As above, with a third entry and no faults of the table.
 #[test]
 fn three_holders_leave_one_result() {
     let model = Jobs {
--- a/bergamotshift-claim/tests/explore/lease/mod.rs
+++ b/bergamotshift-claim/tests/explore/lease/mod.rs
@@ -1,4 +1,4 @@
-//! The control lease protocol: two entries, one duty, orders that pause on their way to endpoints.
+//! Model of the control lease protocol: two entries, one duty, and orders that are delayed on their way to endpoints.
 
 mod steps;
 mod tests;
@@ -19,42 +19,42 @@
 use crate::search;
 use crate::search::Model;
 
-/// A fault put into the test's own wrapper around the keeper, to show that the properties can fail.
+/// Defect injected by the test's wrapper around the keeper, which shows that the properties can be violated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Defect {
     None,
-    /// A successor gives orders at once.
-    GivesOrdersAtOnce,
-    /// A process pauses longer than it was told that processes do.
+    /// A successor sends orders at once.
+    SendsOrdersAtOnce,
+    /// An order is delayed for longer than the keeper's settings assume.
     PausesLonger,
-    /// The lease is taken whatever the row's version is.
+    /// The lease is taken regardless of the row's version.
     TakesUnconditionally,
-    /// The lease is renewed whatever the row's version is.
+    /// The lease is renewed regardless of the row's version.
     RenewsUnconditionally,
-    /// What a holder said of its lease is believed whatever the row's version is.
-    BelievesOldWords,
-    /// A holder gives up while an order is on its way, and goes on giving orders.
-    GivesUpInWord,
+    /// A holder's notice is used regardless of the row's version.
+    TrustsStaleNotices,
+    /// A holder sends the notice that it gave up while it has an order in flight, and continues to send orders.
+    GivesUpWithOrderInFlight,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) enum Message {
     Write(usize, Write),
-    /// A write whose sender has been told that the answer was lost.
+    /// Write in flight whose sender does not await its ending.
     Late(Write),
     Written(usize, Ending),
     Read(usize),
     Rows(usize, Option<Row>, bool),
-    /// What the other process said of its lease.
+    /// Notice of the other process about its lease.
     Notice(usize, lease::Notice),
 }
 
-/// An order on its way to an endpoint that ignores its number.
+/// Order in flight to an endpoint that ignores fencing numbers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(super) struct Order {
     pub(super) number: u64,
     pub(super) from: usize,
-    pub(super) given: u8,
+    pub(super) sent_at: u8,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -62,9 +62,9 @@
     pub(super) keeper: Keeper,
     pub(super) due: Option<Instant>,
     pub(super) resigned: bool,
-    /// How many words of its lease it may still say.
-    pub(super) words: u8,
-    /// Whether it may still give up without telling the table.
+    /// Number of notices that the process may still send.
+    pub(super) notices: u8,
+    /// Whether the process may still give up without a write to the table.
     pub(super) gives_up: bool,
 }
 
@@ -76,20 +76,20 @@
     pub(super) messages: Vec<Message>,
     pub(super) orders: Vec<Order>,
     pub(super) faults: u8,
-    /// The highest number among the orders that arrived.
+    /// Highest fencing number of the orders that arrived.
     pub(super) arrived: u64,
-    /// The numbers under which processes began, and which process did.
+    /// Fencing numbers under which processes started the duty, and the index of each process.
     pub(super) begun: Vec<(u64, usize)>,
-    pub(super) broken: Option<&'static str>,
+    pub(super) violated: Option<&'static str>,
 }
 
 pub(super) struct Leases {
     pub(super) end: u8,
-    pub(super) pause: u8,
+    pub(super) max_order_delay: u8,
     pub(super) faults: u8,
     pub(super) resigns: bool,
-    /// How many words of its lease each process may say.
-    pub(super) words: u8,
+    /// Number of notices that each process may send.
+    pub(super) notices: u8,
     /// Whether each process may give up once.
     pub(super) gives_up: bool,
     pub(super) defect: Defect,
@@ -104,7 +104,7 @@
         let version = self.row.as_ref().map(|row| row.version);
         let holds = match write.condition {
             Condition::Absent => version.is_none(),
-            Condition::Version(wanted) => version == Some(wanted),
+            Condition::Version(required) => version == Some(required),
             Condition::Any => true,
         };
         let Change::Put(body) = &write.change else {
@@ -119,23 +119,23 @@
             body: body.clone(),
         };
         if number(&row) < before {
-            self.broken = Some("numbers grow");
+            self.violated = Some("numbers grow");
         }
         self.row = Some(row);
         Ending::Applied
     }
 
-    pub(super) fn begin(&mut self, number: u64, place: usize) {
+    pub(super) fn begin(&mut self, number: u64, index: usize) {
         if self.begun.iter().any(|(begun, _)| *begun == number) {
-            self.broken = Some("one holder under each number");
+            self.violated = Some("one holder under each number");
         }
-        self.begun.push((number, place));
+        self.begun.push((number, index));
         self.begun.sort_unstable();
     }
 
     pub(super) fn arrive(&mut self, order: Order) {
         if order.number < self.arrived {
-            self.broken = Some("no old order after the successor's first");
+            self.violated = Some("no old order after the successor's first");
         }
         self.arrived = self.arrived.max(order.number);
     }
@@ -153,32 +153,32 @@
 impl Model for Leases {
     type State = World;
 
-    fn first(&self) -> World {
+    fn initial(&self) -> World {
         let second = Duration::from_secs(1);
-        let waited = match self.defect {
-            Defect::GivesOrdersAtOnce => Duration::ZERO,
-            Defect::PausesLonger => second * u32::from(self.pause - 1),
-            _ => second * u32::from(self.pause),
+        let configured_delay = match self.defect {
+            Defect::SendsOrdersAtOnce => Duration::ZERO,
+            Defect::PausesLonger => second * u32::from(self.max_order_delay - 1),
+            _ => second * u32::from(self.max_order_delay),
         };
         let settings = lease::Settings {
             length: second * 2,
             renewal_interval: second,
             margin: Duration::ZERO,
-            max_order_delay: waited,
+            max_order_delay: configured_delay,
             poll_interval: second,
             backoff_limit: second,
             jitter_percent: 0,
             cooldown_until: Instant::ZERO,
         };
-        let process = |place: u128| {
-            let life = attempt::Id::new(place);
-            let keeper = Keeper::new(settings, SmolStr::new_static("duty"), "e".into(), life);
+        let process = |index: u128| {
+            let incarnation = attempt::Id::new(index);
+            let keeper = Keeper::new(settings, SmolStr::new_static("duty"), "e".into(), incarnation);
             let due = Some(Instant::ZERO);
             Process {
                 keeper,
                 due,
                 resigned: false,
-                words: self.words,
+                notices: self.notices,
                 gives_up: self.gives_up,
             }
         };
@@ -191,16 +191,16 @@
             faults: self.faults,
             arrived: 0,
             begun: Vec::new(),
-            broken: None,
+            violated: None,
         }
     }
 
-    fn steps(&self, state: &World, found: &mut dyn FnMut(String, World)) {
-        self.process_steps(state, found);
-        self.network_steps(state, found);
+    fn steps(&self, state: &World, emit: &mut dyn FnMut(String, World)) {
+        self.process_steps(state, emit);
+        self.network_steps(state, emit);
     }
 
-    fn broken(&self, state: &World) -> Option<&'static str> {
-        state.broken
+    fn violated(&self, state: &World) -> Option<&'static str> {
+        state.violated
     }
 }
--- a/bergamotshift-claim/tests/explore/lease/steps.rs
+++ b/bergamotshift-claim/tests/explore/lease/steps.rs
@@ -1,4 +1,4 @@
-//! What can happen next to the clock, the entries, the table and the orders.
+//! Steps of the clock, the entries, the table and the orders.
 
 use bergamotshift_claim::driver::Unreachable;
 use bergamotshift_core::table::Condition;
@@ -17,129 +17,133 @@
 use super::number;
 
 impl Leases {
-    fn tell(&self, world: &mut World, place: usize, event: Event) {
+    fn handle(&self, world: &mut World, index: usize, event: Event) {
         let now = world.now();
-        // The jitter is zero, so what is drawn does not matter.
+        // The jitter is zero, so the random numbers have no effect.
         let mut random = Pcg64Mcg::new(1);
-        let actions = world.processes[place].keeper.on(now, event, &mut random);
+        let actions = world.processes[index].keeper.on(now, event, &mut random);
         for action in actions {
             match action {
                 Action::Write(write) => {
-                    let write = self.spoil(world, place, write);
-                    world.post(Message::Write(place, write));
+                    let write = self.inject_defect(world, index, write);
+                    world.post(Message::Write(index, write));
                 }
-                Action::Read(_) => world.post(Message::Read(place)),
-                Action::Wake(at) => world.processes[place].due = Some(at),
-                Action::Begin { number } => world.begin(number, place),
+                Action::Read(_) => world.post(Message::Read(index)),
+                Action::Wake(at) => world.processes[index].due = Some(at),
+                Action::Begin { number } => world.begin(number, index),
                 Action::End => {}
             }
         }
     }
 
-    fn spoil(&self, world: &World, place: usize, mut write: Write) -> Write {
+    fn inject_defect(&self, world: &World, index: usize, mut write: Write) -> Write {
         let bergamotshift_core::table::Change::Put(body) = &write.change else {
             panic!("a lease is only ever put");
         };
         let version = 0;
         let body = body.clone();
         let new = number(&bergamotshift_core::table::Row { version, body });
-        let renews = world.begun.contains(&(new, place));
-        let spoilt = match self.defect {
+        let renews = world.begun.contains(&(new, index));
+        let is_defective = match self.defect {
             Defect::TakesUnconditionally => !renews,
             Defect::RenewsUnconditionally => renews,
             _ => false,
         };
-        if spoilt {
+        if is_defective {
             write.condition = Condition::Any;
         }
         write
     }
 
-    /// Returns what is heard of a word; believing an old one is the same as hearing that the holder gave up.
-    fn distort(&self, word: lease::Notice) -> lease::Notice {
-        match word {
-            lease::Notice::Holds { number, .. } if self.defect == Defect::BelievesOldWords => {
+    /// Returns the notice as it is received. With the defect, a notice that the sender holds the lease is replaced by
+    /// one that it gave the lease up.
+    fn inject_notice_defect(&self, notice: lease::Notice) -> lease::Notice {
+        match notice {
+            lease::Notice::Holds { number, .. } if self.defect == Defect::TrustsStaleNotices => {
                 lease::Notice::GaveUp { number }
             }
-            word => word,
+            notice => notice,
         }
     }
 
-    pub(super) fn process_steps(&self, world: &World, found: &mut dyn FnMut(String, World)) {
-        let pressing = world.orders.iter().any(|order| order.given + self.pause <= world.time);
-        if world.time < self.end && !pressing {
+    pub(super) fn process_steps(&self, world: &World, emit: &mut dyn FnMut(String, World)) {
+        let is_order_due = world
+            .orders
+            .iter()
+            .any(|order| order.sent_at + self.max_order_delay <= world.time);
+        if world.time < self.end && !is_order_due {
             let mut next = world.clone();
             next.time += 1;
-            found("a second passes".to_owned(), next);
+            emit("a second passes".to_owned(), next);
         }
         let now = world.now();
-        for (place, process) in world.processes.iter().enumerate() {
+        for (index, process) in world.processes.iter().enumerate() {
             let mut step = |name: &str, change: &dyn Fn(&mut World)| {
                 let mut next = world.clone();
                 change(&mut next);
-                found(format!("{name} {place}"), next);
+                emit(format!("{name} {index}"), next);
             };
-            // A process that is paused wakes at any time after it wanted to.
+            // A paused process may wake at any time after its timer was due.
             if process.due.is_some_and(|due| now >= due) {
                 step("wake", &|next| {
-                    next.processes[place].due = None;
-                    self.tell(next, place, Event::Woke);
+                    next.processes[index].due = None;
+                    self.handle(next, index, Event::Woke);
                 });
             }
-            if process.words > 0
-                && let Some(word) = process.keeper.notice(now)
+            if process.notices > 0
+                && let Some(notice) = process.keeper.notice(now)
             {
                 step("say", &|next| {
-                    next.processes[place].words -= 1;
-                    next.post(Message::Notice(1 - place, self.distort(word)));
+                    next.processes[index].notices -= 1;
+                    next.post(Message::Notice(1 - index, self.inject_notice_defect(notice)));
                 });
             }
-            let under_way = world.orders.iter().any(|order| order.from == place);
+            let has_order_in_flight = world.orders.iter().any(|order| order.from == index);
             let holds = process.keeper.permit(now, true);
-            let may_give_up = !under_way || self.defect == Defect::GivesUpInWord;
+            let may_give_up = !has_order_in_flight || self.defect == Defect::GivesUpWithOrderInFlight;
             if process.gives_up
                 && may_give_up
                 && let Some(number) = holds
             {
                 step("give up", &|next| {
-                    next.processes[place].gives_up = false;
-                    if self.defect == Defect::GivesUpInWord {
-                        next.post(Message::Notice(1 - place, lease::Notice::GaveUp { number }));
+                    next.processes[index].gives_up = false;
+                    if self.defect == Defect::GivesUpWithOrderInFlight {
+                        next.post(Message::Notice(1 - index, lease::Notice::GaveUp { number }));
                     } else {
-                        self.tell(next, place, Event::GiveUp);
+                        self.handle(next, index, Event::GiveUp);
                     }
                 });
             }
-            if under_way {
+            if has_order_in_flight {
                 continue;
             }
             if let Some(number) = process.keeper.permit(now, false) {
                 step("order", &|next| {
-                    let given = next.time;
+                    let sent_at = next.time;
                     next.orders.push(Order {
                         number,
-                        from: place,
-                        given,
+                        from: index,
+                        sent_at,
                     });
                     next.orders.sort_unstable();
                 });
             }
             if self.resigns && !process.resigned && process.keeper.permit(now, true).is_some() {
                 step("resign", &|next| {
-                    next.processes[place].resigned = true;
-                    next.processes[place].due = None;
-                    self.tell(next, place, Event::Resign);
+                    next.processes[index].resigned = true;
+                    next.processes[index].due = None;
+                    self.handle(next, index, Event::Resign);
                 });
             }
         }
     }
 
-    pub(super) fn network_steps(&self, world: &World, found: &mut dyn FnMut(String, World)) {
+    pub(super) fn network_steps(&self, world: &World, emit: &mut dyn FnMut(String, World)) {
         for at in 0..world.orders.len() {
             let mut next = world.clone();
             let order = next.orders.remove(at);
             next.arrive(order);
-            found(format!("arrive {order:?}"), next);
+            emit(format!("arrive {order:?}"), next);
         }
         for at in 0..world.messages.len() {
             let mut rest = world.clone();
@@ -151,44 +155,44 @@
                 let mut next = rest.clone();
                 next.faults -= u8::from(fault);
                 change(&mut next);
-                found(format!("{name} {message:?}"), next);
+                emit(format!("{name} {message:?}"), next);
             };
             match &message {
-                Message::Write(place, write) => {
-                    let told = |next: &mut World, ending| next.post(Message::Written(*place, ending));
+                Message::Write(index, write) => {
+                    let report = |next: &mut World, ending| next.post(Message::Written(*index, ending));
                     step("apply", false, &|next| {
                         let ending = next.apply(write);
-                        told(next, ending);
+                        report(next, ending);
                     });
                     step("apply, lose the answer", true, &|next| {
                         next.apply(write);
-                        told(next, Ending::Unknown);
+                        report(next, Ending::Unknown);
                     });
                     step("delay, lose the answer", true, &|next| {
                         next.post(Message::Late(write.clone()));
-                        told(next, Ending::Unknown);
+                        report(next, Ending::Unknown);
                     });
-                    step("refuse", true, &|next| told(next, Ending::Refused));
+                    step("refuse", true, &|next| report(next, Ending::Refused));
                 }
                 Message::Late(write) => step("apply late", false, &|next| {
                     next.apply(write);
                 }),
-                Message::Read(place) => {
+                Message::Read(index) => {
                     step("read", false, &|next| {
                         let row = next.row.clone();
-                        next.post(Message::Rows(*place, row, true));
+                        next.post(Message::Rows(*index, row, true));
                     });
-                    step("fail", true, &|next| next.post(Message::Rows(*place, None, false)));
+                    step("fail", true, &|next| next.post(Message::Rows(*index, None, false)));
                 }
-                Message::Written(place, ending) => step("deliver", false, &|next| {
-                    self.tell(next, *place, Event::Written(ending.clone()));
+                Message::Written(index, ending) => step("deliver", false, &|next| {
+                    self.handle(next, *index, Event::Written(ending.clone()));
                 }),
-                Message::Notice(place, said) => step("hear", false, &|next| {
-                    self.tell(next, *place, Event::Received(*said));
+                Message::Notice(index, notice) => step("hear", false, &|next| {
+                    self.handle(next, *index, Event::Received(*notice));
                 }),
-                Message::Rows(place, row, answered) => step("deliver", false, &|next| {
+                Message::Rows(index, row, answered) => step("deliver", false, &|next| {
                     let row = if *answered { Ok(row.clone()) } else { Err(Unreachable) };
-                    self.tell(next, *place, Event::Rows(row));
+                    self.handle(next, *index, Event::Rows(row));
                 }),
             }
         }
--- a/bergamotshift-claim/tests/explore/lease/tests.rs
+++ b/bergamotshift-claim/tests/explore/lease/tests.rs
@@ -1,4 +1,4 @@
-//! The properties hold in every reachable state, and each of them can fail.
+//! Checks that the properties hold in every reachable state, and that each of them can be violated.
 
 use super::Defect;
 use super::Leases;
@@ -6,10 +6,10 @@
 
 const SOUND: Leases = Leases {
     end: 4,
-    pause: 1,
+    max_order_delay: 1,
     faults: 0,
     resigns: true,
-    words: 0,
+    notices: 0,
     gives_up: false,
     defect: Defect::None,
 };
@@ -20,18 +20,18 @@
     assert_eq!((report.states, report.depth), (states, depth));
 }
 
-// A holder gets permission for an order and is paused before it leaves. Its lease lapses or it resigns, another
-// entry takes the duty, and the first one's order arrives late. An endpoint that ignores fencing numbers must not get
-// the old order after a new one.
+// A holder is paused between the permission for an order and sending it. Its lease expires or it resigns, another entry
+// takes the duty, and the order arrives late. An endpoint that ignores fencing numbers must not get the old order after
+// a new one.
 #[test]
 fn old_orders_never_follow_new_ones() {
     assert_sound(&SOUND, 567_740, 41);
 }
 
-// As above, and the table loses a write's answer. The write lands at any later time: a keeper that counted its lease
-// from the second try of a write whose first try landed believed in it for longer than its successor waited.
+// As above, and the answer to a write is lost. The write may be applied at any later time. A keeper that counted its
+// lease from the second try, although the first one was applied, would use it for longer than its successor waits.
 #[test]
-fn a_lost_write_does_not_stretch_a_lease() {
+fn a_write_with_an_unknown_ending_does_not_extend_a_lease() {
     let model = Leases {
         end: 3,
         faults: 1,
@@ -41,27 +41,28 @@
     assert_sound(&model, 562_309, 37);
 }
 
-// A holder says how long its lease stands, and renews it or is gone. What it said is heard at any later time, also after
-// the renewal. Whoever hears it takes the duty when that time is over, and no order of the holder's may follow its own.
+// A holder sends a notice with its lease's expiry time, then renews the lease or dies. The notice arrives at any later
+// time, also after the renewal. The receiver takes the duty at the expiry time, and no order of the former holder may
+// follow one of its own.
 #[test]
-fn what_a_holder_says_of_its_lease_lets_nobody_in_too_early() {
+fn a_notice_allows_no_early_takeover() {
     let model = Leases {
         end: 3,
         resigns: false,
-        words: 1,
+        notices: 1,
         ..SOUND
     };
     assert_sound(&model, 1_004_556, 35);
 }
 
-// A holder cannot reach the table any more and gives the duty up by word alone. Its row, and a renewal that is still on
-// its way, say that it holds the duty. It must not act again under that number, whatever it reads there.
+// A holder cannot reach the table and gives the duty up by a notice only. Its row, and a renewal in flight, still name
+// it as the holder. It must not send orders under that number again, whatever it reads from the table.
 #[test]
-fn a_holder_that_gives_up_by_word_acts_no_more() {
+fn a_holder_that_gave_up_sends_no_more_orders() {
     let model = Leases {
         end: 2,
         resigns: false,
-        words: 1,
+        notices: 1,
         gives_up: true,
         ..SOUND
     };
@@ -72,19 +73,19 @@
 fn each_property_can_fail() {
     let late = "no old order after the successor's first";
     let cases = [
-        (Defect::GivesOrdersAtOnce, late),
+        (Defect::SendsOrdersAtOnce, late),
         (Defect::PausesLonger, late),
         (Defect::TakesUnconditionally, "one holder under each number"),
         (Defect::RenewsUnconditionally, "numbers grow"),
-        (Defect::BelievesOldWords, late),
-        (Defect::GivesUpInWord, late),
+        (Defect::TrustsStaleNotices, late),
+        (Defect::GivesUpWithOrderInFlight, late),
     ];
     for (defect, property) in cases {
         let violation = explore(&Leases {
             defect,
             end: 6,
-            words: 1,
-            gives_up: defect == Defect::GivesUpInWord,
+            notices: 1,
+            gives_up: defect == Defect::GivesUpWithOrderInFlight,
             ..SOUND
         })
         .expect_err("the defect breaks a property");
--- a/bergamotshift-claim/tests/explore/main.rs
+++ b/bergamotshift-claim/tests/explore/main.rs
@@ -1,4 +1,4 @@
-//! The protocols, explored exhaustively: every state that small models of them can reach.
+//! Exhaustive exploration of the protocols: every reachable state of small models is checked.
 
 mod claim;
 mod job;
--- a/bergamotshift-claim/tests/explore/search.rs
+++ b/bergamotshift-claim/tests/explore/search.rs
@@ -1,4 +1,4 @@
-//! Exhaustive exploration: every state that a small model can reach, breadth first.
+//! Breadth-first exploration of every state that a small model can reach.
 
 use core::hash::Hash;
 use core::hash::Hasher;
@@ -6,86 +6,86 @@
 
 use rustc_hash::FxHashSet;
 
-/// A model with finitely many states.
+/// Model with finitely many states.
 pub trait Model {
-    /// One state of everything: processes, network, platform.
+    /// State of the whole system: processes, network and platform.
     type State: Clone + Eq + Hash;
 
-    /// Returns the state to start from.
-    fn first(&self) -> Self::State;
+    /// Returns the initial state.
+    fn initial(&self) -> Self::State;
 
-    /// Calls `found` with every state that one step leads to, and the step's name.
-    fn steps(&self, state: &Self::State, found: &mut dyn FnMut(String, Self::State));
+    /// Calls `emit` with the name of each possible step and the state that it leads to.
+    fn steps(&self, state: &Self::State, emit: &mut dyn FnMut(String, Self::State));
 
-    /// Returns the property that the state breaks, if it breaks one.
-    fn broken(&self, state: &Self::State) -> Option<&'static str>;
+    /// Returns the property that the state violates, if any.
+    fn violated(&self, state: &Self::State) -> Option<&'static str>;
 }
 
-/// What an exploration that found no broken property has seen.
+/// Result of an exploration without a violation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Report {
-    /// The number of different states.
+    /// Number of distinct states.
     pub states: usize,
-    /// The longest of the shortest ways to a state.
+    /// Length of the longest of the shortest paths to each state.
     pub depth: usize,
 }
 
-/// A broken property with a shortest way to it.
+/// Violated property, with a shortest path to it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Violation {
-    /// The property.
+    /// Name of the property.
     pub property: &'static str,
-    /// The steps from the first state.
+    /// Steps from the initial state.
     pub steps: Vec<String>,
 }
 
-/// Remembers how a state was first reached.
+/// Step by which a state was first reached.
 struct Arrival {
     parent: u32,
-    /// Which of the parent's steps led here.
+    /// Index of the step among the steps of the parent.
     step: u32,
 }
 
 /// Visits every reachable state.
 ///
-/// States are told apart by 128 bits of hash, so that only the newest ones are held whole: a million states take a
-/// few dozen megabytes.
+/// States are identified by a 128-bit hash, and only those of the current and the next depth are stored completely. A
+/// million states take a few dozen megabytes.
 ///
 /// # Errors
 ///
-/// Returns the first broken property, which has no shorter way to it than the one given.
+/// Returns the first violated property, with a shortest path to it.
 pub fn explore<M: Model>(model: &M) -> Result<Report, Violation> {
-    let mut seen = FxHashSet::default();
+    let mut visited = FxHashSet::default();
     let mut arrivals = vec![Arrival { parent: 0, step: 0 }];
-    let mut front = vec![(0_u32, model.first())];
+    let mut frontier = vec![(0_u32, model.initial())];
     let mut depth = 0;
-    seen.insert(fingerprint(&front[0].1));
+    visited.insert(fingerprint(&frontier[0].1));
     loop {
-        let mut next_front = Vec::new();
-        for (at, state) in &front {
-            if let Some(property) = model.broken(state) {
-                let steps = way(model, &arrivals, *at);
+        let mut next_frontier = Vec::new();
+        for (at, state) in &frontier {
+            if let Some(property) = model.violated(state) {
+                let steps = path_to(model, &arrivals, *at);
                 return Err(Violation { property, steps });
             }
             let mut step = 0;
             model.steps(state, &mut |_, next| {
-                if seen.insert(fingerprint(&next)) {
-                    next_front.push((arrivals.len() as u32, next));
+                if visited.insert(fingerprint(&next)) {
+                    next_frontier.push((arrivals.len() as u32, next));
                     arrivals.push(Arrival { parent: *at, step });
                 }
                 step += 1;
             });
         }
-        if next_front.is_empty() {
+        if next_frontier.is_empty() {
             let states = arrivals.len();
             return Ok(Report { states, depth });
         }
         depth += 1;
-        front = next_front;
+        frontier = next_frontier;
     }
 }
 
-/// Returns 128 bits that tell states apart, the same in every run.
+/// Returns a 128-bit hash of a state, which is the same in every run.
 pub fn fingerprint<S: Hash>(state: &S) -> u128 {
     let half = |salt: u8| {
         let mut hasher = DefaultHasher::new();
@@ -96,24 +96,24 @@
     half(0) << 64 | half(1)
 }
 
-/// Walks from the first state to the one at `at` again and names the steps.
-fn way<M: Model>(model: &M, arrivals: &[Arrival], mut at: u32) -> Vec<String> {
+/// Replays the steps from the initial state to the one at `at` and returns their names.
+fn path_to<M: Model>(model: &M, arrivals: &[Arrival], mut at: u32) -> Vec<String> {
     let mut path = Vec::new();
     while at != 0 {
         let arrival = &arrivals[at as usize];
         path.push(arrival.step);
         at = arrival.parent;
     }
-    let mut state = model.first();
+    let mut state = model.initial();
     let mut names = Vec::new();
-    for wanted in path.into_iter().rev() {
-        let mut number = 0;
+    for wanted_step in path.into_iter().rev() {
+        let mut index = 0;
         let mut taken = None;
         model.steps(&state, &mut |name, next| {
-            if number == wanted {
+            if index == wanted_step {
                 taken = Some((name, next));
             }
-            number += 1;
+            index += 1;
         });
         let (name, next) = taken.expect("a model's steps are the same each time");
         names.push(name);
