--- a/bergamotshift-forward/src/control/mod.rs
+++ b/bergamotshift-forward/src/control/mod.rs
@@ -117,15 +117,15 @@
 
     /// Counts a call of the store, and logs when the call begins to fail or succeeds again.
     pub fn record_call(&self, call: &'static str, error: Option<&bergamotshift_platform::Error>) {
-        self.shared.metrics.called(call, error.is_none());
+        self.shared.metrics.count_call(call, error.is_none());
         let mut inner = self.inner.borrow_mut();
-        let lost = inner.failed_calls.contains(call);
+        let was_failing = inner.failed_calls.contains(call);
         match error {
-            Some(error) if !lost => {
+            Some(error) if !was_failing => {
                 inner.failed_calls.insert(call);
                 info!(self.shared.log.always(), "dependency lost"; "call" => call, "cause" => %error);
             }
-            None if lost => {
+            None if was_failing => {
                 inner.failed_calls.remove(call);
                 info!(self.shared.log.always(), "dependency regained"; "call" => call);
             }
@@ -155,19 +155,19 @@
     }
 
     /// Applies the document and the rollout orders that were read from the store.
-    pub fn apply_stored_document(&self, written: Instructions, cursor: Cursor) {
+    pub fn apply_stored_document(&self, instructions: Instructions, cursor: Cursor) {
         let now = self.now();
         let mut inner = self.inner.borrow_mut();
         inner.document_checkpoint.confirm(now, cursor, Duration::ZERO);
-        inner.apply_stored_rollouts(now, &self.shared, written.rollouts);
-        for (service, cause) in &written.unreadable {
-            self.shared.metrics.unread.inc();
-            if let Some((logger, left_out)) = self.shared.log.room(now, Topic::Belief) {
+        inner.apply_stored_rollouts(now, &self.shared, instructions.rollouts);
+        for (service, cause) in &instructions.unreadable {
+            self.shared.metrics.registrations_unread.inc();
+            if let Some((logger, left_out)) = self.shared.log.rate_limited(now, Topic::State) {
                 info!(logger, "rollout not read"; "service" => service.as_str(), "cause" => %cause,
                     "left_out" => left_out);
             }
         }
-        if let Some(document) = written.document {
+        if let Some(document) = instructions.document {
             inner.apply_document(now, &self.shared, document, None, "store");
         }
     }
@@ -207,8 +207,8 @@
             let Change::Unreadable { id, cause } = change else {
                 continue;
             };
-            self.shared.metrics.unread.inc();
-            if let Some((logger, left_out)) = self.shared.log.room(self.now(), Topic::Belief) {
+            self.shared.metrics.registrations_unread.inc();
+            if let Some((logger, left_out)) = self.shared.log.rate_limited(self.now(), Topic::State) {
                 info!(logger, "registration not read"; "endpoint" => id.as_str(), "cause" => %cause,
                     "left_out" => left_out);
             }
@@ -244,9 +244,9 @@
     }
 
     /// Adds an entry that the list of entries contains.
-    pub fn add_listed(&self, listed: &Contact) {
+    pub fn add_listed(&self, contact: &Contact) {
         let now = self.now();
-        self.inner.borrow_mut().members.add_contact(now, listed);
+        self.inner.borrow_mut().members.add_contact(now, contact);
     }
 
     /// Records that the list of entries was read. `busy` contains the organisations that the entries stored as busy; it
@@ -293,7 +293,7 @@
     }
 
     /// Returns the keeper and the deputy of the zone.
-    pub fn keeping(&self) -> Keepers {
+    pub fn keepers(&self) -> Keepers {
         self.inner.borrow().keepers
     }
 
@@ -351,7 +351,7 @@
         let mut inner = self.inner.borrow_mut();
         inner.holds_duties = held;
         inner.lease_notice = notice;
-        self.shared.metrics.holder.set(i64::from(held));
+        self.shared.metrics.duty_holder.set(i64::from(held));
     }
 
     /// Takes the newest notice about the duties' lease that arrived since the last call, adjusted to the current time.
--- a/bergamotshift-forward/src/serve/attempt.rs
+++ b/bergamotshift-forward/src/serve/attempt.rs
@@ -212,8 +212,10 @@
         history.sends += 1;
         history.sent = Some(expected);
         self.shared.metrics.sends.inc();
-        self.shared.recall().record_choice(now, endpoint.hash, &job.ask.parts);
-        seat = seat.with_witness(self.witness(job, choice));
+        self.shared
+            .cache_index()
+            .record_choice(now, endpoint.hash, &job.ask.parts);
+        seat = seat.with_observer(self.witness(job, choice));
         let envelope = Envelope {
             expected: &endpoint.registration.id,
             organisation: job.organisation.as_ref(),
@@ -354,7 +356,7 @@
                 failure.to_string()
             }
         };
-        if let Some((logger, left_out)) = self.shared.log.room(now, Topic::Attempt) {
+        if let Some((logger, left_out)) = self.shared.log.rate_limited(now, Topic::Attempt) {
             info!(logger, "attempt failed"; "request" => job.ask.id.as_str(), "route" => job.route.name.as_str(),
                 "endpoint" => endpoint.registration.id.as_str(), "cause" => cause, "sends" => history.sends,
                 "expected_ms" => choice.cost as u64, "running" => endpoint.running(),
