--- a/bergamotshift-claim/src/lease/keeper.rs
+++ b/bergamotshift-claim/src/lease/keeper.rs
@@ -386,10 +386,7 @@
 
     /// Records a notice, unless a newer one was received before.
     fn receive(&mut self, now: Instant, notice: Notice) -> Vec<Action> {
-        if self
-            .received
-            .is_some_and(|received| !notice.supersedes(received.notice))
-        {
+        if self.received.is_some_and(|received| !notice.replaces(received.notice)) {
             return Vec::new();
         }
         self.received = Some(Received { notice, at: now });
--- a/bergamotshift-claim/src/lease/notice.rs
+++ b/bergamotshift-claim/src/lease/notice.rs
@@ -46,10 +46,10 @@
         }
     }
 
-    /// Returns whether the notice supersedes the one received before.
+    /// Returns whether the notice replaces the one received before.
     ///
     /// A notice of an earlier holder, or one that the holder sent before it gave the lease up, may arrive late.
-    pub fn supersedes(self, previous: Self) -> bool {
+    pub fn replaces(self, previous: Self) -> bool {
         let gave_up = matches!(previous, Self::GaveUp { .. });
         self.number() > previous.number() || (self.number() == previous.number() && !gave_up)
     }
