--- a/bergamotshift-claim/src/batch.rs
+++ b/bergamotshift-claim/src/batch.rs
@@ -25,9 +25,9 @@
     pub max_bytes: usize,
     /// Maximum number of transactions in flight.
     pub max_in_flight: usize,
-    /// Time that each transaction takes up of this entry's share of the table's rate.
+    /// Interval between the starts of two transactions, which limits this entry to its share of the table's rate.
     pub per_transaction: Duration,
-    /// Time that each write takes up of this entry's share of the table's rate.
+    /// Extension of that interval for each write of the first of the two transactions.
     pub per_item: Duration,
     /// Maximum number of queued writes; further ones are rejected at once.
     pub max_queued: usize,
@@ -65,7 +65,7 @@
     pub writes: Vec<Write>,
 }
 
-/// Queue that combines writes into transactions; a `T` identifies the submitter of each write.
+/// Queue that combines writes into transactions; a `T` identifies each write to its submitter.
 #[derive(Clone, Debug)]
 pub struct Batch<T> {
     settings: Settings,
--- a/bergamotshift-claim/src/job/runner.rs
+++ b/bergamotshift-claim/src/job/runner.rs
@@ -52,11 +52,11 @@
 pub enum Completion {
     /// A complete answer was received.
     Answered(Answer),
-    /// No answer was received, and the request was certainly not executed.
+    /// The request was certainly not executed.
     NotRun,
     /// The request cannot be sent from this entry, because its service or its body is unknown.
     Unsendable,
-    /// No answer was received, and the request may have been executed.
+    /// The request may have been executed, and its answer is lost.
     Unknown,
 }
 
@@ -96,15 +96,15 @@
 /// Change that the runner is about to write, or wrote last.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Goal {
-    /// Take the lease.
+    /// Takes the lease.
     Take,
-    /// Renew the lease.
+    /// Renews the lease.
     Renew,
-    /// Remove the lease, so that any entry can take the job at once.
+    /// Removes the lease, so that any entry can take the job at once.
     Release,
-    /// Set the lease's length to the backoff, after which any entry can take the job, and do not count the run.
+    /// Sets the lease's length to the backoff, after which any entry can take the job, and does not count the run.
     Postpone,
-    /// Delete the open row and record the final state.
+    /// Deletes the open row and records the final state.
     Close(State),
 }
 
--- a/bergamotshift-claim/tests/explore/claim/mod.rs
+++ b/bergamotshift-claim/tests/explore/claim/mod.rs
@@ -30,7 +30,7 @@
     RepliesWithoutGivingUp,
     /// A request is sent twice.
     SendsTwice,
-    /// The network delivers a request whose answer is lost again.
+    /// The network delivers a request a second time when its answer is lost.
     SendsAgain,
     /// The caller gets a refusal when another request holds the claim.
     RefusesContested,
--- a/bergamotshift-claim/tests/explore/claim/world.rs
+++ b/bergamotshift-claim/tests/explore/claim/world.rs
@@ -45,6 +45,7 @@
     Unknown,
 }
 
+/// Request of one caller with the key, and its driver.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct Sending {
     pub(super) driver: Driver,
@@ -53,6 +54,7 @@
     pub(super) reply: Option<Reply>,
     /// Number of times that the driver requested to send.
     pub(super) sends: u8,
+    /// Number of times that the endpoint executed the request.
     pub(super) runs: u8,
     /// Whether any request with the key had been executed when the reply was sent.
     pub(super) has_run_before_reply: bool,
--- a/bergamotshift-claim/tests/job.rs
+++ b/bergamotshift-claim/tests/job.rs
@@ -33,8 +33,8 @@
     candidates.iter().map(|candidate| candidate.id).collect()
 }
 
-// The holder of a job dies, which only shows in that its lease is not renewed. Another entry may take the job once it
-// has seen the same row version for the lease's length by its own clock; a renewal restarts that time.
+// The holder of a job dies, and its lease is not renewed any more. Another entry may take the job once it has seen the
+// same row version for the lease's length by its own clock; a renewal restarts that time.
 #[test]
 fn a_lease_expires_when_its_row_stays_unchanged() {
     let mut watch = job::Watch::default();
