--- a/bergamotshift-config/src/accept/member/event.rs
+++ b/bergamotshift-config/src/accept/member/event.rs
@@ -10,7 +10,7 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use crate::accept::record::Mark;
+use crate::accept::record::Revision;
 use crate::accept::record::View;
 use crate::config::Config;
 use crate::digest::Digest;
@@ -50,7 +50,7 @@
     /// The entry's own proposer wrote a newer head.
     Published(View),
     /// Another entry's announcement came.
-    Heard {
+    Announced {
         /// The other entry.
         from: name::Entry,
         /// What it says.
@@ -81,7 +81,7 @@
     /// Sends the announcement to the entry's neighbours.
     Announce(Announcement),
     /// Sends the announcement to an entry that knows less.
-    Tell {
+    Reply {
         /// The entry.
         to: name::Entry,
         /// What to tell it.
@@ -90,14 +90,14 @@
     /// Puts a version in force; it is higher than any before.
     Switch {
         /// The version.
-        mark: Mark,
+        revision: Revision,
         /// The configuration.
         config: Arc<Config>,
     },
     /// Tells the operators that this release can't use an accepted version; the last one stays in force.
     Reject {
         /// The version.
-        mark: Mark,
+        revision: Revision,
         /// Why.
         reason: String,
     },
--- a/bergamotshift-config/src/accept/member/mod.rs
+++ b/bergamotshift-config/src/accept/member/mod.rs
@@ -26,14 +26,14 @@
 
 use super::Timing;
 use super::record;
-use super::record::Mark;
 use super::record::Progress;
 use super::record::Proposal;
+use super::record::Revision;
 use super::record::Stage;
 use super::record::View;
 use crate::config::Config;
 use crate::digest::Digest;
-use crate::folder::Reader;
+use crate::folder::Parser;
 use crate::manifest::Manifest;
 
 /// How a member is set up.
@@ -59,7 +59,7 @@
 /// use bergamotshift_config::accept::member::Announcement;
 /// use bergamotshift_config::accept::member::Event;
 /// use bergamotshift_config::accept::member::Settings;
-/// use bergamotshift_config::accept::record::Mark;
+/// use bergamotshift_config::accept::record::Revision;
 /// use bergamotshift_config::accept::record::Version;
 /// use bergamotshift_config::manifest::Manifest;
 /// use bergamotshift_core::prelude::*;
@@ -67,15 +67,15 @@
 ///
 /// let mut rng = rand_pcg::Pcg64Mcg::seed_from_u64(1);
 /// let content = Manifest::new(&[("10-zones.toml", "[[zone]]\nname = 'canelones'\nregion = 'uy-sur'")])?;
-/// let mark = Mark { version: Version::new(7), digest: content.digest() };
-/// let head = Head { accepted: Some(mark), proposed: None };
+/// let revision = Revision { version: Version::new(7), digest: content.digest() };
+/// let head = Head { accepted: Some(revision), proposed: None };
 /// let announcement = Announcement { view: View { row: 21, head }, holds: true };
 ///
 /// // The platform is down. A peer tells of version 7 and gives its content.
 /// let mut member = Member::new(Settings::default(), Instant::ZERO);
-/// member.handle(Instant::ZERO, Event::Heard { from: "entry-3".into(), announcement }, &mut rng);
+/// member.handle(Instant::ZERO, Event::Announced { from: "entry-3".into(), announcement }, &mut rng);
 /// let actions = member.handle(Instant::ZERO, Event::Fetched(content), &mut rng);
-/// assert!(matches!(&actions[0], Action::Switch { mark, .. } if mark.version.get() == 7));
+/// assert!(matches!(&actions[0], Action::Switch { revision, .. } if revision.version.get() == 7));
 /// # Ok::<(), bergamotshift_config::manifest::Error>(())
 /// ```
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -84,11 +84,11 @@
     rank: u16,
     /// The highest head known; its row's version decides which is higher.
     view: View,
-    in_force: Option<Mark>,
+    in_force: Option<Revision>,
     /// Content in force, accepted or proposed.
     held: BTreeMap<Digest, Manifest>,
     /// Accepted content that this release can't use.
-    rejected: Option<Mark>,
+    rejected: Option<Revision>,
     /// An entry that holds what the view names.
     holder: Option<name::Entry>,
     /// When the view's proposal was first seen.
@@ -124,7 +124,7 @@
     }
 
     /// Returns the version in force at this entry.
-    pub const fn in_force(&self) -> Option<Mark> {
+    pub const fn in_force(&self) -> Option<Revision> {
         self.in_force
     }
 
@@ -142,11 +142,14 @@
     pub fn announcement(&self) -> Announcement {
         let named = [
             self.view.head.accepted,
-            self.view.head.proposed.map(|proposal| proposal.mark),
+            self.view.head.proposed.map(|proposal| proposal.revision),
         ];
         Announcement {
             view: self.view,
-            holds: named.iter().flatten().all(|mark| self.held.contains_key(&mark.digest)),
+            holds: named
+                .iter()
+                .flatten()
+                .all(|revision| self.held.contains_key(&revision.digest)),
         }
     }
 
@@ -174,10 +177,10 @@
             Event::Rows(rows) => self.take_rows(now, &rows, rng),
             Event::ReadFailed => {
                 let timing = self.settings.timing;
-                self.read.fail(now, self.interval(), timing.backoff, rng);
+                self.read.fail(now, self.interval(), timing.max_backoff, rng);
             }
             Event::Published(view) => self.learn(now, view, None),
-            Event::Heard { from, announcement } => self.hear(now, from, announcement, &mut actions),
+            Event::Announced { from, announcement } => self.hear(now, from, announcement, &mut actions),
             Event::Fetched(manifest) => self.take_content(now, manifest, rng),
             Event::FetchFailed => self.miss_content(now, rng),
             Event::Ended(ending) => self.end_stage(now, &ending),
@@ -206,24 +209,24 @@
         let patient = self.holder.is_none() && !self.is_poller();
         // Most entries wait for a neighbour that holds the content, so that not all ask the platform at once.
         let due = if patient {
-            now + self.settings.timing.standby
+            now + self.settings.timing.standby_delay
         } else {
             now
         };
         self.fetch.restart(due);
-        let marks = [
+        let revisions = [
             self.in_force,
             view.head.accepted,
-            view.head.proposed.map(|proposal| proposal.mark),
+            view.head.proposed.map(|proposal| proposal.revision),
         ];
         self.held
-            .retain(|digest, _| marks.iter().flatten().any(|mark| mark.digest == *digest));
+            .retain(|digest, _| revisions.iter().flatten().any(|revision| revision.digest == *digest));
     }
 
     fn hear(&mut self, now: Instant, from: name::Entry, heard: Announcement, actions: &mut Vec<Action>) {
         if heard.view.row < self.view.row {
             let announcement = self.announcement();
-            actions.push(Action::Tell { to: from, announcement });
+            actions.push(Action::Reply { to: from, announcement });
             return;
         }
         let holder = heard.holds.then_some(from);
@@ -261,28 +264,30 @@
 
     fn miss_content(&mut self, now: Instant, rng: &mut Pcg64Mcg) {
         let timing = self.settings.timing;
-        self.fetch.fail(now, timing.watch, timing.backoff, rng);
+        self.fetch.fail(now, timing.watch_interval, timing.max_backoff, rng);
     }
 
     /// Puts the accepted version in force when its content is there.
     fn switch(&mut self, actions: &mut Vec<Action>) {
-        let Some(mark) = self.view.head.accepted else { return };
-        let newer = self.in_force.is_none_or(|in_force| mark.version > in_force.version);
-        if !newer || self.rejected == Some(mark) {
+        let Some(revision) = self.view.head.accepted else {
+            return;
+        };
+        let newer = self.in_force.is_none_or(|in_force| revision.version > in_force.version);
+        if !newer || self.rejected == Some(revision) {
             return;
         }
-        let Some(manifest) = self.held.get(&mark.digest) else {
+        let Some(manifest) = self.held.get(&revision.digest) else {
             return;
         };
         match self.judge(manifest) {
             Ok(config) => {
-                self.in_force = Some(mark);
+                self.in_force = Some(revision);
                 let config = Arc::new(config);
-                actions.push(Action::Switch { mark, config });
+                actions.push(Action::Switch { revision, config });
             }
             Err(reason) => {
-                self.rejected = Some(mark);
-                actions.push(Action::Reject { mark, reason });
+                self.rejected = Some(revision);
+                actions.push(Action::Reject { revision, reason });
             }
         }
     }
@@ -291,7 +296,7 @@
     fn judge(&self, manifest: &Manifest) -> Result<Config, String> {
         let adapters = self.settings.adapters.as_deref();
         manifest
-            .config_by(&Reader { adapters })
+            .config_with(&Parser { adapters })
             .map_err(|error| error.to_string())
     }
 
@@ -304,7 +309,7 @@
     /// Returns when it is this entry's turn to write for its zone.
     fn standby(&self) -> Option<Instant> {
         let proposal = self.view.head.proposed.filter(|_| self.is_poller())?;
-        let due = self.proposed_at + self.settings.timing.standby.saturating_mul(self.rank.into());
+        let due = self.proposed_at + self.settings.timing.standby_delay.saturating_mul(self.rank.into());
         (!self.stage.has_ended(&proposal)).then_some(due)
     }
 
@@ -313,7 +318,7 @@
         if self.stage.is_writing() || self.stage.has_ended(&proposal) {
             return;
         }
-        let manifest = self.held.get(&proposal.mark.digest);
+        let manifest = self.held.get(&proposal.revision.digest);
         if manifest.is_none() && self.is_tired(now) {
             return;
         }
@@ -327,7 +332,10 @@
             Some(Err(reason)) => Progress::Refused(shorten(&reason)),
         };
         let stage = Stage { proposal, progress };
-        if self.stage.begin(now, self.settings.timing.beat, stage.clone()) {
+        if self
+            .stage
+            .begin(now, self.settings.timing.heartbeat_interval, stage.clone())
+        {
             actions.push(Action::Write(vec![Write {
                 key: record::stage_key(&self.settings.zone),
                 condition: self.stage.condition(),
@@ -338,18 +346,18 @@
 
     fn end_stage(&mut self, now: Instant, ending: &Ending) {
         if !self.stage.end(*ending == Ending::Applied) {
-            let pause = self.settings.timing.watch;
+            let pause = self.settings.timing.watch_interval;
             self.read.hasten(now + pause);
         }
     }
 
     /// Returns content that is named and not held: first what is accepted, then what is proposed.
     fn wanted(&self) -> Option<Digest> {
-        let marks = [
+        let revisions = [
             self.view.head.accepted,
-            self.view.head.proposed.map(|proposal| proposal.mark),
+            self.view.head.proposed.map(|proposal| proposal.revision),
         ];
-        let digests = marks.into_iter().flatten().map(|mark| mark.digest);
+        let digests = revisions.into_iter().flatten().map(|revision| revision.digest);
         digests.into_iter().find(|digest| !self.held.contains_key(digest))
     }
 
@@ -394,9 +402,9 @@
             return;
         }
         let pause = if self.repeats > 0 {
-            timing.watch
+            timing.watch_interval
         } else {
-            timing.announce
+            timing.announce_interval
         };
         self.announced = Some(announcement);
         self.announce_at = now + pause;
@@ -405,7 +413,7 @@
 
     /// Returns whether the proposal has stood for so long that nobody carries it any more.
     fn is_tired(&self, now: Instant) -> bool {
-        now >= self.proposed_at + self.settings.timing.takeover
+        now >= self.proposed_at + self.settings.timing.takeover_timeout
     }
 
     const fn is_poller(&self) -> bool {
@@ -415,9 +423,9 @@
     const fn interval(&self) -> Duration {
         let timing = &self.settings.timing;
         if self.is_poller() {
-            timing.poll
+            timing.poll_interval
         } else {
-            timing.idle_poll
+            timing.idle_poll_interval
         }
     }
 }
--- a/bergamotshift-config/src/accept/proposer/event.rs
+++ b/bergamotshift-config/src/accept/proposer/event.rs
@@ -8,7 +8,7 @@
 use smol_str::SmolStr;
 
 use crate::accept::record::Id;
-use crate::accept::record::Mark;
+use crate::accept::record::Revision;
 use crate::accept::record::View;
 use crate::digest::Digest;
 use crate::manifest::Manifest;
@@ -73,12 +73,12 @@
     /// It is accepted and never goes back.
     Accepted {
         /// The version and its content.
-        mark: Mark,
+        revision: Revision,
         /// Zones that were cut off and had not staged it.
         passed_over: Vec<name::Zone>,
     },
     /// The accepted version holds it already.
-    Unchanged(Mark),
+    Unchanged(Revision),
     /// Another operator changed the same files.
     Conflict(Vec<SmolStr>),
     /// Together with what others changed it is not a valid configuration.
--- a/bergamotshift-config/src/accept/proposer/mod.rs
+++ b/bergamotshift-config/src/accept/proposer/mod.rs
@@ -20,9 +20,9 @@
 use super::record;
 use super::record::Head;
 use super::record::Id;
-use super::record::Mark;
 use super::record::Proposal;
 use super::record::Record;
+use super::record::Revision;
 use super::record::Version;
 use super::record::View;
 use crate::manifest;
@@ -62,7 +62,7 @@
 struct Slot {
     row: u64,
     since: Instant,
-    mark: Mark,
+    revision: Revision,
     watch: Watch,
 }
 
@@ -167,21 +167,21 @@
     }
 
     fn pause(&mut self, now: Instant) -> Vec<Action> {
-        self.phase = Phase::Pause(now + self.timing.watch);
+        self.phase = Phase::Pause(now + self.timing.watch_interval);
         Vec::new()
     }
 
     /// Returns until when it tries: for a place in the head, or for the zones to stage.
     fn deadline(&self) -> Instant {
         match &self.slot {
-            Some(slot) => slot.since + self.timing.deadline,
-            None => self.started + self.timing.patience,
+            Some(slot) => slot.since + self.timing.staging_timeout,
+            None => self.started + self.timing.turn_timeout,
         }
     }
 
     /// Tries again after a failure, until well after the deadline.
     fn retry(&mut self, now: Instant) -> Vec<Action> {
-        if now < self.deadline() + self.timing.backoff {
+        if now < self.deadline() + self.timing.max_backoff {
             return self.pause(now);
         }
         let outcome = match self.reason.take() {
@@ -218,7 +218,7 @@
         }
         if let Some(record) = settled.filter(|record| record.id == self.request.id) {
             return self.finish(Outcome::Accepted {
-                mark: record.mark,
+                revision: record.revision,
                 passed_over: record.passed_over,
             });
         }
@@ -260,7 +260,7 @@
                 row: self.view.row,
                 since,
             });
-            if now.since(since) < self.timing.takeover {
+            if now.since(since) < self.timing.takeover_timeout {
                 return if now < self.deadline() {
                     self.pause(now)
                 } else {
@@ -279,12 +279,12 @@
         let base = &self.request.base;
         let theirs = match self.view.head.accepted {
             None => Manifest::default(),
-            Some(mark) if mark.digest == base.digest() => base.clone(),
-            Some(mark) => match &self.theirs {
-                Some(theirs) if theirs.digest() == mark.digest => theirs.clone(),
+            Some(revision) if revision.digest == base.digest() => base.clone(),
+            Some(revision) => match &self.theirs {
+                Some(theirs) if theirs.digest() == revision.digest => theirs.clone(),
                 _ => {
                     self.phase = Phase::Fetch;
-                    return vec![Action::Fetch(mark.digest)];
+                    return vec![Action::Fetch(revision.digest)];
                 }
             },
         };
@@ -300,8 +300,13 @@
             Err(manifest::Error::Conflict(files)) => return self.finish(Outcome::Conflict(files)),
             Err(other) => return self.finish(Outcome::Invalid(other.to_string())),
         };
-        if let Some(mark) = self.view.head.accepted.filter(|mark| mark.digest == candidate.digest()) {
-            return self.finish(Outcome::Unchanged(mark));
+        if let Some(revision) = self
+            .view
+            .head
+            .accepted
+            .filter(|revision| revision.digest == candidate.digest())
+        {
+            return self.finish(Outcome::Unchanged(revision));
         }
         if let Err(error) = candidate.config() {
             return self.finish(Outcome::Invalid(error.to_string()));
@@ -324,13 +329,13 @@
     /// Returns the candidate as the version after the accepted one.
     fn proposal(&self) -> Option<Proposal> {
         let candidate = self.candidate.as_ref()?;
-        let mark = Mark {
+        let revision = Revision {
             version: self.view.head.next(),
             digest: candidate.digest(),
         };
         Some(Proposal {
             id: self.request.id,
-            mark,
+            revision,
         })
     }
 
@@ -356,7 +361,7 @@
         self.slot = Some(Slot {
             row: self.view.row,
             since: now,
-            mark: proposal.mark,
+            revision: proposal.revision,
             watch: Watch::new(proposal, zones),
         });
         self.read()
@@ -366,7 +371,7 @@
     fn judge(&mut self, now: Instant) -> Vec<Action> {
         let Some(slot) = &self.slot else { return self.read() };
         if self.reason.is_none() {
-            let lagging = slot.watch.lagging(now, self.timing.lapse);
+            let lagging = slot.watch.lagging(now, self.timing.zone_timeout);
             if let Some((zone, reason)) = slot.watch.refusal() {
                 self.reason = Some(Outcome::Refused { zone, reason });
             } else if now >= self.deadline() {
@@ -386,13 +391,13 @@
         let Some(slot) = &self.slot else { return self.read() };
         let record = Record {
             id: self.request.id,
-            mark: slot.mark,
+            revision: slot.revision,
             author: self.request.author.clone(),
             at: self.request.at,
-            passed_over: slot.watch.lapsed(now, self.timing.lapse),
+            passed_over: slot.watch.lapsed(now, self.timing.zone_timeout),
         };
         let writes = transaction::accept(slot.row, &record, slot.watch.checks());
-        self.accepting = Some(slot.mark.version);
+        self.accepting = Some(slot.revision.version);
         self.phase = Phase::Accept;
         vec![Action::Write(writes)]
     }
@@ -402,15 +407,15 @@
         if *ending != Ending::Applied {
             return self.retry(now);
         }
-        let mark = slot.mark;
-        let passed_over = slot.watch.lapsed(now, self.timing.lapse);
+        let revision = slot.revision;
+        let passed_over = slot.watch.lapsed(now, self.timing.zone_timeout);
         let head = Head {
-            accepted: Some(mark),
+            accepted: Some(revision),
             proposed: None,
         };
         let row = slot.row + 1;
         let mut actions = vec![Action::Publish(View { row, head })];
-        actions.extend(self.finish(Outcome::Accepted { mark, passed_over }));
+        actions.extend(self.finish(Outcome::Accepted { revision, passed_over }));
         actions
     }
 
--- a/bergamotshift-config/src/accept/proposer/transaction.rs
+++ b/bergamotshift-config/src/accept/proposer/transaction.rs
@@ -22,11 +22,11 @@
 /// as long as nobody breaks the protocol; the version's row, written once, holds even then.
 pub(super) fn accept(row: u64, record: &Record, checks: impl Iterator<Item = Write>) -> Vec<Write> {
     let head = Head {
-        accepted: Some(record.mark),
+        accepted: Some(record.revision),
         proposed: None,
     };
     let version = Write {
-        key: record::version_key(record.mark.version),
+        key: record::version_key(record.revision.version),
         condition: Condition::Absent,
         change: Change::Put(record::encode(record)),
     };
--- a/bergamotshift-config/src/accept/record.rs
+++ b/bergamotshift-config/src/accept/record.rs
@@ -62,7 +62,7 @@
 /// A version and the content it stands for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Serialize, Deserialize)]
-pub struct Mark {
+pub struct Revision {
     /// The version.
     pub version: Version,
     /// The digest of its manifest's listing.
@@ -76,7 +76,8 @@
     /// The operator's change.
     pub id: Id,
     /// The version it would be, and its content.
-    pub mark: Mark,
+    #[serde(rename = "mark")]
+    pub revision: Revision,
 }
 
 /// The one row on which everything turns: what is accepted, and the one proposal that may be next.
@@ -84,7 +85,7 @@
 #[derive(Serialize, Deserialize)]
 pub struct Head {
     /// The accepted version.
-    pub accepted: Option<Mark>,
+    pub accepted: Option<Revision>,
     /// The proposal that waits for the zones.
     pub proposed: Option<Proposal>,
 }
@@ -92,7 +93,9 @@
 impl Head {
     /// Returns the version after the accepted one.
     pub fn next(&self) -> Version {
-        self.accepted.map_or(Version::default(), |mark| mark.version).next()
+        self.accepted
+            .map_or(Version::default(), |revision| revision.version)
+            .next()
     }
 }
 
@@ -131,7 +134,8 @@
     /// The change that made it.
     pub id: Id,
     /// The version and its content.
-    pub mark: Mark,
+    #[serde(rename = "mark")]
+    pub revision: Revision,
     /// Who made the change.
     pub author: SmolStr,
     /// When, in milliseconds since 1970, by the clock of whoever carried it.
--- a/bergamotshift-config/src/config/mod.rs
+++ b/bergamotshift-config/src/config/mod.rs
@@ -52,7 +52,7 @@
     /// Finds the service that answers for a host and path.
     ///
     /// A service that names the host goes before one that names no hosts; among plain services the longest path prefix
-    /// wins. Model services are found by [`Config::service_of_model`] unless they name hosts.
+    /// wins. Model services are found by [`Config::service_for_model`] unless they name hosts.
     pub fn service_for(&self, host: &str, path: &str) -> Option<&Service> {
         self.services
             .values()
@@ -63,7 +63,7 @@
     }
 
     /// Finds the service that serves a model.
-    pub fn service_of_model(&self, model: &str) -> Option<&Service> {
+    pub fn service_for_model(&self, model: &str) -> Option<&Service> {
         self.services
             .values()
             .find(|service| service.models.iter().any(|name| name.as_str() == model))
--- a/bergamotshift-config/src/folder/mod.rs
+++ b/bergamotshift-config/src/folder/mod.rs
@@ -70,17 +70,17 @@
 ///
 /// Fails with every problem found, each with file, line and key.
 pub fn parse<N: AsRef<str>, T: AsRef<str>>(files: &[(N, T)]) -> Result<Config, Error> {
-    Reader::default().parse(files)
+    Parser::default().parse(files)
 }
 
 /// How a folder is judged, beyond what its own text says.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Reader<'a> {
+pub struct Parser<'a> {
     /// The names of the endpoint adapters that there are; missing means that any name passes.
     pub adapters: Option<&'a [&'a str]>,
 }
 
-impl Reader<'_> {
+impl Parser<'_> {
     /// Merges and checks files given as names and texts, in the order of their names.
     ///
     /// # Errors
--- a/bergamotshift-config/src/manifest.rs
+++ b/bergamotshift-config/src/manifest.rs
@@ -161,17 +161,17 @@
     ///
     /// Fails with every problem found, each with file, line and key.
     pub fn config(&self) -> Result<Config, folder::Error> {
-        self.config_by(&folder::Reader::default())
+        self.config_with(&folder::Parser::default())
     }
 
-    /// Parses the content and checks it in the reader's way.
+    /// Parses the content and checks it in the parser's way.
     ///
     /// # Errors
     ///
     /// Fails with every problem found, each with file, line and key.
-    pub fn config_by(&self, reader: &folder::Reader<'_>) -> Result<Config, folder::Error> {
+    pub fn config_with(&self, parser: &folder::Parser<'_>) -> Result<Config, folder::Error> {
         let files: Vec<_> = self.files().map(|(name, text)| (name.as_str(), &**text)).collect();
-        reader.parse(&files)
+        parser.parse(&files)
     }
 
     /// Merges two operators' edits of one base: `ours` and `theirs`, file by file.
--- a/bergamotshift-config/tests/acceptance.rs
+++ b/bergamotshift-config/tests/acceptance.rs
@@ -62,7 +62,7 @@
 /// Returns the version and how many zones were passed over.
 fn accepted(outcome: &Outcome) -> Option<(u64, usize)> {
     match outcome {
-        Outcome::Accepted { mark, passed_over } => Some((mark.version.get(), passed_over.len())),
+        Outcome::Accepted { revision, passed_over } => Some((revision.version.get(), passed_over.len())),
         _ => None,
     }
 }
@@ -181,7 +181,7 @@
     let staged = |world: &World| {
         let row = world.table.get(&record::stage_key(&"zone-2".into()));
         let stage = row.map(|row| record::decode::<Stage>(&row).unwrap());
-        stage.is_some_and(|stage| stage.proposal.mark.digest == next.digest() && stage.progress == Progress::Staged)
+        stage.is_some_and(|stage| stage.proposal.revision.digest == next.digest() && stage.progress == Progress::Staged)
     };
     assert!(world.run_until(end, staged));
     cut(&mut world, 2);
@@ -275,7 +275,10 @@
     assert_eq!(accepted(&world.outcome(1)), Some((2, 0)));
     let content = edit(&base, "30-more.toml", &class("b", 3));
     let row = world.table.get(&record::version_key(record::Version::new(2))).unwrap();
-    assert_eq!(record::decode::<Record>(&row).unwrap().mark.digest, content.digest());
+    assert_eq!(
+        record::decode::<Record>(&row).unwrap().revision.digest,
+        content.digest()
+    );
     assert_follows(&mut world, 2);
 }
 
@@ -358,8 +361,12 @@
             "seed {seed}"
         );
         for node in &world.nodes {
-            for (_, mark) in &node.switches {
-                assert_eq!(history[mark.version.get() as usize - 1].mark, *mark, "seed {seed}");
+            for (_, revision) in &node.switches {
+                assert_eq!(
+                    history[revision.version.get() as usize - 1].revision,
+                    *revision,
+                    "seed {seed}"
+                );
             }
         }
     }
--- a/bergamotshift-config/tests/cost.rs
+++ b/bergamotshift-config/tests/cost.rs
@@ -9,8 +9,8 @@
 use bergamotshift_config::accept::member::Announcement;
 use bergamotshift_config::accept::proposer::Outcome;
 use bergamotshift_config::accept::record::Id;
-use bergamotshift_config::accept::record::Mark;
 use bergamotshift_config::accept::record::Proposal;
+use bergamotshift_config::accept::record::Revision;
 use bergamotshift_config::accept::record::Version;
 use bergamotshift_config::digest::Digest;
 use bergamotshift_config::manifest::Manifest;
@@ -166,7 +166,7 @@
 
 #[test]
 fn an_announcement_is_small() {
-    let mark = |version| Mark {
+    let revision = |version| Revision {
         version: Version::new(version),
         digest: Digest::of(b"content"),
     };
@@ -174,7 +174,7 @@
         view: View {
             row: 300_000,
             head: Head {
-                accepted: Some(mark(100_000)),
+                accepted: Some(revision(100_000)),
                 proposed: None,
             },
         },
@@ -183,7 +183,7 @@
     let mut busy = quiet;
     busy.view.head.proposed = Some(Proposal {
         id: Id::new(u128::MAX),
-        mark: mark(100_001),
+        revision: revision(100_001),
     });
     let size = |announcement: &Announcement| postcard::to_stdvec(announcement).unwrap().len();
     println!("{} bytes, {} with a proposal", size(&quiet), size(&busy));
--- a/bergamotshift-config/tests/examples.rs
+++ b/bergamotshift-config/tests/examples.rs
@@ -59,7 +59,7 @@
     for site in SITES {
         let config = example(site.folder);
         let model = config
-            .service_of_model(site.model.1)
+            .service_for_model(site.model.1)
             .map(|service| service.name.as_str());
         assert_eq!(model, Some(site.model.0));
         let plain = config.service_for("any.example:8080", site.plain.1);
--- a/bergamotshift-config/tests/folder.rs
+++ b/bergamotshift-config/tests/folder.rs
@@ -5,7 +5,7 @@
 use bergamotshift_config::config::Config;
 use bergamotshift_config::folder;
 use bergamotshift_config::folder::Error;
-use bergamotshift_config::folder::Reader;
+use bergamotshift_config::folder::Parser;
 use bergamotshift_core::prelude::*;
 use quickcheck::quickcheck;
 
@@ -184,10 +184,10 @@
 
 #[test]
 fn unknown_adapters_are_refused_where_the_adapters_are_known() {
-    let reader = Reader {
+    let parser = Parser {
         adapters: Some(&["engine", "htpp"]),
     };
-    let Err(Error::Invalid(problems)) = reader.parse(&[("a.toml", BASE)]) else {
+    let Err(Error::Invalid(problems)) = parser.parse(&[("a.toml", BASE)]) else {
         panic!("`http` is not there")
     };
     assert_eq!(
--- a/bergamotshift-config/tests/support/model/bounds.rs
+++ b/bergamotshift-config/tests/support/model/bounds.rs
@@ -88,6 +88,6 @@
 pub(super) fn take_proposed_for_accepted(rows: &mut [Option<Row>]) {
     let Some(Some(row)) = rows.first_mut() else { return };
     let mut head: Head = record::decode(row).expect("the head is JSON");
-    head.accepted = head.proposed.map(|proposal| proposal.mark).or(head.accepted);
+    head.accepted = head.proposed.map(|proposal| proposal.revision).or(head.accepted);
     row.body = super::json(&head);
 }
--- a/bergamotshift-config/tests/support/model/mod.rs
+++ b/bergamotshift-config/tests/support/model/mod.rs
@@ -13,7 +13,7 @@
 use bergamotshift_config::accept::proposer;
 use bergamotshift_config::accept::proposer::Outcome;
 use bergamotshift_config::accept::record;
-use bergamotshift_config::accept::record::Mark;
+use bergamotshift_config::accept::record::Revision;
 use bergamotshift_config::digest::Digest;
 use bergamotshift_config::manifest::Manifest;
 use bergamotshift_core::prelude::*;
@@ -65,7 +65,7 @@
 struct Entry {
     member: Member,
     calls: Vec<Call>,
-    in_force: Option<Mark>,
+    in_force: Option<Revision>,
 }
 
 /// Everything at one moment.
@@ -121,17 +121,17 @@
 /// The spans of time in the model: reads are as frequent as wanted, the rest is counted in steps of the clock.
 fn timing() -> Timing {
     Timing {
-        poll: Duration::ZERO,
-        idle_poll: Duration::ZERO,
-        backoff: Duration::ZERO,
-        standby: Duration::ZERO,
-        beat: STEP,
-        announce: Duration::MAX,
-        watch: Duration::ZERO,
-        lapse: STEP,
-        deadline: STEP * 2,
-        takeover: STEP,
-        patience: STEP * 2,
+        poll_interval: Duration::ZERO,
+        idle_poll_interval: Duration::ZERO,
+        max_backoff: Duration::ZERO,
+        standby_delay: Duration::ZERO,
+        heartbeat_interval: STEP,
+        announce_interval: Duration::MAX,
+        watch_interval: Duration::ZERO,
+        zone_timeout: STEP,
+        staging_timeout: STEP * 2,
+        takeover_timeout: STEP,
+        turn_timeout: STEP * 2,
         ..Timing::default()
     }
 }
@@ -216,7 +216,7 @@
             Step::Hear { from, to } => {
                 let announcement = self.entries[from].member.announcement();
                 let from = name::Entry::new(from.to_string());
-                self.tell_entry(to, member::Event::Heard { from, announcement }, bounds)
+                self.tell_entry(to, member::Event::Announced { from, announcement }, bounds)
             }
             Step::Restart(place) => {
                 self.left[RESTARTS] -= 1;
@@ -298,11 +298,11 @@
                 member::Action::Write(writes) => entry.calls.push(Call::Write(writes)),
                 member::Action::Fetch { digest, .. } if place == 0 => fetched.push(self.objects[&digest].clone()),
                 member::Action::Fetch { digest, .. } => entry.calls.push(Call::Fetch(digest)),
-                member::Action::Announce(_) | member::Action::Tell { .. } => {}
-                member::Action::Switch { mark, .. } => {
-                    let upwards = entry.in_force.is_none_or(|before| before.version < mark.version);
+                member::Action::Announce(_) | member::Action::Reply { .. } => {}
+                member::Action::Switch { revision, .. } => {
+                    let upwards = entry.in_force.is_none_or(|before| before.version < revision.version);
                     bounds.check(Rule::Upwards, upwards)?;
-                    entry.in_force = Some(mark);
+                    entry.in_force = Some(revision);
                 }
                 member::Action::Reject { reason, .. } => panic!("the model's folders are valid: {reason}"),
             }
--- a/bergamotshift-config/tests/support/model/rules.rs
+++ b/bergamotshift-config/tests/support/model/rules.rs
@@ -31,14 +31,15 @@
 
     /// Checks that what was just accepted is staged in each zone whose row moved within the lapse.
     pub(super) fn check_staged(&self, bounds: &Bounds) -> Result<(), Rule> {
-        let Some(mark) = self.head().accepted else {
+        let Some(revision) = self.head().accepted else {
             return Ok(());
         };
         for (zone, moved) in ZONES.iter().zip(self.moved).take(bounds.zones) {
             let row = self.table.get(&record::stage_key(&name::Zone::new(zone)));
             let stage: Option<Stage> = row.and_then(|row| record::decode(&row).ok());
-            let staged = stage.is_some_and(|stage| stage.proposal.mark == mark && stage.progress == Progress::Staged);
-            let lapsed = self.now.since(moved.max(self.proposed)) >= timing().lapse;
+            let staged =
+                stage.is_some_and(|stage| stage.proposal.revision == revision && stage.progress == Progress::Staged);
+            let lapsed = self.now.since(moved.max(self.proposed)) >= timing().zone_timeout;
             bounds.check(Rule::Staged, staged || lapsed)?;
         }
         Ok(())
@@ -48,10 +49,10 @@
     pub(super) fn check(&self, before: &Self, bounds: &Bounds) -> Result<(), Rule> {
         let (old, new) = (before.records(), self.records());
         bounds.check(Rule::OneContent, new.starts_with(&old))?;
-        let last = new.last().map(|record| record.mark);
+        let last = new.last().map(|record| record.revision);
         bounds.check(Rule::HeadIsLast, self.head().accepted == last)?;
-        for mark in self.entries.iter().filter_map(|entry| entry.in_force) {
-            bounds.check(Rule::Accepted, new.iter().any(|record| record.mark == mark))?;
+        for revision in self.entries.iter().filter_map(|entry| entry.in_force) {
+            bounds.check(Rule::Accepted, new.iter().any(|record| record.revision == revision))?;
         }
         for (place, operator) in self.operators.iter().enumerate() {
             let times = new.iter().filter(|record| record.id == Id::new(place as u128)).count();
--- a/bergamotshift-config/tests/support/model/start.rs
+++ b/bergamotshift-config/tests/support/model/start.rs
@@ -11,8 +11,8 @@
 use bergamotshift_config::accept::proposer::Request;
 use bergamotshift_config::accept::record;
 use bergamotshift_config::accept::record::Id;
-use bergamotshift_config::accept::record::Mark;
 use bergamotshift_config::accept::record::Record;
+use bergamotshift_config::accept::record::Revision;
 use bergamotshift_config::accept::record::Version;
 use bergamotshift_core::prelude::*;
 use bergamotshift_core::table::Change;
@@ -37,17 +37,17 @@
     pub fn first(bounds: &Bounds) -> Self {
         let now = Instant::from_secs(100);
         let base = folder(&ZONES[..bounds.zones], "20-a.toml", &class("a", 1));
-        let mark = Mark {
+        let revision = Revision {
             version: Version::new(1),
             digest: base.digest(),
         };
         let head = Head {
-            accepted: Some(mark),
+            accepted: Some(revision),
             proposed: None,
         };
         let record = Record {
             id: Id::new(99),
-            mark,
+            revision,
             author: "first".into(),
             at: 0,
             passed_over: Vec::new(),
@@ -60,7 +60,7 @@
         };
         let rows = [
             put(record::head_key(), json(&head)),
-            put(record::version_key(mark.version), json(&record)),
+            put(record::version_key(revision.version), json(&record)),
         ];
         assert_eq!(table.transact(&rows), Ending::Applied);
         let operators = (0..bounds.operators).map(|place| {
--- a/bergamotshift-config/tests/support/world.rs
+++ b/bergamotshift-config/tests/support/world.rs
@@ -12,7 +12,7 @@
 use bergamotshift_config::accept::proposer::Outcome;
 use bergamotshift_config::accept::proposer::Request;
 use bergamotshift_config::accept::record::Id;
-use bergamotshift_config::accept::record::Mark;
+use bergamotshift_config::accept::record::Revision;
 use bergamotshift_config::digest::Digest;
 use bergamotshift_config::manifest::Manifest;
 use bergamotshift_core::prelude::*;
@@ -64,7 +64,7 @@
 pub struct Node {
     pub zone: usize,
     pub member: Option<Member>,
-    pub switches: Vec<(Instant, Mark)>,
+    pub switches: Vec<(Instant, Revision)>,
     pub reads: u64,
     pub writes: u64,
     pub fetches: u64,
@@ -218,7 +218,9 @@
     /// Returns the version in force at an entry.
     pub fn in_force(&self, node: usize) -> u64 {
         let member = self.nodes[node].member.as_ref();
-        member.and_then(Member::in_force).map_or(0, |mark| mark.version.get())
+        member
+            .and_then(Member::in_force)
+            .map_or(0, |revision| revision.version.get())
     }
 
     /// Returns whether a version, or a higher one, is in force at every entry that lives.
@@ -331,24 +333,24 @@
                     self.send(
                         node,
                         peer,
-                        Happening::Member(member::Event::Heard { from, announcement }),
+                        Happening::Member(member::Event::Announced { from, announcement }),
                     );
                 }
             }
-            member::Action::Tell { to, announcement } => {
+            member::Action::Reply { to, announcement } => {
                 let peer: usize = to.as_str().parse().expect("entries are called by their numbers");
                 let from = name::Entry::new(node.to_string());
                 self.send(
                     node,
                     peer,
-                    Happening::Member(member::Event::Heard { from, announcement }),
+                    Happening::Member(member::Event::Announced { from, announcement }),
                 );
             }
-            member::Action::Switch { mark, .. } => {
+            member::Action::Switch { revision, .. } => {
                 let now = self.now;
-                self.nodes[node].switches.push((now, mark));
+                self.nodes[node].switches.push((now, revision));
             }
-            member::Action::Reject { mark, reason } => panic!("{mark:?} is no configuration: {reason}"),
+            member::Action::Reject { revision, reason } => panic!("{revision:?} is no configuration: {reason}"),
         }
     }
 
--- a/bergamotshift-entry/src/api/openai/complete.rs
+++ b/bergamotshift-entry/src/api/openai/complete.rs
@@ -81,7 +81,7 @@
         serde_json::from_str(text).map_err(|error| Error::not_run(Reason::Json(error.to_string())))?;
     let service = snapshot
         .config
-        .service_of_model(&completion.model)
+        .service_for_model(&completion.model)
         .ok_or_else(|| Error::not_run(Reason::UnknownModel(completion.model.to_string())))?;
     if !organisation.may_use(&service.name) {
         return Err(Error::not_run(Reason::Forbidden(service.name.clone())));
--- a/bergamotshift-entry/src/configuration/follow.rs
+++ b/bergamotshift-entry/src/configuration/follow.rs
@@ -74,14 +74,16 @@
 fn perform(member: &Member, outside: &Rc<Outside>, action: Action, sender: &Sender) {
     match action {
         Action::Announce(announcement) => outside.peers.announce(announcement),
-        Action::Tell { to, announcement } => outside.peers.tell(&to, announcement),
-        Action::Switch { mark, config } => {
-            info!(outside.logger, "configuration in force"; "version" => mark.version.get());
-            outside.control.send(watch::Event::Configured { mark, config });
+        Action::Reply { to, announcement } => outside.peers.tell(&to, announcement),
+        Action::Switch { revision, config } => {
+            info!(outside.logger, "configuration in force"; "version" => revision.version.get());
+            outside
+                .control
+                .send(watch::Event::Configured { mark: revision, config });
         }
-        Action::Reject { mark, reason } => {
+        Action::Reject { revision, reason } => {
             error!(outside.logger, "this release cannot use the accepted configuration, the last one stays in force";
-                "version" => mark.version.get(), "reason" => reason);
+                "version" => revision.version.get(), "reason" => reason);
         }
         call @ (Action::Read(_) | Action::Write(_) | Action::Fetch { .. }) => {
             let held = member.in_force().and_then(|mark| member.content(&mark.digest).cloned());
--- a/bergamotshift-entry/src/control/state.rs
+++ b/bergamotshift-entry/src/control/state.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-use bergamotshift_config::accept::record::Mark;
+use bergamotshift_config::accept::record::Revision;
 use bergamotshift_config::accept::record::Version;
 use bergamotshift_config::config::Config;
 use bergamotshift_config::config::Retry;
@@ -121,7 +121,7 @@
     }
 
     /// Puts a configuration version in force; requests under way keep the one they began with.
-    fn configure(&mut self, mark: Mark, config: Arc<Config>) {
+    fn configure(&mut self, mark: Revision, config: Arc<Config>) {
         self.config = config;
         self.version = Some(mark.version);
         let tls = self.shared.settings.endpoints.tls.is_some();
--- a/bergamotshift-entry/src/peers/content.rs
+++ b/bergamotshift-entry/src/peers/content.rs
@@ -54,7 +54,7 @@
         };
         announcement.holds &= from.is_some();
         let from = from.unwrap_or_default();
-        let event = member::Event::Heard { from, announcement };
+        let event = member::Event::Announced { from, announcement };
         match &*self.listener.borrow() {
             Some(listener) => drop(listener.send(event)),
             None => *self.latest.borrow_mut() = Some(event),
@@ -82,7 +82,7 @@
         let named = [
             member.in_force(),
             known.accepted,
-            known.proposed.map(|proposal| proposal.mark),
+            known.proposed.map(|proposal| proposal.revision),
         ];
         let mut held = self.held.borrow_mut();
         let mut kept = BTreeMap::new();
--- a/bergamotshift-entry/src/watch/mod.rs
+++ b/bergamotshift-entry/src/watch/mod.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-use bergamotshift_config::accept::record::Mark;
+use bergamotshift_config::accept::record::Revision;
 use bergamotshift_config::config::Config;
 use bergamotshift_core::load;
 use bergamotshift_core::prelude::*;
@@ -42,7 +42,7 @@
     /// A configuration version is to be in force from now on.
     Configured {
         /// The version, higher than any before.
-        mark: Mark,
+        mark: Revision,
         /// What it says.
         config: Arc<Config>,
     },
--- a/bergamotshift-entry/tests/configuration/main.rs
+++ b/bergamotshift-entry/tests/configuration/main.rs
@@ -15,7 +15,7 @@
     let site = Site::start(&["zone-a", "zone-b"]).await;
     let accepted = site.apply(&folder::empty(), &folder::with_key("first")).await;
     assert!(
-        matches!(accepted, Outcome::Accepted { mark, .. } if mark.version.get() == 1),
+        matches!(accepted, Outcome::Accepted { revision, .. } if revision.version.get() == 1),
         "{accepted:?}"
     );
     site.in_force(1).await;
@@ -24,7 +24,7 @@
         .apply(&folder::with_key("first"), &folder::with_key("second"))
         .await;
     assert!(
-        matches!(changed, Outcome::Accepted { mark, .. } if mark.version.get() == 2),
+        matches!(changed, Outcome::Accepted { revision, .. } if revision.version.get() == 2),
         "{changed:?}"
     );
     site.in_force(2).await;
@@ -39,7 +39,7 @@
     site.table.fault(Fault::LoseAnswerAfterWrite { count: 3 });
     let accepted = site.apply(&folder::empty(), &folder::with_key("first")).await;
     assert!(
-        matches!(accepted, Outcome::Accepted { mark, .. } if mark.version.get() == 1),
+        matches!(accepted, Outcome::Accepted { revision, .. } if revision.version.get() == 1),
         "{accepted:?}"
     );
     site.in_force(1).await;
--- a/bergamotshift-entry/tests/configuration/site.rs
+++ b/bergamotshift-entry/tests/configuration/site.rs
@@ -109,7 +109,7 @@
 
     /// Carries an operator's change.
     pub async fn apply(&self, base: &Manifest, ours: &Manifest) -> Outcome {
-        self.apply_within(base, ours, Timing::default().patience).await
+        self.apply_within(base, ours, Timing::default().turn_timeout).await
     }
 
     /// Carries an operator's change and tries for so long.
@@ -135,11 +135,11 @@
         let backoff = if patience.is_zero() {
             Duration::ZERO
         } else {
-            Timing::default().backoff
+            Timing::default().max_backoff
         };
         let timing = Timing {
-            patience,
-            backoff,
+            turn_timeout: patience,
+            max_backoff: backoff,
             ..Timing::default()
         };
         configuration::propose::run(&Rc::clone(&table), &configuration::Store::new(objects), request, timing).await
--- a/bergamotshift/src/command/config/apply.rs
+++ b/bergamotshift/src/command/config/apply.rs
@@ -98,7 +98,7 @@
         None => None,
     };
     let base = match record {
-        Some(record) => platform.content(&record.mark.digest).await?,
+        Some(record) => platform.content(&record.revision.digest).await?,
         None => Manifest::default(),
     };
     let request = Request {
@@ -128,16 +128,16 @@
 /// Tells the operator what became of the change.
 fn tell(folder: &str, outcome: Outcome) -> Result<(), Error> {
     match outcome {
-        Outcome::Accepted { mark, passed_over } => {
-            println!("accepted as version {}", mark.version.get());
+        Outcome::Accepted { revision, passed_over } => {
+            println!("accepted as version {}", revision.version.get());
             for zone in passed_over {
                 println!("zone {zone} was cut off; it takes the version over when it is back");
             }
-            base::save(folder, mark.version)
+            base::save(folder, revision.version)
         }
-        Outcome::Unchanged(mark) => {
-            println!("no changes: version {} holds it already", mark.version.get());
-            base::save(folder, mark.version)
+        Outcome::Unchanged(revision) => {
+            println!("no changes: version {} holds it already", revision.version.get());
+            base::save(folder, revision.version)
         }
         other => Err(Error::Failed(refusal(&other))),
     }
--- a/bergamotshift/src/command/config/check.rs
+++ b/bergamotshift/src/command/config/check.rs
@@ -6,7 +6,7 @@
 
 use crate::config::config::Config;
 use crate::config::folder;
-use crate::config::folder::Reader;
+use crate::config::folder::Parser;
 use crate::config::manifest::Manifest;
 use crate::core::plugin;
 use crate::endpoint::adapter;
@@ -67,8 +67,8 @@
 /// Returns every problem, with file, line and key.
 pub fn parse(manifest: &Manifest) -> Result<Config, Error> {
     let adapters = plugin::names::<adapter::Kind>();
-    let reader = Reader {
+    let parser = Parser {
         adapters: Some(&adapters),
     };
-    manifest.config_by(&reader).map_err(|error| Error::failed(&error))
+    manifest.config_with(&parser).map_err(|error| Error::failed(&error))
 }
--- a/bergamotshift/src/command/config/history.rs
+++ b/bergamotshift/src/command/config/history.rs
@@ -54,9 +54,9 @@
     let at = UNIX_EPOCH + Duration::from_millis(record.at);
     let mut line = format!(
         "{:>6}  {}  {}  {}",
-        record.mark.version.get(),
+        record.revision.version.get(),
         humantime::format_rfc3339_seconds(at),
-        record.mark.digest,
+        record.revision.digest,
         record.author
     );
     if !record.passed_over.is_empty() {
--- a/bergamotshift/src/command/config/platform.rs
+++ b/bergamotshift/src/command/config/platform.rs
@@ -78,7 +78,7 @@
     async fn accepted(&self) -> Result<Option<Version>, Error> {
         let row = self.row(record::head_key()).await?;
         let view = View::read(row.as_ref()).map_err(|error| Error::failed(&error))?;
-        Ok(view.head.accepted.map(|mark| mark.version))
+        Ok(view.head.accepted.map(|revision| revision.version))
     }
 
     async fn row(&self, key: crate::core::table::Key) -> Result<Option<Row>, Error> {
@@ -103,7 +103,7 @@
     /// Returns why it can't be read.
     pub async fn accepted_content(&self) -> Result<Manifest, Error> {
         match self.version(None).await? {
-            Some(record) => self.content(&record.mark.digest).await,
+            Some(record) => self.content(&record.revision.digest).await,
             None => Ok(Manifest::default()),
         }
     }
--- a/bergamotshift/src/command/config/show.rs
+++ b/bergamotshift/src/command/config/show.rs
@@ -70,7 +70,7 @@
     if let Some(folder) = &arguments.folder {
         return write(folder, &record, &manifest);
     }
-    println!("# version {}", record.mark.version.get());
+    println!("# version {}", record.revision.version.get());
     print!("{}", check::parse(&manifest)?);
     Ok(())
 }
@@ -79,7 +79,7 @@
     let Some(record) = platform.version(wanted).await? else {
         return Ok(None);
     };
-    let manifest = platform.content(&record.mark.digest).await?;
+    let manifest = platform.content(&record.revision.digest).await?;
     Ok(Some((record, manifest)))
 }
 
@@ -90,7 +90,7 @@
         std::fs::write(&path, text.as_bytes())
             .map_err(|error| Error::Failed(format!("{}: {error}", path.display())))?;
     }
-    base::save(folder, record.mark.version)?;
-    println!("{folder}: version {}", record.mark.version.get());
+    base::save(folder, record.revision.version)?;
+    println!("{folder}: version {}", record.revision.version.get());
     Ok(())
 }
