--- a/bergamotshift-config/src/accept/member/event.rs
+++ b/bergamotshift-config/src/accept/member/event.rs
@@ -1,4 +1,4 @@
-//! What reaches a member, and what it wants done.
+//! Events and actions of a member.
 
 use std::sync::Arc;
 
@@ -16,89 +16,89 @@
 use crate::digest::Digest;
 use crate::manifest::Manifest;
 
-/// What entries tell each other: the highest head they know.
+/// Message between entries with the highest head that the sender knows.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 #[derive(Serialize, Deserialize)]
 pub struct Announcement {
-    /// The head and the version of its row.
+    /// Head and the version of its row.
     pub view: View,
-    /// Whether the sender holds all content that the head names, and can be asked for it.
+    /// Whether the sender holds all content that the head refers to, so that it can be fetched from the sender.
     pub holds: bool,
 }
 
-/// Where content can be had.
+/// Place from which content is fetched.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Source {
-    /// The platform's object store.
+    /// Object store of the platform.
     Platform,
     /// Another entry.
     Peer(name::Entry),
 }
 
-/// What reaches a member. Each `Read`, `Fetch` and `Write` is answered by one event.
+/// Input of a member. Each [`Action::Read`], [`Action::Fetch`] and [`Action::Write`] is answered by one event.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// Time passed.
+    /// The time of the next wake-up was reached.
     Tick,
-    /// The entry's place among the live entries of its zone, from 0; the same order at all of them, as far as they
-    /// agree on who lives.
+    /// The entry's rank among the live entries of its zone changed. Ranks count from 0; entries that agree on which
+    /// entries are live agree on the ranks.
     Ranked(u16),
-    /// The rows of a read, in the order of its keys.
+    /// A read returned these rows, in the order of its keys.
     Rows(Vec<Option<Row>>),
     /// A read failed.
     ReadFailed,
-    /// The entry's own proposer wrote a newer head.
+    /// The proposer in this entry's process wrote a newer head.
     Published(View),
-    /// Another entry's announcement came.
+    /// An announcement was received from another entry.
     Announced {
-        /// The other entry.
+        /// Sender of the announcement.
         from: name::Entry,
-        /// What it says.
+        /// Announcement that was received.
         announcement: Announcement,
     },
-    /// The content of a fetch.
+    /// A fetch returned this content.
     Fetched(Manifest),
     /// A fetch failed.
     FetchFailed,
-    /// A transaction ended.
+    /// A transaction ended this way.
     Ended(Ending),
 }
 
-/// What a member wants done.
+/// Action that a member requests.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Reads rows, each at its latest.
+    /// Reads the latest version of each row.
     Read(Vec<Key>),
-    /// Fetches the content with this digest; only files that are not held need to travel.
+    /// Fetches the content with this digest. Files that the entry already holds need not be transferred.
     Fetch {
-        /// The digest.
+        /// Digest of the content.
         digest: Digest,
-        /// Whom to ask.
+        /// Place to fetch from.
         from: Source,
     },
     /// Runs a transaction.
     Write(Vec<Write>),
     /// Sends the announcement to the entry's neighbours.
     Announce(Announcement),
-    /// Sends the announcement to an entry that knows less.
+    /// Sends the announcement to an entry that announced an older head.
     Reply {
-        /// The entry.
+        /// Receiver of the announcement.
         to: name::Entry,
-        /// What to tell it.
+        /// Announcement to send.
         announcement: Announcement,
     },
-    /// Puts a version in force; it is higher than any before.
+    /// Puts a version in force. It is higher than every version that was in force before.
     Switch {
-        /// The version.
+        /// Version to put in force.
         revision: Revision,
-        /// The configuration.
+        /// Configuration of the version.
         config: Arc<Config>,
     },
-    /// Tells the operators that this release can't use an accepted version; the last one stays in force.
+    /// Reports that this release cannot use an accepted version. The previous version stays in force.
     Reject {
-        /// The version.
+        /// Version that cannot be used.
         revision: Revision,
-        /// Why.
+        /// Reason for the rejection.
         reason: String,
     },
 }
--- a/bergamotshift-config/src/accept/member/mod.rs
+++ b/bergamotshift-config/src/accept/member/mod.rs
@@ -1,4 +1,4 @@
-//! Follows the accepted configuration in every entry, and stages proposals for its zone.
+//! State machine that follows the accepted configuration in every entry and stages proposals for the zone.
 
 use core::time::Duration;
 use std::collections::BTreeMap;
@@ -22,7 +22,7 @@
 pub use event::Event;
 pub use event::Source;
 use stage::Row as StageRow;
-use timer::Call;
+use timer::Schedule;
 
 use super::Timing;
 use super::record;
@@ -36,20 +36,20 @@
 use crate::folder::Parser;
 use crate::manifest::Manifest;
 
-/// How a member is set up.
+/// Settings of a [`Member`].
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Settings {
-    /// The entry's availability zone.
+    /// Availability zone of the entry.
     pub zone: name::Zone,
-    /// The spans of time.
+    /// Intervals and timeouts of the protocol.
     pub timing: Timing,
-    /// The endpoint adapters that this release has; missing means that any name passes.
+    /// Names of the endpoint adapters of this release; `None` accepts any name.
     pub adapters: Option<Vec<&'static str>>,
 }
 
 /// Follows the accepted configuration for one entry.
 ///
-/// It keeps nothing over a restart: a fresh member takes the highest head of the platform and its peers.
+/// It stores nothing across a restart: a new member adopts the highest head of the platform and its peers.
 ///
 /// ```
 /// use bergamotshift_config::accept::Head;
@@ -71,7 +71,7 @@
 /// let head = Head { accepted: Some(revision), proposed: None };
 /// let announcement = Announcement { view: View { row: 21, head }, holds: true };
 ///
-/// // The platform is down. A peer tells of version 7 and gives its content.
+/// // The platform is down. A peer announces version 7 and supplies its content.
 /// let mut member = Member::new(Settings::default(), Instant::ZERO);
 /// member.handle(Instant::ZERO, Event::Announced { from: "entry-3".into(), announcement }, &mut rng);
 /// let actions = member.handle(Instant::ZERO, Event::Fetched(content), &mut rng);
@@ -82,63 +82,63 @@
 pub struct Member {
     settings: Settings,
     rank: u16,
-    /// The highest head known; its row's version decides which is higher.
+    /// Highest head known, as ordered by the version of its row.
     view: View,
     in_force: Option<Revision>,
-    /// Content in force, accepted or proposed.
-    held: BTreeMap<Digest, Manifest>,
-    /// Accepted content that this release can't use.
+    /// Contents of the versions that are in force, accepted or proposed.
+    contents: BTreeMap<Digest, Manifest>,
+    /// Accepted version that this release cannot use.
     rejected: Option<Revision>,
-    /// An entry that holds what the view names.
-    holder: Option<name::Entry>,
-    /// When the view's proposal was first seen.
-    proposed_at: Instant,
+    /// Entry that holds all contents that the view refers to.
+    content_peer: Option<name::Entry>,
+    /// Time at which the view's proposal was first seen.
+    proposal_seen_at: Instant,
     stage: StageRow,
-    read: Call,
-    fetch: Call,
+    read_schedule: Schedule,
+    fetch_schedule: Schedule,
     announced: Option<Announcement>,
-    announce_at: Instant,
-    /// How often news is still repeated soon.
-    repeats: u8,
+    next_announcement: Instant,
+    /// Number of repeats left at the short interval for the current announcement.
+    repeats_left: u8,
 }
 
 impl Member {
-    /// Makes a member that knows nothing yet; its first tick asks the platform.
+    /// Creates a member without any state. Its first tick reads the head from the platform.
     pub fn new(settings: Settings, now: Instant) -> Self {
         Self {
             settings,
             rank: 0,
             view: View::default(),
             in_force: None,
-            held: BTreeMap::new(),
+            contents: BTreeMap::new(),
             rejected: None,
-            holder: None,
-            proposed_at: now,
+            content_peer: None,
+            proposal_seen_at: now,
             stage: StageRow::default(),
-            read: Call::new(now),
-            fetch: Call::new(now),
+            read_schedule: Schedule::new(now),
+            fetch_schedule: Schedule::new(now),
             announced: None,
-            announce_at: now,
-            repeats: 0,
+            next_announcement: now,
+            repeats_left: 0,
         }
     }
 
-    /// Returns the version in force at this entry.
+    /// Returns the version that is in force at this entry.
     pub const fn in_force(&self) -> Option<Revision> {
         self.in_force
     }
 
-    /// Returns the highest head known.
+    /// Returns the highest head that this entry knows.
     pub const fn view(&self) -> View {
         self.view
     }
 
-    /// Returns content that this entry holds, such as a peer asks for.
+    /// Returns the content with this digest, if this entry holds it.
     pub fn content(&self, digest: &Digest) -> Option<&Manifest> {
-        self.held.get(digest)
+        self.contents.get(digest)
     }
 
-    /// Returns what to tell others.
+    /// Returns the entry's current announcement.
     pub fn announcement(&self) -> Announcement {
         let named = [
             self.view.head.accepted,
@@ -149,125 +149,134 @@
             holds: named
                 .iter()
                 .flatten()
-                .all(|revision| self.held.contains_key(&revision.digest)),
+                .all(|revision| self.contents.contains_key(&revision.digest)),
         }
     }
 
-    /// Returns when the next tick is due.
+    /// Returns the time at which the next [`Event::Tick`] is due.
     pub fn wake(&self, now: Instant) -> Instant {
-        let fetch = self.wanted().and_then(|_| self.fetch.wake());
-        let stage = match self.duty(now) {
-            Some(proposal) if !self.is_tired(now) => self.stage.wake(&proposal),
+        let fetch = self.missing_digest().and_then(|_| self.fetch_schedule.due_at());
+        let stage = match self.proposal_to_stage(now) {
+            Some(proposal) if !self.is_proposal_expired(now) => self.stage.due_at(&proposal),
             Some(_) => None,
-            None => self.standby(),
+            None => self.stage_due_at(),
         };
-        let others = [self.read.wake(), fetch, stage];
-        others.into_iter().flatten().fold(self.announce_at, Instant::min)
+        let others = [self.read_schedule.due_at(), fetch, stage];
+        others.into_iter().flatten().fold(self.next_announcement, Instant::min)
     }
 
-    /// Takes an event in and returns what is to be done.
+    /// Processes an event and returns the actions to perform.
     pub fn handle(&mut self, now: Instant, event: Event, rng: &mut Pcg64Mcg) -> Vec<Action> {
         let mut actions = Vec::new();
         match event {
             Event::Tick => {}
             Event::Ranked(rank) => {
                 self.rank = rank;
-                self.read.hasten(now + self.interval());
+                self.read_schedule.bring_forward(now + self.read_interval());
             }
-            Event::Rows(rows) => self.take_rows(now, &rows, rng),
+            Event::Rows(rows) => self.receive_rows(now, &rows, rng),
             Event::ReadFailed => {
                 let timing = self.settings.timing;
-                self.read.fail(now, self.interval(), timing.max_backoff, rng);
+                self.read_schedule
+                    .fail(now, self.read_interval(), timing.max_backoff, rng);
             }
-            Event::Published(view) => self.learn(now, view, None),
-            Event::Announced { from, announcement } => self.hear(now, from, announcement, &mut actions),
-            Event::Fetched(manifest) => self.take_content(now, manifest, rng),
-            Event::FetchFailed => self.miss_content(now, rng),
-            Event::Ended(ending) => self.end_stage(now, &ending),
+            Event::Published(view) => self.adopt(now, view, None),
+            Event::Announced { from, announcement } => self.receive_announcement(now, from, announcement, &mut actions),
+            Event::Fetched(manifest) => self.receive_content(now, manifest, rng),
+            Event::FetchFailed => self.fail_fetch(now, rng),
+            Event::Ended(ending) => self.finish_stage(now, &ending),
         }
         self.switch(&mut actions);
-        self.stage(now, &mut actions);
-        self.fetch(now, &mut actions);
-        self.read(now, &mut actions);
+        self.write_stage(now, &mut actions);
+        self.fetch_content(now, &mut actions);
+        self.read_rows(now, &mut actions);
         self.announce(now, &mut actions);
         actions
     }
 
-    /// Takes in a head, when it is higher than the one known.
+    /// Adopts a view if it is higher than the one known.
     ///
-    /// The failure: an old head, from a lagging peer or a zone cut off long ago, takes a newer configuration back. Rows
-    /// only ever count up, and each accepted version comes with a higher row, so the comparison is enough.
-    fn learn(&mut self, now: Instant, view: View, holder: Option<name::Entry>) {
+    /// An old head, from a lagging peer or a zone that was cut off for long, must not revert a newer configuration. The
+    /// version of the head row only increases, and does so with each accepted version, so comparing it suffices.
+    fn adopt(&mut self, now: Instant, view: View, content_peer: Option<name::Entry>) {
         if view.row <= self.view.row {
             return;
         }
         if view.head.proposed != self.view.head.proposed {
-            self.proposed_at = now;
+            self.proposal_seen_at = now;
         }
         self.view = view;
-        self.holder = holder;
-        let patient = self.holder.is_none() && !self.is_poller();
-        // Most entries wait for a neighbour that holds the content, so that not all ask the platform at once.
-        let due = if patient {
+        self.content_peer = content_peer;
+        let waits_for_peer = self.content_peer.is_none() && !self.is_poller();
+        // Most entries wait for a peer that holds the content, so that they do not all fetch from the platform at once.
+        let due = if waits_for_peer {
             now + self.settings.timing.standby_delay
         } else {
             now
         };
-        self.fetch.restart(due);
+        self.fetch_schedule.restart(due);
         let revisions = [
             self.in_force,
             view.head.accepted,
             view.head.proposed.map(|proposal| proposal.revision),
         ];
-        self.held
+        self.contents
             .retain(|digest, _| revisions.iter().flatten().any(|revision| revision.digest == *digest));
     }
 
-    fn hear(&mut self, now: Instant, from: name::Entry, heard: Announcement, actions: &mut Vec<Action>) {
-        if heard.view.row < self.view.row {
+    fn receive_announcement(
+        &mut self,
+        now: Instant,
+        from: name::Entry,
+        received: Announcement,
+        actions: &mut Vec<Action>,
+    ) {
+        if received.view.row < self.view.row {
             let announcement = self.announcement();
             actions.push(Action::Reply { to: from, announcement });
             return;
         }
-        let holder = heard.holds.then_some(from);
-        if heard.view.row > self.view.row {
-            self.learn(now, heard.view, holder);
-        } else if self.holder.is_none() && holder.is_some() {
-            self.holder = holder;
-            self.fetch.hasten(now);
+        let content_peer = received.holds.then_some(from);
+        if received.view.row > self.view.row {
+            self.adopt(now, received.view, content_peer);
+        } else if self.content_peer.is_none() && content_peer.is_some() {
+            self.content_peer = content_peer;
+            self.fetch_schedule.bring_forward(now);
         }
     }
 
-    fn take_rows(&mut self, now: Instant, rows: &[Option<Row>], rng: &mut Pcg64Mcg) {
-        self.read.succeed(now, self.interval(), rng);
+    fn receive_rows(&mut self, now: Instant, rows: &[Option<Row>], rng: &mut Pcg64Mcg) {
+        self.read_schedule.succeed(now, self.read_interval(), rng);
         let Some((head, stage)) = rows.split_first() else {
             return;
         };
-        // A head of a newer release can't be read; peers of this release can't help either, so the last one stays.
+        // The head of a newer release may not be readable. Peers of this release cannot read it either, so the last known
+        // head stays.
         if let Ok(view) = View::read(head.as_ref()) {
-            self.learn(now, view, None);
+            self.adopt(now, view, None);
         }
         if let Some(row) = stage.first() {
-            self.stage.read(row.as_ref());
+            self.stage.update(row.as_ref());
         }
     }
 
-    fn take_content(&mut self, now: Instant, manifest: Manifest, rng: &mut Pcg64Mcg) {
+    fn receive_content(&mut self, now: Instant, manifest: Manifest, rng: &mut Pcg64Mcg) {
         let digest = manifest.digest();
-        if self.wanted() == Some(digest) {
-            self.fetch = Call::new(Instant::ZERO);
-            self.held.insert(digest, manifest);
+        if self.missing_digest() == Some(digest) {
+            self.fetch_schedule = Schedule::new(Instant::ZERO);
+            self.contents.insert(digest, manifest);
         } else {
-            self.miss_content(now, rng);
+            self.fail_fetch(now, rng);
         }
     }
 
-    fn miss_content(&mut self, now: Instant, rng: &mut Pcg64Mcg) {
+    fn fail_fetch(&mut self, now: Instant, rng: &mut Pcg64Mcg) {
         let timing = self.settings.timing;
-        self.fetch.fail(now, timing.watch_interval, timing.max_backoff, rng);
+        self.fetch_schedule
+            .fail(now, timing.watch_interval, timing.max_backoff, rng);
     }
 
-    /// Puts the accepted version in force when its content is there.
+    /// Puts the accepted version in force if its content is held.
     fn switch(&mut self, actions: &mut Vec<Action>) {
         let Some(revision) = self.view.head.accepted else {
             return;
@@ -276,10 +285,10 @@
         if !newer || self.rejected == Some(revision) {
             return;
         }
-        let Some(manifest) = self.held.get(&revision.digest) else {
+        let Some(manifest) = self.contents.get(&revision.digest) else {
             return;
         };
-        match self.judge(manifest) {
+        match self.parse(manifest) {
             Ok(config) => {
                 self.in_force = Some(revision);
                 let config = Arc::new(config);
@@ -292,49 +301,51 @@
         }
     }
 
-    /// Returns the configuration, or why this release can't use the content.
-    fn judge(&self, manifest: &Manifest) -> Result<Config, String> {
+    /// Parses the content; the error is the reason for which this release cannot use it.
+    fn parse(&self, manifest: &Manifest) -> Result<Config, String> {
         let adapters = self.settings.adapters.as_deref();
         manifest
             .config_with(&Parser { adapters })
             .map_err(|error| error.to_string())
     }
 
-    /// Returns the stage that this entry should write for its zone, if it is its turn.
-    fn duty(&self, now: Instant) -> Option<Proposal> {
-        let due = self.standby().is_none_or(|due| now >= due);
+    /// Returns the proposal that this entry should stage for its zone now, if there is one.
+    fn proposal_to_stage(&self, now: Instant) -> Option<Proposal> {
+        let due = self.stage_due_at().is_none_or(|due| now >= due);
         self.view.head.proposed.filter(|_| self.is_poller() && due)
     }
 
-    /// Returns when it is this entry's turn to write for its zone.
-    fn standby(&self) -> Option<Instant> {
+    /// Returns the time from which this entry stages the proposal for its zone, unless the zone has decided on it.
+    fn stage_due_at(&self) -> Option<Instant> {
         let proposal = self.view.head.proposed.filter(|_| self.is_poller())?;
-        let due = self.proposed_at + self.settings.timing.standby_delay.saturating_mul(self.rank.into());
-        (!self.stage.has_ended(&proposal)).then_some(due)
+        let due = self.proposal_seen_at + self.settings.timing.standby_delay.saturating_mul(self.rank.into());
+        (!self.stage.is_decided(&proposal)).then_some(due)
     }
 
-    fn stage(&mut self, now: Instant, actions: &mut Vec<Action>) {
-        let Some(proposal) = self.duty(now) else { return };
-        if self.stage.is_writing() || self.stage.has_ended(&proposal) {
+    fn write_stage(&mut self, now: Instant, actions: &mut Vec<Action>) {
+        let Some(proposal) = self.proposal_to_stage(now) else {
+            return;
+        };
+        if self.stage.is_writing() || self.stage.is_decided(&proposal) {
             return;
         }
-        let manifest = self.held.get(&proposal.revision.digest);
-        if manifest.is_none() && self.is_tired(now) {
+        let manifest = self.contents.get(&proposal.revision.digest);
+        if manifest.is_none() && self.is_proposal_expired(now) {
             return;
         }
         if !self.stage.is_known() {
-            self.read.hasten(now);
+            self.read_schedule.bring_forward(now);
             return;
         }
-        let progress = match manifest.map(|manifest| self.judge(manifest)) {
+        let progress = match manifest.map(|manifest| self.parse(manifest)) {
             None => Progress::Seen,
             Some(Ok(_)) => Progress::Staged,
-            Some(Err(reason)) => Progress::Refused(shorten(&reason)),
+            Some(Err(reason)) => Progress::Refused(truncate(&reason)),
         };
         let stage = Stage { proposal, progress };
         if self
             .stage
-            .begin(now, self.settings.timing.heartbeat_interval, stage.clone())
+            .begin_write(now, self.settings.timing.heartbeat_interval, stage.clone())
         {
             actions.push(Action::Write(vec![Write {
                 key: record::stage_key(&self.settings.zone),
@@ -344,83 +355,86 @@
         }
     }
 
-    fn end_stage(&mut self, now: Instant, ending: &Ending) {
-        if !self.stage.end(*ending == Ending::Applied) {
+    fn finish_stage(&mut self, now: Instant, ending: &Ending) {
+        if !self.stage.finish_write(*ending == Ending::Applied) {
             let pause = self.settings.timing.watch_interval;
-            self.read.hasten(now + pause);
+            self.read_schedule.bring_forward(now + pause);
         }
     }
 
-    /// Returns content that is named and not held: first what is accepted, then what is proposed.
-    fn wanted(&self) -> Option<Digest> {
+    /// Returns the digest of content that is needed and not held: first the accepted, then the proposed one.
+    fn missing_digest(&self) -> Option<Digest> {
         let revisions = [
             self.view.head.accepted,
             self.view.head.proposed.map(|proposal| proposal.revision),
         ];
         let digests = revisions.into_iter().flatten().map(|revision| revision.digest);
-        digests.into_iter().find(|digest| !self.held.contains_key(digest))
+        digests.into_iter().find(|digest| !self.contents.contains_key(digest))
     }
 
-    fn fetch(&mut self, now: Instant, actions: &mut Vec<Action>) {
-        let Some(digest) = self.wanted().filter(|_| self.fetch.is_due(now)) else {
+    fn fetch_content(&mut self, now: Instant, actions: &mut Vec<Action>) {
+        let Some(digest) = self.missing_digest().filter(|_| self.fetch_schedule.is_due(now)) else {
             return;
         };
-        // Turns between the two, so that neither a dead peer nor the platform's outage is in the way for long.
+        // Alternates between platform and peer after each failure, so that neither a dead peer nor an outage of the
+        // platform blocks the fetch for long.
         let platform_first = self.is_poller();
-        let from = match &self.holder {
-            Some(holder) if platform_first == self.fetch.is_second_choice() => Source::Peer(holder.clone()),
+        let from = match &self.content_peer {
+            Some(content_peer) if platform_first == self.fetch_schedule.prefers_fallback() => {
+                Source::Peer(content_peer.clone())
+            }
             _ => Source::Platform,
         };
-        self.fetch.begin();
+        self.fetch_schedule.begin();
         actions.push(Action::Fetch { digest, from });
     }
 
-    fn read(&mut self, now: Instant, actions: &mut Vec<Action>) {
-        if !self.read.is_due(now) {
+    fn read_rows(&mut self, now: Instant, actions: &mut Vec<Action>) {
+        if !self.read_schedule.is_due(now) {
             return;
         }
-        self.read.begin();
+        self.read_schedule.begin();
         let mut keys = vec![record::head_key()];
-        if self.duty(now).is_some() && !self.stage.is_known() {
+        if self.proposal_to_stage(now).is_some() && !self.stage.is_known() {
             keys.push(record::stage_key(&self.settings.zone));
         }
         actions.push(Action::Read(keys));
     }
 
-    /// Tells the neighbours of news at once and soon again, and of what they know already now and then.
+    /// Announces a change to the neighbours at once, repeats it at a short interval, and then at a long one.
     ///
-    /// Each entry picks other neighbours each time, so two repeats reach those whom the first round left out.
+    /// Each round goes to other neighbours, so two repeats reach entries that the first round left out.
     fn announce(&mut self, now: Instant, actions: &mut Vec<Action>) {
         const REPEATS: u8 = 2;
         let timing = self.settings.timing;
         let announcement = self.announcement();
         if self.announced != Some(announcement) {
-            self.repeats = REPEATS;
-        } else if now >= self.announce_at {
-            self.repeats = self.repeats.saturating_sub(1);
+            self.repeats_left = REPEATS;
+        } else if now >= self.next_announcement {
+            self.repeats_left = self.repeats_left.saturating_sub(1);
         } else {
             return;
         }
-        let pause = if self.repeats > 0 {
+        let pause = if self.repeats_left > 0 {
             timing.watch_interval
         } else {
             timing.announce_interval
         };
         self.announced = Some(announcement);
-        self.announce_at = now + pause;
+        self.next_announcement = now + pause;
         actions.push(Action::Announce(announcement));
     }
 
-    /// Returns whether the proposal has stood for so long that nobody carries it any more.
-    fn is_tired(&self, now: Instant) -> bool {
-        now >= self.proposed_at + self.settings.timing.takeover_timeout
+    /// Returns whether the proposal is so old that its proposer has to be considered dead.
+    fn is_proposal_expired(&self, now: Instant) -> bool {
+        now >= self.proposal_seen_at + self.settings.timing.takeover_timeout
     }
 
     const fn is_poller(&self) -> bool {
         self.rank < self.settings.timing.pollers
     }
 
-    const fn interval(&self) -> Duration {
+    const fn read_interval(&self) -> Duration {
         let timing = &self.settings.timing;
         if self.is_poller() {
             timing.poll_interval
@@ -430,8 +444,8 @@
     }
 }
 
-/// Keeps the first lines of a long reason: it has to fit into a row.
-fn shorten(reason: &str) -> SmolStr {
-    const LONGEST: usize = 1_000;
-    reason.chars().take(LONGEST).collect::<String>().to_smolstr()
+/// Truncates a reason, which has to fit into a row.
+fn truncate(reason: &str) -> SmolStr {
+    const MAX_CHARS: usize = 1_000;
+    reason.chars().take(MAX_CHARS).collect::<String>().to_smolstr()
 }
--- a/bergamotshift-config/src/accept/member/stage.rs
+++ b/bergamotshift-config/src/accept/member/stage.rs
@@ -1,4 +1,4 @@
-//! The zone's row in the table, as one of its entries knows it.
+//! Stage row of a zone, as one of the zone's entries knows it.
 
 use core::time::Duration;
 
@@ -11,17 +11,17 @@
 use crate::accept::record::Proposal;
 use crate::accept::record::Stage;
 
-/// The zone's row, as last read or written.
+/// Stage row of the zone, as last read or written.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(super) struct Row {
-    /// Its version, 0 for no row; missing when not known.
+    /// Version of the row, 0 if the row does not exist, or `None` if the version is not known.
     version: Option<u64>,
-    /// What it says.
+    /// Body of the row.
     stage: Option<Stage>,
-    /// What is being written.
+    /// Stage that is being written.
     writing: Option<Stage>,
-    /// When the zone shows next that it is live.
-    beat_at: Instant,
+    /// Time from which an unchanged stage is written again, to show that the zone is live.
+    heartbeat_at: Instant,
 }
 
 impl Row {
@@ -30,41 +30,41 @@
         self.version.is_some()
     }
 
-    /// Returns whether a write of it is under way.
+    /// Returns whether a write of the row is in flight.
     pub(super) const fn is_writing(&self) -> bool {
         self.writing.is_some()
     }
 
-    /// Returns the condition that the row is still as known.
+    /// Returns the condition that the row still has the known version.
     pub(super) fn condition(&self) -> Condition {
         record::condition(self.version.unwrap_or(0))
     }
 
-    /// Takes the row in.
-    pub(super) fn read(&mut self, row: Option<&table::Row>) {
+    /// Stores the row that a read returned.
+    pub(super) fn update(&mut self, row: Option<&table::Row>) {
         self.version = Some(row.map_or(0, |row| row.version));
         self.stage = row.and_then(|row| record::decode(row).ok());
     }
 
-    /// Returns whether the zone has said its last word on a proposal, whichever entry said it.
-    pub(super) fn has_ended(&self, proposal: &Proposal) -> bool {
-        let ended = |stage: &Stage| stage.proposal == *proposal && stage.progress != Progress::Seen;
-        self.stage.as_ref().is_some_and(ended)
+    /// Returns whether any entry of the zone has staged or refused a proposal.
+    pub(super) fn is_decided(&self, proposal: &Proposal) -> bool {
+        let decided = |stage: &Stage| stage.proposal == *proposal && stage.progress != Progress::Seen;
+        self.stage.as_ref().is_some_and(decided)
     }
 
-    /// Returns when the row is to be written again, if a time is set.
-    pub(super) fn wake(&self, proposal: &Proposal) -> Option<Instant> {
-        let waits = self.is_known() && !self.has_ended(proposal) && !self.is_writing();
-        waits.then_some(self.beat_at)
+    /// Returns the time at which the row is due to be written, if a write is needed and possible.
+    pub(super) fn due_at(&self, proposal: &Proposal) -> Option<Instant> {
+        let pending = self.is_known() && !self.is_decided(proposal) && !self.is_writing();
+        pending.then_some(self.heartbeat_at)
     }
 
-    /// Decides whether to write a stage now, and notes that it is under way.
-    pub(super) fn begin(&mut self, now: Instant, beat: Duration, stage: Stage) -> bool {
-        if self.stage.as_ref() == Some(&stage) && now < self.beat_at {
+    /// Begins to write a stage and returns true, unless the row has it already and the heartbeat is not due.
+    pub(super) fn begin_write(&mut self, now: Instant, heartbeat_interval: Duration, stage: Stage) -> bool {
+        if self.stage.as_ref() == Some(&stage) && now < self.heartbeat_at {
             return false;
         }
-        self.beat_at = if stage.progress == Progress::Seen {
-            now + beat
+        self.heartbeat_at = if stage.progress == Progress::Seen {
+            now + heartbeat_interval
         } else {
             Instant::ZERO
         };
@@ -72,14 +72,14 @@
         true
     }
 
-    /// Takes the end of the write in; returns whether the row is known now.
-    pub(super) fn end(&mut self, applied: bool) -> bool {
+    /// Finishes the write; returns whether the version of the row is known.
+    pub(super) fn finish_write(&mut self, applied: bool) -> bool {
         let written = self.writing.take();
         if applied {
             self.version = self.version.map(|version| version + 1);
             self.stage = written;
         } else {
-            // Another entry of the zone wrote, or the answer was lost: reading it settles which.
+            // Another entry of the zone wrote the row, or the response was lost. The next read shows which.
             self.version = None;
         }
         applied
--- a/bergamotshift-config/src/accept/member/timer.rs
+++ b/bergamotshift-config/src/accept/member/timer.rs
@@ -1,4 +1,4 @@
-//! When a member reads and fetches again.
+//! Schedule of a member's reads and fetches.
 
 use core::time::Duration;
 
@@ -6,16 +6,16 @@
 use rand::RngExt;
 use rand_pcg::Pcg64Mcg;
 
-/// A repeated call to the platform or a peer.
+/// Schedule of a call to the platform or a peer that is repeated with backoff.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub(super) struct Call {
-    /// When it is next due; missing while one is under way.
+pub(super) struct Schedule {
+    /// Time at which the next call is due; `None` while a call is in flight.
     due: Option<Instant>,
-    /// How many failed in a row.
+    /// Number of consecutive failures.
     failures: u32,
 }
 
-impl Call {
+impl Schedule {
     pub(super) const fn new(due: Instant) -> Self {
         Self {
             due: Some(due),
@@ -23,57 +23,57 @@
         }
     }
 
-    /// Returns whether the call is to be made now.
+    /// Returns whether the next call is due.
     pub(super) fn is_due(&self, now: Instant) -> bool {
         self.due.is_some_and(|due| now >= due)
     }
 
-    /// Returns when the call is due, unless one is under way.
-    pub(super) const fn wake(&self) -> Option<Instant> {
+    /// Returns the time at which the next call is due, unless a call is in flight.
+    pub(super) const fn due_at(&self) -> Option<Instant> {
         self.due
     }
 
-    /// Returns whether the call should go to the second choice this time.
-    pub(super) const fn is_second_choice(&self) -> bool {
+    /// Returns whether the next call should go to the less preferred source, which is after an odd number of failures.
+    pub(super) const fn prefers_fallback(&self) -> bool {
         !self.failures.is_multiple_of(2)
     }
 
-    /// Notes that the call is being made.
+    /// Marks a call as in flight.
     pub(super) const fn begin(&mut self) {
         self.due = None;
     }
 
-    /// Notes a success; the next call is due after about `interval`.
+    /// Records a success. The next call is due after about `interval`.
     pub(super) fn succeed(&mut self, now: Instant, interval: Duration, rng: &mut Pcg64Mcg) {
         self.failures = 0;
-        self.due = Some(now + spread(interval, rng));
+        self.due = Some(now + jitter(interval, rng));
     }
 
-    /// Notes a failure; the next call is due after a pause that doubles each time, up to `longest`.
+    /// Records a failure. The next call is due after a backoff that doubles each time, up to `max_backoff`.
     ///
-    /// The failure: when the platform comes back after an outage, every entry calls at once and it goes down again.
-    /// Pauses that are long and spread out are enough, because few entries of each zone call often at all.
-    pub(super) fn fail(&mut self, now: Instant, interval: Duration, longest: Duration, rng: &mut Pcg64Mcg) {
-        const MOST_DOUBLINGS: u32 = 16;
-        let factor = 1 << self.failures.min(MOST_DOUBLINGS);
+    /// Without the backoff and its jitter, all entries would call at once when the platform recovers from an outage, and
+    /// overload it again. Backoff and jitter suffice, because only a few entries of each zone call often.
+    pub(super) fn fail(&mut self, now: Instant, interval: Duration, max_backoff: Duration, rng: &mut Pcg64Mcg) {
+        const MAX_DOUBLINGS: u32 = 16;
+        let factor = 1 << self.failures.min(MAX_DOUBLINGS);
         self.failures = self.failures.saturating_add(1);
-        let pause = interval.saturating_mul(factor).min(longest.max(interval));
-        self.due = Some(now + spread(pause, rng));
+        let backoff = interval.saturating_mul(factor).min(max_backoff.max(interval));
+        self.due = Some(now + jitter(backoff, rng));
     }
 
-    /// Makes the call due at a time, unless one is under way, and forgets failures.
+    /// Sets the time of the next call, unless a call is in flight, and resets the failures.
     pub(super) fn restart(&mut self, due: Instant) {
         self.failures = 0;
         self.due = self.due.map(|_| due);
     }
 
-    /// Makes the call due earlier, unless one is under way.
-    pub(super) fn hasten(&mut self, due: Instant) {
+    /// Moves the next call to an earlier time, unless a call is in flight.
+    pub(super) fn bring_forward(&mut self, due: Instant) {
         self.due = self.due.map(|later| later.min(due));
     }
 }
 
-/// Returns three to five quarters of a span, so that entries started together drift apart.
-fn spread(span: Duration, rng: &mut Pcg64Mcg) -> Duration {
+/// Returns a random duration from 75% to 125% of `span`, so that entries that start together do not call together.
+fn jitter(span: Duration, rng: &mut Pcg64Mcg) -> Duration {
     span.mul_f64(rng.random_range(0.75..1.25))
 }
--- a/bergamotshift-config/src/accept/mod.rs
+++ b/bergamotshift-config/src/accept/mod.rs
@@ -1,12 +1,13 @@
-//! How a configuration becomes the accepted one, without I/O.
+//! Protocol by which a configuration is proposed, staged in the availability zones and accepted. It performs no I/O.
 //!
-//! A [`Proposer`] carries one operator's change: it stores the content, takes the one open place in the head row, waits
-//! until every live availability zone has staged the content, and accepts it by one conditional transaction. A
-//! [`Member`] runs in every entry: it learns of heads from the platform and from peers, fetches and stages proposed
-//! content, and switches to accepted versions, only ever upwards. Both take events with the current time and give
-//! actions; the shell carries the actions out and always answers each with one event.
+//! A [`Proposer`] carries out one operator's change: it stores the content, writes the only proposal that the head row
+//! can hold, waits until every live availability zone has staged the content, and accepts it in one conditional
+//! transaction. A [`Member`] runs in every entry: it receives heads from the platform and from peers, fetches and stages
+//! proposed content, and switches to accepted versions, never to a lower one. Both are state machines that take events
+//! with the current time and return actions. The caller performs the actions and answers them with events, as stated
+//! at [`member::Event`] and [`proposer::Event`].
 //!
-//! The rows ([`record`]) in the platform's table are the only place where anything is agreed.
+//! The rows in the platform's table ([`record`]) are the only source of truth.
 
 pub mod member;
 pub mod proposer;
--- a/bergamotshift-config/src/accept/proposer/event.rs
+++ b/bergamotshift-config/src/accept/proposer/event.rs
@@ -1,4 +1,4 @@
-//! What reaches a proposer, and what it wants done.
+//! Events, actions and outcomes of a proposer.
 
 use bergamotshift_core::prelude::*;
 use bergamotshift_core::table::Ending;
@@ -13,89 +13,89 @@
 use crate::digest::Digest;
 use crate::manifest::Manifest;
 
-/// An operator's change.
+/// Change that an operator requests.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Request {
-    /// Identifies the change; drawn at random, never used twice.
+    /// Identifier of the change, drawn at random and never reused.
     pub id: Id,
-    /// Who makes it.
+    /// Author of the change.
     pub author: SmolStr,
-    /// When, in milliseconds since 1970.
+    /// Time of the change in milliseconds since 1970.
     pub at: u64,
-    /// The content that the operator started from; empty when there was none.
+    /// Content that the operator started from; empty if there was none.
     pub base: Manifest,
-    /// The content that the operator wants.
+    /// Content after the operator's edits.
     pub ours: Manifest,
 }
 
-/// What reaches a proposer. Each action but `Publish` and `Finish` is answered by one event.
+/// Input of a proposer. Each action except [`Action::Publish`] and [`Action::Finish`] is answered by one event.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// Time passed.
+    /// The time of the next wake-up was reached.
     Tick,
-    /// The rows of a read, in the order of its keys.
+    /// A read returned these rows, in the order of its keys.
     Rows(Vec<Option<Row>>),
     /// A read failed.
     ReadFailed,
-    /// The content of a fetch.
+    /// A fetch returned this content.
     Fetched(Manifest),
     /// A fetch failed.
     FetchFailed,
-    /// The content is durable.
+    /// The content was stored durably.
     Stored,
-    /// The content may not be durable.
+    /// The store failed; the content may not be durable.
     StoreFailed,
-    /// A transaction ended.
+    /// A transaction ended this way.
     Ended(Ending),
 }
 
-/// What a proposer wants done.
+/// Action that a proposer requests.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Action {
-    /// Reads rows, each at its latest.
+    /// Reads the latest version of each row.
     Read(Vec<Key>),
     /// Fetches the content with this digest.
     Fetch(Digest),
-    /// Makes the content durable, under its digest.
+    /// Stores the content durably under its digest.
     Store(Manifest),
     /// Runs a transaction.
     Write(Vec<Write>),
-    /// Hands the entry's own member a newer view, so that it need not wait for its next read.
+    /// Passes a newer view to the member in the same process, so that it need not wait for its next read.
     Publish(View),
-    /// Tells the operator; the proposer is done.
+    /// Reports the outcome to the operator and ends the proposer.
     Finish(Outcome),
 }
 
-/// What became of a change.
+/// Outcome of a change.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 #[non_exhaustive]
 pub enum Outcome {
-    /// It is accepted and never goes back.
+    /// The change was accepted and is never reverted.
     Accepted {
-        /// The version and its content.
+        /// Version number and digest of the content.
         revision: Revision,
-        /// Zones that were cut off and had not staged it.
+        /// Zones that were cut off and had not staged the version.
         passed_over: Vec<name::Zone>,
     },
-    /// The accepted version holds it already.
+    /// The accepted version already contains the change.
     Unchanged(Revision),
-    /// Another operator changed the same files.
+    /// Another operator changed these files too.
     Conflict(Vec<SmolStr>),
-    /// Together with what others changed it is not a valid configuration.
+    /// The change, merged with the accepted version, is not a valid configuration.
     Invalid(String),
-    /// A zone's entries can't use it; it was withdrawn.
+    /// The entries of a zone cannot use the content; the proposal was withdrawn.
     Refused {
-        /// The zone.
+        /// Zone that refused the proposal.
         zone: name::Zone,
-        /// What its entry says.
+        /// Reason that the zone's entry gave.
         reason: SmolStr,
     },
-    /// Live zones did not stage it in time; it was withdrawn.
+    /// These live zones did not stage the proposal in time; it was withdrawn.
     Late(Vec<name::Zone>),
-    /// Another operator's change was under way all the time.
+    /// The head held another operator's proposal until the deadline.
     Busy,
-    /// The platform could not be reached; nothing was proposed.
+    /// The platform cannot be reached; nothing was proposed.
     Unreachable,
-    /// The platform could not be reached, and the change may have been accepted. The history tells.
+    /// The platform cannot be reached, and the change may have been accepted. The history shows whether it was.
     Unknown,
 }
--- a/bergamotshift-config/src/accept/proposer/mod.rs
+++ b/bergamotshift-config/src/accept/proposer/mod.rs
@@ -1,4 +1,4 @@
-//! Carries one operator's change from the folder to acceptance.
+//! State machine that carries out one operator's change, from the merge to the acceptance.
 
 use std::collections::BTreeSet;
 
@@ -28,45 +28,45 @@
 use crate::manifest;
 use crate::manifest::Manifest;
 
-/// What the proposer waits for.
+/// Event that the proposer waits for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Phase {
-    /// The time of its next read.
+    /// Time of the next read.
     Pause(Instant),
-    /// The rows it asked for.
+    /// Rows of the read that is in flight.
     Read,
-    /// The accepted content, to merge with.
+    /// Accepted content, which the change is merged with.
     Fetch,
-    /// The proposed content to be durable.
+    /// Durable storage of the proposed content.
     Store,
-    /// The transaction that puts its proposal into the head.
+    /// Transaction that writes the proposal into the head.
     Propose,
-    /// The transaction that accepts it.
+    /// Transaction that accepts the proposal.
     Accept,
-    /// The transaction that takes its proposal out of the head.
+    /// Transaction that removes the proposal from the head.
     Withdraw,
-    /// Nothing more.
+    /// Nothing; the proposer has finished.
     Done,
 }
 
-/// Another operator's proposal, as last seen.
+/// Another operator's proposal in the head, and the time since which the head row has not changed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-struct Rival {
+struct Competitor {
     id: Id,
     row: u64,
     since: Instant,
 }
 
-/// The proposer's own proposal in the head.
+/// The proposer's own proposal in the head, which the zones are staging.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Slot {
+struct Staging {
     row: u64,
     since: Instant,
     revision: Revision,
     watch: Watch,
 }
 
-/// Carries one operator's change.
+/// Carries out one operator's change.
 ///
 /// ```
 /// use bergamotshift_config::accept::Proposer;
@@ -81,7 +81,7 @@
 /// let request = Request { ours: ours.clone(), ..Request::default() };
 /// let mut proposer = Proposer::new(request, Timing::default(), Instant::ZERO);
 ///
-/// // It reads the head first. There is none yet, so the content is made durable before anything is proposed.
+/// // It reads the head first. There is none yet, so the content is stored before anything is proposed.
 /// assert!(matches!(proposer.handle(Instant::ZERO, Event::Tick)[..], [Action::Read(_)]));
 /// let actions = proposer.handle(Instant::ZERO, Event::Rows(vec![None]));
 /// assert_eq!(actions, [Action::Store(ours)]);
@@ -96,21 +96,21 @@
     started: Instant,
     phase: Phase,
     view: View,
-    /// The accepted content last fetched.
+    /// Accepted content that the candidate was merged with, or that was fetched last.
     theirs: Option<Manifest>,
     candidate: Option<Manifest>,
-    rival: Option<Rival>,
-    slot: Option<Slot>,
-    /// Whether a proposing transaction was ever sent.
-    proposed: bool,
-    /// The version that an accepting transaction was sent for and not yet settled.
+    competitor: Option<Competitor>,
+    staging: Option<Staging>,
+    /// Whether a transaction that proposes was ever sent.
+    has_proposed: bool,
+    /// Version for which an accepting transaction was sent whose effect is not known yet.
     accepting: Option<Version>,
-    /// Why the proposal is being withdrawn.
-    reason: Option<Outcome>,
+    /// Outcome to report after the withdrawal of the proposal.
+    withdrawal: Option<Outcome>,
 }
 
 impl Proposer {
-    /// Makes a proposer; its first tick starts it.
+    /// Creates a proposer. Its first tick starts it.
     pub fn new(request: Request, timing: Timing, now: Instant) -> Self {
         Self {
             request,
@@ -120,15 +120,15 @@
             view: View::default(),
             theirs: None,
             candidate: None,
-            rival: None,
-            slot: None,
-            proposed: false,
+            competitor: None,
+            staging: None,
+            has_proposed: false,
             accepting: None,
-            reason: None,
+            withdrawal: None,
         }
     }
 
-    /// Returns when the next tick is due; nothing while an answer is awaited.
+    /// Returns the time at which the next [`Event::Tick`] is due, or `None` while the proposer waits for another event.
     pub const fn wake(&self) -> Option<Instant> {
         match self.phase {
             Phase::Pause(until) => Some(until),
@@ -136,33 +136,33 @@
         }
     }
 
-    /// Takes an event in and returns what is to be done.
+    /// Processes an event and returns the actions to perform.
     ///
-    /// An event that nothing waits for is passed over, such as an answer that comes twice.
+    /// An event that the proposer does not wait for is ignored, such as a duplicate answer.
     pub fn handle(&mut self, now: Instant, event: Event) -> Vec<Action> {
         match (self.phase, event) {
-            (Phase::Pause(until), Event::Tick) if now >= until => self.read(),
-            (Phase::Read, Event::Rows(rows)) => self.take_rows(now, &rows),
+            (Phase::Pause(until), Event::Tick) if now >= until => self.read_rows(),
+            (Phase::Read, Event::Rows(rows)) => self.receive_rows(now, &rows),
             (Phase::Read, Event::ReadFailed)
             | (Phase::Fetch, Event::FetchFailed)
             | (Phase::Store, Event::StoreFailed) => self.retry(now),
             (Phase::Fetch, Event::Fetched(manifest)) => {
                 self.theirs = Some(manifest);
-                self.compose()
+                self.merge_change()
             }
             (Phase::Store, Event::Stored) => self.propose(),
-            (Phase::Propose, Event::Ended(ending)) => self.end_propose(now, &ending),
-            (Phase::Accept, Event::Ended(ending)) => self.end_accept(now, &ending),
-            (Phase::Withdraw, Event::Ended(ending)) => self.end_withdraw(now, &ending),
+            (Phase::Propose, Event::Ended(ending)) => self.finish_propose(now, &ending),
+            (Phase::Accept, Event::Ended(ending)) => self.finish_accept(now, &ending),
+            (Phase::Withdraw, Event::Ended(ending)) => self.finish_withdraw(now, &ending),
             _ => Vec::new(),
         }
     }
 
-    fn read(&mut self) -> Vec<Action> {
+    fn read_rows(&mut self) -> Vec<Action> {
         self.phase = Phase::Read;
         let mut keys = vec![record::head_key()];
         keys.extend(self.accepting.map(record::version_key));
-        keys.extend(self.slot.iter().flat_map(|slot| slot.watch.keys()));
+        keys.extend(self.staging.iter().flat_map(|staging| staging.watch.keys()));
         vec![Action::Read(keys)]
     }
 
@@ -171,23 +171,23 @@
         Vec::new()
     }
 
-    /// Returns until when it tries: for a place in the head, or for the zones to stage.
+    /// Returns the time until which the proposer tries to get its proposal into the head, or waits for the zones.
     fn deadline(&self) -> Instant {
-        match &self.slot {
-            Some(slot) => slot.since + self.timing.staging_timeout,
+        match &self.staging {
+            Some(staging) => staging.since + self.timing.staging_timeout,
             None => self.started + self.timing.turn_timeout,
         }
     }
 
-    /// Tries again after a failure, until well after the deadline.
+    /// Tries again after a failure, until `max_backoff` after the deadline.
     fn retry(&mut self, now: Instant) -> Vec<Action> {
         if now < self.deadline() + self.timing.max_backoff {
             return self.pause(now);
         }
-        let outcome = match self.reason.take() {
+        let outcome = match self.withdrawal.take() {
             _ if self.accepting.is_some() => Outcome::Unknown,
-            Some(reason) => reason,
-            None if self.proposed => Outcome::Late(Vec::new()),
+            Some(outcome) => outcome,
+            None if self.has_proposed => Outcome::Late(Vec::new()),
             None => Outcome::Unreachable,
         };
         self.finish(outcome)
@@ -198,64 +198,64 @@
         vec![Action::Finish(outcome)]
     }
 
-    fn take_rows(&mut self, now: Instant, rows: &[Option<Row>]) -> Vec<Action> {
+    fn receive_rows(&mut self, now: Instant, rows: &[Option<Row>]) -> Vec<Action> {
         let Some((head, mut rest)) = rows.split_first() else {
             return self.retry(now);
         };
         let Ok(view) = View::read(head.as_ref()) else {
             return self.finish(Outcome::Invalid(
-                "the platform's head row is of a newer release".to_owned(),
+                "the head row in the platform's table was written by a newer release".to_owned(),
             ));
         };
         self.view = view;
-        let mut settled = None;
+        let mut accepted_record = None;
         if self.accepting.is_some() {
             let Some((row, stages)) = rest.split_first() else {
                 return self.retry(now);
             };
             rest = stages;
-            settled = row.as_ref().and_then(|row| record::decode::<Record>(row).ok());
+            accepted_record = row.as_ref().and_then(|row| record::decode::<Record>(row).ok());
         }
-        if let Some(record) = settled.filter(|record| record.id == self.request.id) {
+        if let Some(record) = accepted_record.filter(|record| record.id == self.request.id) {
             return self.finish(Outcome::Accepted {
                 revision: record.revision,
                 passed_over: record.passed_over,
             });
         }
-        match &mut self.slot {
-            Some(slot) if slot.row == view.row => {
-                slot.watch.update(now, rest);
-                self.judge(now)
+        match &mut self.staging {
+            Some(staging) if staging.row == view.row => {
+                staging.watch.update(now, rest);
+                self.decide(now)
             }
             Some(_) if self.accepting.is_some() => {
-                // The head moved, perhaps by the accepting transaction, and the record may have been read before that.
-                // One more read, begun after the move, tells for certain.
-                self.slot = None;
-                self.read()
+                // The head changed, perhaps by the accepting transaction, and the record may have been read before that.
+                // Another read, begun after the change, shows whether the version was accepted.
+                self.staging = None;
+                self.read_rows()
             }
             _ => {
-                self.slot = None;
+                self.staging = None;
                 self.accepting = None;
-                match self.reason.take() {
-                    Some(reason) => self.finish(reason),
-                    None => self.contend(now),
+                match self.withdrawal.take() {
+                    Some(outcome) => self.finish(outcome),
+                    None => self.try_propose(now),
                 }
             }
         }
     }
 
-    /// Looks for a place in the head.
-    fn contend(&mut self, now: Instant) -> Vec<Action> {
+    /// Proposes the change if the head is free or its proposal is to be replaced; otherwise waits.
+    fn try_propose(&mut self, now: Instant) -> Vec<Action> {
         if let Some(other) = self.view.head.proposed {
             if other.id == self.request.id {
-                // The answer to the proposing transaction was lost, but it took effect.
-                return self.take_slot(now, other);
+                // The proposing transaction took effect although its response was lost.
+                return self.begin_staging(now, other);
             }
-            let since = match self.rival {
-                Some(rival) if rival.id == other.id && rival.row == self.view.row => rival.since,
+            let since = match self.competitor {
+                Some(competitor) if competitor.id == other.id && competitor.row == self.view.row => competitor.since,
                 _ => now,
             };
-            self.rival = Some(Rival {
+            self.competitor = Some(Competitor {
                 id: other.id,
                 row: self.view.row,
                 since,
@@ -271,11 +271,11 @@
         if now >= self.deadline() {
             return self.finish(Outcome::Late(Vec::new()));
         }
-        self.compose()
+        self.merge_change()
     }
 
-    /// Merges the operator's change with what is accepted by now.
-    fn compose(&mut self) -> Vec<Action> {
+    /// Merges the operator's change with the accepted content and stores the result.
+    fn merge_change(&mut self) -> Vec<Action> {
         let base = &self.request.base;
         let theirs = match self.view.head.accepted {
             None => Manifest::default(),
@@ -288,9 +288,9 @@
                 }
             },
         };
-        // Before the first version nothing can be in the way of the whole folder.
-        let first = self.view.head.accepted.is_none();
-        let merged = if first {
+        // Before the first version there is no accepted content to merge with.
+        let is_first = self.view.head.accepted.is_none();
+        let merged = if is_first {
             Ok(self.request.ours.clone())
         } else {
             Manifest::merge(base, &self.request.ours, &theirs)
@@ -319,14 +319,14 @@
 
     fn propose(&mut self) -> Vec<Action> {
         let Some(proposal) = self.proposal() else {
-            return self.read();
+            return self.read_rows();
         };
         self.phase = Phase::Propose;
-        self.proposed = true;
+        self.has_proposed = true;
         vec![Action::Write(transaction::set_proposal(self.view, Some(proposal)))]
     }
 
-    /// Returns the candidate as the version after the accepted one.
+    /// Returns the proposal of the candidate as the version after the accepted one.
     fn proposal(&self) -> Option<Proposal> {
         let candidate = self.candidate.as_ref()?;
         let revision = Revision {
@@ -339,43 +339,45 @@
         })
     }
 
-    fn end_propose(&mut self, now: Instant, ending: &Ending) -> Vec<Action> {
+    fn finish_propose(&mut self, now: Instant, ending: &Ending) -> Vec<Action> {
         let Some(proposal) = self.proposal().filter(|_| *ending == Ending::Applied) else {
             return self.retry(now);
         };
         self.view.row += 1;
         self.view.head.proposed = Some(proposal);
         let mut actions = vec![Action::Publish(self.view)];
-        actions.extend(self.take_slot(now, proposal));
+        actions.extend(self.begin_staging(now, proposal));
         actions
     }
 
-    /// Starts to watch the zones: those of the accepted and those of the proposed configuration.
-    fn take_slot(&mut self, now: Instant, proposal: Proposal) -> Vec<Action> {
+    /// Begins to watch the zones of the accepted and of the proposed configuration.
+    fn begin_staging(&mut self, now: Instant, proposal: Proposal) -> Vec<Action> {
         let contents = [&self.theirs, &self.candidate];
         let configs = contents
             .into_iter()
             .flatten()
             .filter_map(|manifest| manifest.config().ok());
         let zones: BTreeSet<_> = configs.flat_map(|config| config.zones.into_keys()).collect();
-        self.slot = Some(Slot {
+        self.staging = Some(Staging {
             row: self.view.row,
             since: now,
             revision: proposal.revision,
             watch: Watch::new(proposal, zones),
         });
-        self.read()
+        self.read_rows()
     }
 
-    /// Decides by the zones' rows whether to accept, wait or withdraw.
-    fn judge(&mut self, now: Instant) -> Vec<Action> {
-        let Some(slot) = &self.slot else { return self.read() };
-        if self.reason.is_none() {
-            let lagging = slot.watch.lagging(now, self.timing.zone_timeout);
-            if let Some((zone, reason)) = slot.watch.refusal() {
-                self.reason = Some(Outcome::Refused { zone, reason });
+    /// Accepts the proposal, withdraws it or continues to wait, depending on the zones' rows.
+    fn decide(&mut self, now: Instant) -> Vec<Action> {
+        let Some(staging) = &self.staging else {
+            return self.read_rows();
+        };
+        if self.withdrawal.is_none() {
+            let lagging = staging.watch.lagging(now, self.timing.zone_timeout);
+            if let Some((zone, reason)) = staging.watch.refusal() {
+                self.withdrawal = Some(Outcome::Refused { zone, reason });
             } else if now >= self.deadline() {
-                self.reason = Some(Outcome::Late(lagging));
+                self.withdrawal = Some(Outcome::Late(lagging));
             } else if lagging.is_empty() {
                 return self.accept(now);
             } else {
@@ -386,45 +388,49 @@
         vec![Action::Write(transaction::set_proposal(self.view, None))]
     }
 
-    /// Sends the transaction that makes the proposal the accepted version.
+    /// Requests the transaction that makes the proposal the accepted version.
     fn accept(&mut self, now: Instant) -> Vec<Action> {
-        let Some(slot) = &self.slot else { return self.read() };
+        let Some(staging) = &self.staging else {
+            return self.read_rows();
+        };
         let record = Record {
             id: self.request.id,
-            revision: slot.revision,
+            revision: staging.revision,
             author: self.request.author.clone(),
             at: self.request.at,
-            passed_over: slot.watch.lapsed(now, self.timing.zone_timeout),
+            passed_over: staging.watch.timed_out(now, self.timing.zone_timeout),
         };
-        let writes = transaction::accept(slot.row, &record, slot.watch.checks());
-        self.accepting = Some(slot.revision.version);
+        let writes = transaction::accept(staging.row, &record, staging.watch.checks());
+        self.accepting = Some(staging.revision.version);
         self.phase = Phase::Accept;
         vec![Action::Write(writes)]
     }
 
-    fn end_accept(&mut self, now: Instant, ending: &Ending) -> Vec<Action> {
-        let Some(slot) = &self.slot else { return self.read() };
+    fn finish_accept(&mut self, now: Instant, ending: &Ending) -> Vec<Action> {
+        let Some(staging) = &self.staging else {
+            return self.read_rows();
+        };
         if *ending != Ending::Applied {
             return self.retry(now);
         }
-        let revision = slot.revision;
-        let passed_over = slot.watch.lapsed(now, self.timing.zone_timeout);
+        let revision = staging.revision;
+        let passed_over = staging.watch.timed_out(now, self.timing.zone_timeout);
         let head = Head {
             accepted: Some(revision),
             proposed: None,
         };
-        let row = slot.row + 1;
+        let row = staging.row + 1;
         let mut actions = vec![Action::Publish(View { row, head })];
         actions.extend(self.finish(Outcome::Accepted { revision, passed_over }));
         actions
     }
 
-    fn end_withdraw(&mut self, now: Instant, ending: &Ending) -> Vec<Action> {
-        match (ending, self.reason.take()) {
-            // The head moved, so no accepting transaction still under way can take effect.
-            (Ending::Applied, Some(reason)) => self.finish(reason),
-            (_, reason) => {
-                self.reason = reason;
+    fn finish_withdraw(&mut self, now: Instant, ending: &Ending) -> Vec<Action> {
+        match (ending, self.withdrawal.take()) {
+            // The head row changed, so no accepting transaction that is still in flight can take effect.
+            (Ending::Applied, Some(outcome)) => self.finish(outcome),
+            (_, outcome) => {
+                self.withdrawal = outcome;
                 self.retry(now)
             }
         }
--- a/bergamotshift-config/src/accept/proposer/transaction.rs
+++ b/bergamotshift-config/src/accept/proposer/transaction.rs
@@ -1,4 +1,4 @@
-//! The transactions by which the head moves.
+//! Transactions that write the head row.
 
 use bergamotshift_core::table::Change;
 use bergamotshift_core::table::Condition;
@@ -10,27 +10,28 @@
 use crate::accept::record::Record;
 use crate::accept::record::View;
 
-/// Returns the transaction that keeps what is accepted and sets, or takes away, the proposal.
+/// Returns the transaction that sets or removes the proposal and keeps the accepted version.
 pub(super) fn set_proposal(view: View, proposed: Option<Proposal>) -> Vec<Write> {
     let accepted = view.head.accepted;
     vec![set_head(view.condition(), Head { accepted, proposed })]
 }
 
-/// Returns the transaction that makes the proposal the accepted version, if nothing moved since it was judged.
+/// Returns the transaction that makes the proposal the accepted version, if no row has changed since it was read.
 ///
-/// The failure: two proposers accept the same version, each its own content. The head's condition is enough against it
-/// as long as nobody breaks the protocol; the version's row, written once, holds even then.
+/// Two proposers must never accept different contents under the same version. The condition on the head row prevents it
+/// as long as every proposer follows the protocol. The row of the version, which is written only if it is absent,
+/// prevents it even if one does not.
 pub(super) fn accept(row: u64, record: &Record, checks: impl Iterator<Item = Write>) -> Vec<Write> {
     let head = Head {
         accepted: Some(record.revision),
         proposed: None,
     };
-    let version = Write {
+    let history = Write {
         key: record::version_key(record.revision.version),
         condition: Condition::Absent,
         change: Change::Put(record::encode(record)),
     };
-    let mut writes = vec![set_head(record::condition(row), head), version];
+    let mut writes = vec![set_head(record::condition(row), head), history];
     writes.extend(checks);
     writes
 }
--- a/bergamotshift-config/src/accept/proposer/watch.rs
+++ b/bergamotshift-config/src/accept/proposer/watch.rs
@@ -1,4 +1,4 @@
-//! Which zones a proposer waits for.
+//! Zones that a proposer waits for.
 
 use std::collections::BTreeMap;
 
@@ -15,30 +15,30 @@
 use crate::accept::record::Proposal;
 use crate::accept::record::Stage;
 
-/// How a zone stands.
+/// State of a zone with the proposal.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum State {
-    /// Its row moved lately, and it has not staged the proposal.
+    /// The zone has neither staged nor refused the proposal.
     Waiting,
-    /// It staged the proposal.
+    /// The zone staged the proposal.
     Staged,
-    /// It can't use the proposal.
+    /// The zone cannot use the proposal, for this reason.
     Refused(SmolStr),
 }
 
-/// A zone's row as last read.
+/// Stage row of a zone as last read: its version, the time since which it has that version, and its state.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Seen {
+struct Observation {
     row: u64,
     since: Instant,
     state: State,
 }
 
-/// The zones whose word counts, as their rows show them.
+/// Zones of a proposal and the state that their stage rows show.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct Watch {
     proposal: Proposal,
-    zones: BTreeMap<name::Zone, Option<Seen>>,
+    zones: BTreeMap<name::Zone, Option<Observation>>,
 }
 
 impl Watch {
@@ -49,21 +49,23 @@
         }
     }
 
-    /// Returns the keys of the zones' rows.
+    /// Returns the keys of the zones' stage rows.
     pub(super) fn keys(&self) -> impl Iterator<Item = Key> {
         self.zones.keys().map(record::stage_key)
     }
 
-    /// Takes the rows in, in the order of the keys.
+    /// Stores the rows that a read returned, in the order of the keys.
     pub(super) fn update(&mut self, now: Instant, rows: &[Option<Row>]) {
-        for (seen, row) in self.zones.values_mut().zip(rows) {
+        for (observed, row) in self.zones.values_mut().zip(rows) {
             let version = row.as_ref().map_or(0, |row| row.version);
-            let since = match seen {
-                Some(seen) if seen.row == version => seen.since,
+            let since = match observed {
+                Some(observed) if observed.row == version => observed.since,
                 _ => now,
             };
-            let state = row.as_ref().map_or(State::Waiting, |row| state(self.proposal, row));
-            *seen = Some(Seen {
+            let state = row
+                .as_ref()
+                .map_or(State::Waiting, |row| zone_state(self.proposal, row));
+            *observed = Some(Observation {
                 row: version,
                 since,
                 state,
@@ -71,10 +73,10 @@
         }
     }
 
-    /// Returns a zone that can't use the proposal, and why.
+    /// Returns the first zone that refused the proposal, with its reason.
     pub(super) fn refusal(&self) -> Option<(name::Zone, SmolStr)> {
-        self.zones.iter().find_map(|(zone, seen)| match seen {
-            Some(Seen {
+        self.zones.iter().find_map(|(zone, observed)| match observed {
+            Some(Observation {
                 state: State::Refused(reason),
                 ..
             }) => Some((zone.clone(), reason.clone())),
@@ -82,37 +84,41 @@
         })
     }
 
-    /// Returns the zones that still have to stage.
-    pub(super) fn lagging(&self, now: Instant, lapse: Duration) -> Vec<name::Zone> {
-        self.select(|seen| seen.is_none_or(|seen| seen.state != State::Staged && now.since(seen.since) < lapse))
+    /// Returns the live zones that have not staged the proposal yet.
+    pub(super) fn lagging(&self, now: Instant, timeout: Duration) -> Vec<name::Zone> {
+        self.select(|observed| {
+            observed.is_none_or(|observed| observed.state != State::Staged && now.since(observed.since) < timeout)
+        })
     }
 
-    /// Returns the zones that no longer count: their rows have not moved for `lapse`.
-    pub(super) fn lapsed(&self, now: Instant, lapse: Duration) -> Vec<name::Zone> {
-        self.select(|seen| seen.is_some_and(|seen| seen.state != State::Staged && now.since(seen.since) >= lapse))
+    /// Returns the zones that have not staged the proposal and whose rows have not changed for `timeout`.
+    pub(super) fn timed_out(&self, now: Instant, timeout: Duration) -> Vec<name::Zone> {
+        self.select(|observed| {
+            observed.is_some_and(|observed| observed.state != State::Staged && now.since(observed.since) >= timeout)
+        })
     }
 
-    /// Returns the checks that every zone's row is still as it was judged.
+    /// Returns the checks that every zone's stage row still has the version that was read.
     ///
-    /// The failure: a zone held for cut off comes back between the reading and the acceptance; it is live and has not
-    /// staged, yet the version is accepted. The check on its row is enough, because a zone that comes back writes its
-    /// row first, and so the transaction does not take effect.
+    /// Without them, a version could be accepted although a live zone has not staged it: one that was considered cut off
+    /// and comes back between the read and the acceptance. Checking its row suffices, because a zone that comes back
+    /// writes its row first, and then the transaction does not take effect.
     pub(super) fn checks(&self) -> impl Iterator<Item = Write> {
-        self.zones.iter().map(|(zone, seen)| Write {
+        self.zones.iter().map(|(zone, observed)| Write {
             key: record::stage_key(zone),
-            condition: record::condition(seen.as_ref().map_or(0, |seen| seen.row)),
+            condition: record::condition(observed.as_ref().map_or(0, |observed| observed.row)),
             change: Change::Check,
         })
     }
 
-    fn select(&self, mut wanted: impl FnMut(Option<&Seen>) -> bool) -> Vec<name::Zone> {
-        let zones = self.zones.iter().filter(|(_, seen)| wanted(seen.as_ref()));
+    fn select(&self, mut matches: impl FnMut(Option<&Observation>) -> bool) -> Vec<name::Zone> {
+        let zones = self.zones.iter().filter(|(_, observed)| matches(observed.as_ref()));
         zones.map(|(zone, _)| zone.clone()).collect()
     }
 }
 
-/// Returns how a zone stands to a proposal; what it says of another proposal says nothing.
-fn state(proposal: Proposal, row: &Row) -> State {
+/// Returns the state that a stage row shows for a proposal. A row about another proposal counts as waiting.
+fn zone_state(proposal: Proposal, row: &Row) -> State {
     match record::decode::<Stage>(row) {
         Ok(stage) if stage.proposal == proposal => match stage.progress {
             Progress::Seen => State::Waiting,
--- a/bergamotshift-config/src/accept/record.rs
+++ b/bergamotshift-config/src/accept/record.rs
@@ -1,8 +1,8 @@
-//! The protocol's rows in the platform's table.
+//! Rows of the protocol in the platform's table.
 //!
 //! | Row | Body | Written by |
 //! |---|---|---|
-//! | `config` / `head` | [`Head`] | proposers, each time on the version they read |
+//! | `config` / `head` | [`Head`] | proposers, on condition that the row still has the version that they read |
 //! | `config/version` / number | [`Record`] | the accepting transaction, once |
 //! | `config/stage` / zone | [`Stage`] | the zone's entries |
 
@@ -17,32 +17,32 @@
 
 use crate::digest::Digest;
 
-/// The partition of accepted versions, oldest first.
+/// Partition of the accepted versions, oldest first.
 pub const VERSIONS: &str = "config/version";
 
-/// The partition of the zones' stage rows.
+/// Partition of the zones' stage rows.
 pub const STAGES: &str = "config/stage";
 
-/// Identifies one operator's change; the shell draws it at random.
+/// Identifier of one operator's change. The caller draws it at random.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Serialize, Deserialize)]
 pub struct Id(u128);
 
 impl Id {
-    /// Makes an identifier from 128 random bits.
+    /// Creates an identifier from 128 random bits.
     pub const fn new(bits: u128) -> Self {
         Self(bits)
     }
 }
 
-/// Counts accepted configurations; the first is 1.
+/// Number of an accepted configuration, counted from 1.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Version(u64);
 
 impl Version {
-    /// Makes a version from its number.
+    /// Creates a version from its number.
     pub const fn new(number: u64) -> Self {
         Self(number)
     }
@@ -59,34 +59,34 @@
     }
 }
 
-/// A version and the content it stands for.
+/// Version number together with the digest of its content.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Serialize, Deserialize)]
 pub struct Revision {
-    /// The version.
+    /// Version number.
     pub version: Version,
-    /// The digest of its manifest's listing.
+    /// Digest of the listing of the version's manifest.
     pub digest: Digest,
 }
 
-/// Content that an operator wants accepted as a version.
+/// Content that an operator proposes as the next version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 #[derive(Serialize, Deserialize)]
 pub struct Proposal {
-    /// The operator's change.
+    /// Identifier of the operator's change.
     pub id: Id,
-    /// The version it would be, and its content.
+    /// Version number and digest that the content gets once it is accepted.
     #[serde(rename = "mark")]
     pub revision: Revision,
 }
 
-/// The one row on which everything turns: what is accepted, and the one proposal that may be next.
+/// Body of the head row: the accepted revision, and at most one proposal for the next.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 #[derive(Serialize, Deserialize)]
 pub struct Head {
-    /// The accepted version.
+    /// Accepted revision, if there is one.
     pub accepted: Option<Revision>,
-    /// The proposal that waits for the zones.
+    /// Proposal that is being staged by the zones, if there is one.
     pub proposed: Option<Proposal>,
 }
 
@@ -99,90 +99,90 @@
     }
 }
 
-/// A head as it stood at one version of its row; peers tell each other the highest they know.
+/// Head together with the version of its row. Peers announce the highest view that they know to each other.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 #[derive(Serialize, Deserialize)]
 pub struct View {
-    /// The row's version; 0 before the first write.
+    /// Version of the head row; 0 before the first write.
     pub row: u64,
-    /// The head.
+    /// Body of the head row.
     pub head: Head,
 }
 
 impl View {
-    /// Reads a view from the head's row.
+    /// Decodes a view from the head row.
     ///
     /// # Errors
     ///
-    /// Fails when the body is not a head.
+    /// Returns an error if the body is not a head.
     pub fn read(row: Option<&Row>) -> Result<Self, serde_json::Error> {
         row.map_or(Ok(Self::default()), |row| {
             decode(row).map(|head| Self { row: row.version, head })
         })
     }
 
-    /// Returns the condition that the row is still as seen.
+    /// Returns the condition that the head row still has the version of this view.
     pub const fn condition(&self) -> Condition {
         condition(self.row)
     }
 }
 
-/// An accepted version, as the history keeps it.
+/// Accepted version in the history.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Record {
-    /// The change that made it.
+    /// Identifier of the change that created the version.
     pub id: Id,
-    /// The version and its content.
+    /// Version number and digest of the content.
     #[serde(rename = "mark")]
     pub revision: Revision,
-    /// Who made the change.
+    /// Author of the change.
     pub author: SmolStr,
-    /// When, in milliseconds since 1970, by the clock of whoever carried it.
+    /// Time of the change in milliseconds since 1970, by the clock of the process that proposed it.
     pub at: u64,
-    /// The zones that were cut off then and had not staged it.
+    /// Zones that were cut off at that time and had not staged the version.
     pub passed_over: Vec<name::Zone>,
 }
 
-/// How far a zone is with a proposal.
+/// Body of a zone's stage row: the zone's progress with a proposal.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 #[derive(Serialize, Deserialize)]
 pub struct Stage {
-    /// The proposal.
+    /// Proposal that the zone is staging.
     pub proposal: Proposal,
-    /// How far it is.
+    /// Progress of the zone.
     pub progress: Progress,
 }
 
-/// How far a zone is.
+/// Progress of a zone with one proposal.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Progress {
-    /// An entry of the zone knows of it and fetches it.
+    /// An entry of the zone knows the proposal and is fetching its content.
     Seen,
-    /// An entry of the zone holds it and could switch to it.
+    /// An entry of the zone holds the content and is able to switch to it.
     Staged,
-    /// An entry of the zone can't use it.
+    /// An entry of the zone cannot use the content, for this reason.
     Refused(SmolStr),
 }
 
-/// Returns the key of the head.
+/// Returns the key of the head row.
 pub fn head_key() -> Key {
     Key::new("config", "head")
 }
 
-/// Returns the key of an accepted version; the digits sort as the numbers do.
+/// Returns the key of an accepted version. It is padded with zeros, so keys sort like the numbers.
 pub fn version_key(version: Version) -> Key {
     Key::new(VERSIONS, format!("{:020}", version.get()))
 }
 
-/// Returns the key of a zone's stage.
+/// Returns the key of a zone's stage row.
 pub fn stage_key(zone: &name::Zone) -> Key {
     Key::new(STAGES, zone)
 }
 
-/// Returns the condition that a row is still at this version, where 0 stands for no row.
+/// Returns the condition that a row still has this version; 0 means that the row does not exist.
 pub const fn condition(version: u64) -> Condition {
     match version {
         0 => Condition::Absent,
@@ -190,16 +190,16 @@
     }
 }
 
-/// Writes a row's body. It is JSON: entries of different releases ignore what they do not know.
+/// Encodes a row's body as JSON, so that entries of different releases ignore fields that they do not know.
 pub(crate) fn encode(body: &impl Serialize) -> Vec<u8> {
-    serde_json::to_vec(body).expect("the protocol's rows have text keys and finite numbers")
+    serde_json::to_vec(body).expect("rows have string keys and finite numbers")
 }
 
-/// Reads a row's body.
+/// Decodes a row's body.
 ///
 /// # Errors
 ///
-/// Fails when the body is not what the row should hold.
+/// Returns an error if the body is not a valid `T`.
 pub fn decode<T: DeserializeOwned>(row: &Row) -> Result<T, serde_json::Error> {
     serde_json::from_slice(&row.body)
 }
--- a/bergamotshift-config/src/accept/timing.rs
+++ b/bergamotshift-config/src/accept/timing.rs
@@ -1,36 +1,40 @@
-//! The protocol's spans of time.
+//! Intervals, delays and timeouts of the protocol.
 
 use core::time::Duration;
 
-/// The spans of time and counts that the protocol keeps.
+/// Intervals, delays, timeouts and counts of the protocol.
 ///
-/// Safety rests on none of them; they decide how soon a change is in force and what it costs the platform.
+/// The protocol is safe with any values. They decide how soon a change is in force and how many calls to the platform it
+/// takes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Timing {
-    /// How often the first entries of a zone read the head.
+    /// Interval at which the pollers of a zone read the head.
     pub poll_interval: Duration,
-    /// How often the other entries of a zone read the head, in case no peer tells them.
+    /// Interval at which the other entries of a zone read the head, in case no peer announces it to them.
     pub idle_poll_interval: Duration,
-    /// How many entries of each zone read the head often.
+    /// Number of pollers in each zone: the entries with the lowest ranks, which read the head often.
     pub pollers: u16,
-    /// The longest pause after reads or writes that failed.
+    /// Maximum backoff of a member after failed reads or fetches. A proposer continues to retry for this time after its
+    /// deadline.
     pub max_backoff: Duration,
-    /// How long an entry stands back for each live entry of its zone that ranks before it.
+    /// Delay of an entry's stage write for each live entry of its zone with a lower rank. An entry that is no poller also
+    /// waits this long for a peer that holds the content before it fetches from the platform.
     pub standby_delay: Duration,
-    /// How often a zone that has not staged yet shows that it is live.
+    /// Interval at which a zone that has not staged yet writes its row to show that it is live.
     pub heartbeat_interval: Duration,
-    /// How often an entry repeats its announcement to its neighbours.
+    /// Interval at which an entry repeats an unchanged announcement to its neighbours.
     pub announce_interval: Duration,
-    /// How often a proposer looks whether the zones have staged.
+    /// Interval at which a proposer reads the rows of the zones. A member uses it as the first backoff of a fetch, as the
+    /// delay before it reads again after a failed write, and as the interval between the repeats of a new announcement.
     pub watch_interval: Duration,
-    /// How long a zone's row stays as it is until the zone stops counting.
+    /// Time without a change of a zone's row after which the acceptance does not wait for the zone any more.
     pub zone_timeout: Duration,
-    /// How long another's proposal stands unchanged until it may be replaced; longer than `deadline`, so that a proposer
-    /// that lives has withdrawn by then.
+    /// Time for which another operator's proposal has to stand unchanged before it may be replaced. It is longer than
+    /// `staging_timeout`, so that a live proposer has withdrawn by then.
     pub takeover_timeout: Duration,
-    /// How long a proposer waits for the zones before it withdraws.
+    /// Time for which a proposer waits for the zones before it withdraws.
     pub staging_timeout: Duration,
-    /// How long a proposer waits for its turn.
+    /// Time for which a proposer waits until the head is free of another operator's proposal.
     pub turn_timeout: Duration,
 }
 
