--- a/bergamotshift-fleet/tests/support/mod.rs
+++ b/bergamotshift-fleet/tests/support/mod.rs
@@ -336,7 +336,7 @@
         })
     }
 
-    /// Returns how often an entry that was up was declared dead by another.
+    /// Returns how often an entry that is still up was declared dead by another.
     pub fn false_deaths(&self) -> usize {
         let is_up = |record: &member::Record| {
             self.nodes
