--- a/bergamotshift-config/src/accept/proposer/watch.rs
+++ b/bergamotshift-config/src/accept/proposer/watch.rs
@@ -111,8 +111,8 @@
         })
     }
 
-    fn select(&self, mut matches: impl FnMut(Option<&Observation>) -> bool) -> Vec<name::Zone> {
-        let zones = self.zones.iter().filter(|(_, observed)| matches(observed.as_ref()));
+    fn select(&self, mut predicate: impl FnMut(Option<&Observation>) -> bool) -> Vec<name::Zone> {
+        let zones = self.zones.iter().filter(|(_, observed)| predicate(observed.as_ref()));
         zones.map(|(zone, _)| zone.clone()).collect()
     }
 }
--- a/bergamotshift-config/src/config/endpoint.rs
+++ b/bergamotshift-config/src/config/endpoint.rs
@@ -1,4 +1,4 @@
-//! Endpoints that operators list themselves.
+//! Endpoints that are listed in the configuration.
 
 use core::net::SocketAddr;
 
@@ -6,22 +6,22 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// An endpoint of a site without a VM list: `[[endpoint]]`.
+/// Endpoint of a site that has no VM list: `[[endpoint]]`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Endpoint {
-    /// The VM it runs on.
+    /// Name of the VM that the endpoint runs on.
     pub name: name::Vm,
-    /// The service it serves.
+    /// Service that the endpoint belongs to.
     pub service: name::Service,
-    /// The availability zone.
+    /// Availability zone of the VM.
     pub zone: name::Zone,
-    /// The machine class.
+    /// Machine class of the VM.
     pub class: name::Class,
-    /// The market its VM was bought on.
+    /// Market of the VM.
     #[serde(default)]
     pub market: Market,
-    /// Where it listens: an IP number and a port.
+    /// IP address and port that the endpoint listens on.
     pub address: SocketAddr,
 }
--- a/bergamotshift-config/src/config/mod.rs
+++ b/bergamotshift-config/src/config/mod.rs
@@ -1,4 +1,4 @@
-//! The typed configuration, as one merged whole.
+//! Typed configuration, merged from all files of the folder.
 
 use core::fmt;
 use std::collections::BTreeMap;
@@ -29,65 +29,65 @@
 
 use crate::digest::Digest;
 
-/// Everything that operators set, merged from all files and checked.
+/// Configuration of the system, merged from all files and validated.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Config {
-    /// The availability zones.
+    /// Availability zones.
     pub zones: BTreeMap<name::Zone, Zone>,
-    /// The machine classes and what they cost.
+    /// Machine classes and their prices.
     pub classes: BTreeMap<name::Class, Class>,
-    /// Prices that differ from the class's own in one zone.
+    /// Prices of a class in one zone, where they differ from the prices of the class.
     pub prices: Vec<ZonePrice>,
-    /// The services that callers reach.
+    /// Services that callers can send requests to.
     pub services: BTreeMap<name::Service, Service>,
-    /// Rules for some of a service's requests.
+    /// Rules for certain requests of a service.
     pub routes: Vec<Route>,
-    /// The organisations whose callers are let in.
+    /// Organisations whose callers are accepted.
     pub organisations: BTreeMap<name::Organisation, Organisation>,
-    /// Endpoints of sites without a VM list.
+    /// Endpoints of sites that have no VM list.
     pub endpoints: Vec<Endpoint>,
 }
 
 impl Config {
-    /// Finds the service that answers for a host and path.
+    /// Returns the service for a host and path.
     ///
-    /// A service that names the host goes before one that names no hosts; among plain services the longest path prefix
-    /// wins. Model services are found by [`Config::service_for_model`] unless they name hosts.
+    /// A service that lists the host precedes one that lists no hosts; next, the longest path prefix wins. A model
+    /// service that lists no hosts is found only by [`Config::service_for_model`].
     pub fn service_for(&self, host: &str, path: &str) -> Option<&Service> {
         self.services
             .values()
             .filter_map(|service| service.rank(host, path).map(|rank| (rank, service)))
-            // The first of equals wins, so the order of names decides and not chance.
+            // The first of equal ranks wins, so the result depends only on the order of names.
             .reduce(|best, next| if next.0 > best.0 { next } else { best })
             .map(|(_, service)| service)
     }
 
-    /// Finds the service that serves a model.
+    /// Returns the service that serves a model.
     pub fn service_for_model(&self, model: &str) -> Option<&Service> {
         self.services
             .values()
             .find(|service| service.models.iter().any(|name| name.as_str() == model))
     }
 
-    /// Finds the organisation that a bearer token belongs to.
+    /// Returns the organisation that a bearer token belongs to.
     ///
-    /// Every digest is compared in constant time, so the time taken tells nothing of any of them.
+    /// The token is compared with every digest in constant time, so the duration reveals nothing about the digests.
     pub fn organisation_by_token(&self, token: &str) -> Option<&Organisation> {
         let digest = Digest::of(token);
         let mut found = None;
         for organisation in self.organisations.values() {
-            let mut same = Choice::from(0);
+            let mut matches_key = Choice::from(0);
             for key in &organisation.keys {
-                same |= key.same(&digest);
+                matches_key |= key.ct_eq(&digest);
             }
-            if bool::from(same) {
+            if bool::from(matches_key) {
                 found = Some(organisation);
             }
         }
         found
     }
 
-    /// Finds the most specific rule for a service's request: an exact path first, then the longest prefix.
+    /// Returns the most specific rule for a request of a service: an exact path first, then the longest prefix.
     pub fn route(&self, service: &name::Service, method: &str, path: &str) -> Option<&Route> {
         self.routes
             .iter()
@@ -97,29 +97,29 @@
             .map(|(_, route)| route)
     }
 
-    /// Returns how a request is to be handled, from its route, its service and the defaults.
+    /// Returns the handling of a request, determined by its route, its service and the defaults.
     pub fn handling(&self, service: &Service, method: &str, path: &str) -> Handling {
         Handling::new(service, self.route(&service.name, method, path), method, path)
     }
 
-    /// Returns what an hour of a machine class costs in a zone.
+    /// Returns the price of one hour of a VM of a machine class in a zone.
     pub fn price(&self, zone: &name::Zone, class: &name::Class, market: Market) -> Option<Price> {
         let class = self.classes.get(class)?;
-        let special = self
+        let zone_price = self
             .prices
             .iter()
             .find(|price| price.zone == *zone && price.class == class.name);
         Some(match market {
-            Market::Reclaimable => special
+            Market::Reclaimable => zone_price
                 .and_then(|price| price.reclaimable)
                 .unwrap_or(class.price_reclaimable),
-            Market::OnDemand => special
+            Market::OnDemand => zone_price
                 .and_then(|price| price.on_demand)
                 .unwrap_or(class.price_on_demand),
         })
     }
 
-    /// Returns the zones a service may run in for an organisation: those that both allow, and that exist.
+    /// Returns the zones in which a service may run for an organisation: those that exist and that both allow.
     pub fn zones_for(&self, service: &Service, organisation: &Organisation) -> Vec<&name::Zone> {
         let allowed = |list: &[name::Zone], zone: &name::Zone| list.is_empty() || list.contains(zone);
         self.zones
@@ -130,9 +130,9 @@
 }
 
 impl fmt::Display for Config {
-    /// Writes the whole configuration as one TOML file.
+    /// Formats the whole configuration as one TOML file.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let whole = Whole {
+        let document = Document {
             zone: self.zones.values().collect(),
             class: self.classes.values().collect(),
             price: &self.prices,
@@ -141,14 +141,14 @@
             organisation: self.organisations.values().collect(),
             endpoint: &self.endpoints,
         };
-        let text = toml::to_string(&whole).or(Err(fmt::Error))?;
+        let text = toml::to_string(&document).or(Err(fmt::Error))?;
         f.write_str(&text)
     }
 }
 
-/// The sections as one file holds them.
+/// TOML file that contains all sections.
 #[derive(Serialize)]
-struct Whole<'a> {
+struct Document<'a> {
     zone: Vec<&'a Zone>,
     class: Vec<&'a Class>,
     price: &'a [ZonePrice],
--- a/bergamotshift-config/src/config/organisation.rs
+++ b/bergamotshift-config/src/config/organisation.rs
@@ -1,4 +1,4 @@
-//! Organisations, their tokens and limits.
+//! Organisations with their tokens and limits.
 
 use bergamotshift_core::prelude::*;
 use serde::Deserialize;
@@ -7,25 +7,25 @@
 use super::value;
 use crate::digest::Digest;
 
-/// An organisation whose callers are let in: `[[organisation]]`.
+/// Organisation whose callers are accepted: `[[organisation]]`.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Organisation {
-    /// The organisation's name.
+    /// Name of the organisation.
     pub name: name::Organisation,
-    /// Its share of a busy service, against the other organisations' weights.
+    /// Weight of the organisation in the weighted sharing of a busy service among organisations.
     #[serde(default = "default_weight")]
     pub weight: u32,
-    /// The digests of its bearer tokens.
+    /// Digests of its bearer tokens.
     pub keys: Vec<Digest>,
-    /// The zones its work may run in; empty means all.
+    /// Zones in which its requests may run; empty means all.
     #[serde(default)]
     pub zones: Vec<name::Zone>,
-    /// The services it may use; empty means all.
+    /// Services that it may use; empty means all.
     #[serde(default)]
     pub services: Vec<name::Service>,
-    /// What it may use at most.
+    /// Limits on its usage.
     #[serde(default)]
     pub limits: Limits,
 }
@@ -37,18 +37,18 @@
     }
 }
 
-/// What an organisation may use at most, over all entries; a missing limit does not bind.
+/// Limits on the usage of an organisation over all entries; a missing limit means no limit.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 #[derive(Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Limits {
-    /// Requests per second, over time.
+    /// Maximum average rate of requests, per second.
     pub requests_per_second: Option<f64>,
-    /// Requests that may come at once.
+    /// Maximum number of requests in a burst.
     pub burst: Option<u32>,
-    /// Tokens generated per second, over time.
+    /// Maximum average rate of generated tokens, per second.
     pub tokens_per_second: Option<f64>,
-    /// Spending per hour, in currency units.
+    /// Maximum spending per hour, in currency units.
     #[serde(default, with = "value::maybe_price")]
     pub spend_per_hour: Option<Price>,
 }
--- a/bergamotshift-config/src/config/service.rs
+++ b/bergamotshift-config/src/config/service.rs
@@ -1,4 +1,4 @@
-//! Services that callers reach.
+//! Services that callers can send requests to.
 
 use core::time::Duration;
 
@@ -9,125 +9,125 @@
 
 use super::value;
 
-/// How a service's endpoints are spoken to.
+/// Kind of a service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Kind {
-    /// A language model behind engines that batch continuously.
+    /// Language model on engines with continuous batching.
     Model,
-    /// Any HTTP service, routed as it is.
+    /// Any other HTTP service.
     Plain,
 }
 
-/// A service that callers reach: `[[service]]`.
+/// Service that callers can send requests to: `[[service]]`.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Service {
-    /// The service's name.
+    /// Name of the service.
     pub name: name::Service,
-    /// How its endpoints are spoken to.
+    /// Kind of the service.
     pub kind: Kind,
-    /// The plug-in that speaks to its endpoints.
+    /// Name of the adapter plug-in that communicates with its endpoints.
     pub adapter: SmolStr,
-    /// The models it serves, as callers ask for them; model services only.
+    /// Names of the models that it serves, as callers request them; model services only.
     #[serde(default)]
     pub models: Vec<name::Model>,
-    /// The hosts it answers for; empty means any.
+    /// Host names that it serves; empty means any.
     #[serde(default)]
     pub hosts: Vec<SmolStr>,
-    /// The start of the paths it answers for; plain services only.
+    /// Prefix of the paths that it serves; plain services only.
     pub path: Option<SmolStr>,
-    /// The endpoints wanted in all zones together.
+    /// Desired number of endpoints in all zones together.
     #[serde(default)]
     pub workers: u32,
-    /// The machine classes its endpoints may run on; empty means all.
+    /// Machine classes that its endpoints may run on; empty means all.
     #[serde(default)]
     pub classes: Vec<name::Class>,
-    /// How soon its answers are needed, unless a route or the caller says otherwise.
+    /// Default urgency of its requests, which a route or the caller may override.
     #[serde(default)]
     pub urgency: Urgency,
-    /// The latency that urgent answers keep.
+    /// Latency targets of urgent requests.
     #[serde(default)]
     pub target: Target,
-    /// How long a request may take in all.
+    /// Maximum total time of a request.
     #[serde(default = "default_deadline", with = "value::span")]
     pub deadline: Duration,
-    /// The largest body of a request, in bytes.
+    /// Maximum size of a request body, in bytes.
     #[serde(default = "default_max_body")]
     pub max_body: usize,
-    /// The largest head of a request, in bytes.
+    /// Maximum size of a request head, in bytes.
     #[serde(default = "default_max_header")]
     pub max_header: usize,
-    /// The zones it may run in; empty means all.
+    /// Zones that it may run in; empty means all.
     #[serde(default)]
     pub zones: Vec<name::Zone>,
-    /// Whether callers may leave a request to be done later.
+    /// Whether callers may submit a request to be executed later.
     #[serde(default)]
     pub deferrable: bool,
-    /// Whether its endpoints refuse an order that carries an old fencing number.
+    /// Whether its endpoints refuse an order with an old fencing number.
     #[serde(default)]
     pub checks_fencing: bool,
-    /// How failed attempts are repeated.
+    /// Retry policy for failed attempts.
     #[serde(default)]
     pub retry: Retry,
 }
 
 impl Service {
-    /// Ranks how well the service fits a host and path; nothing when it does not.
+    /// Returns the specificity of the match with a host and path, or `None` if the service does not match.
     pub(super) fn rank(&self, host: &str, path: &str) -> Option<(bool, usize)> {
-        let named = !self.hosts.is_empty();
-        if named && !self.hosts.iter().any(|own| same_host(own, host)) {
+        let lists_hosts = !self.hosts.is_empty();
+        if lists_hosts && !self.hosts.iter().any(|listed| is_same_host(listed, host)) {
             return None;
         }
         match &self.path {
-            Some(prefix) => starts(path, prefix).then_some((named, prefix.len())),
-            None => named.then_some((named, 0)),
+            Some(prefix) => is_under(path, prefix).then_some((lists_hosts, prefix.len())),
+            None => lists_hosts.then_some((lists_hosts, 0)),
         }
     }
 }
 
-/// Compares host names without case and without the port.
-fn same_host(own: &str, host: &str) -> bool {
+/// Compares host names, ignoring case and the port of `host`.
+fn is_same_host(listed: &str, host: &str) -> bool {
     let name = match host.rsplit_once(':') {
         Some((name, port)) if port.bytes().all(|byte| byte.is_ascii_digit()) => name,
         _ => host,
     };
-    own.eq_ignore_ascii_case(name)
+    listed.eq_ignore_ascii_case(name)
 }
 
-/// Returns whether `path` lies under `prefix`, at the border of a segment.
-fn starts(path: &str, prefix: &str) -> bool {
+/// Returns whether `path` starts with the path segments of `prefix`.
+fn is_under(path: &str, prefix: &str) -> bool {
     let prefix = prefix.trim_end_matches('/');
     path.strip_prefix(prefix)
         .is_some_and(|rest| rest.is_empty() || rest.starts_with('/') || rest.starts_with('?'))
 }
 
-/// The latency that a service's urgent answers keep, for 95 in 100.
+/// Latency targets for the 95th percentile of the urgent requests of a service.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Target {
-    /// The time to the first token.
+    /// Time to the first token.
     #[serde(default, with = "value::maybe_span")]
     pub first_token: Option<Duration>,
-    /// The time between two tokens.
+    /// Time between two tokens.
     #[serde(default, with = "value::maybe_span")]
     pub between_tokens: Option<Duration>,
-    /// The time to a plain service's whole answer.
+    /// Time to the whole response of a plain service.
     #[serde(default, with = "value::maybe_span")]
     pub answer: Option<Duration>,
 }
 
-/// How failed attempts of repeatable requests are repeated.
+/// Retry policy for failed attempts of repeatable requests.
 #[derive(Clone, Copy, Debug, PartialEq)]
 #[derive(Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Retry {
-    /// Retries allowed for each first attempt, over time.
+    /// Average number of retries allowed per first attempt.
     pub budget: f64,
-    /// Attempts of one request, the first included.
+    /// Maximum number of attempts of one request, including the first.
     pub attempts: u32,
 }
 
--- a/bergamotshift-config/src/config/value.rs
+++ b/bergamotshift-config/src/config/value.rs
@@ -1,6 +1,6 @@
-//! How prices and spans of time are written in the folder.
+//! Serialization of prices and durations in the folder.
 
-/// Prices, as decimal numbers of currency units.
+/// Prices as decimal numbers, in currency units.
 pub(super) mod price {
     use core::fmt;
 
@@ -9,10 +9,10 @@
     use serde::Serializer;
     use serde::de;
 
-    /// Millionths of a currency unit in one.
-    const MICROS: f64 = 1e6;
+    /// Number of micro-units in one currency unit.
+    const MICROS_PER_UNIT: f64 = 1e6;
 
-    /// The dearest price that is read, in currency units: no slip of digits reaches the arithmetic's end.
+    /// Maximum price, in currency units. It keeps a price with mistyped digits from overflowing the arithmetic.
     const MAX: f64 = 1e6;
 
     #[expect(
@@ -20,7 +20,7 @@
         reason = "serde calls it with a reference to the field"
     )]
     pub fn serialize<S: Serializer>(price: &Price, serializer: S) -> Result<S::Ok, S::Error> {
-        serializer.serialize_f64(price.as_micros() as f64 / MICROS)
+        serializer.serialize_f64(price.as_micros() as f64 / MICROS_PER_UNIT)
     }
 
     pub fn deserialize<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Price, D::Error> {
@@ -38,7 +38,7 @@
 
         fn visit_f64<E: de::Error>(self, v: f64) -> Result<Price, E> {
             if (0.0..=MAX).contains(&v) {
-                Ok(Price::from_micros((v * MICROS).round() as u64))
+                Ok(Price::from_micros((v * MICROS_PER_UNIT).round() as u64))
             } else {
                 Err(E::invalid_value(de::Unexpected::Float(v), &self))
             }
@@ -54,7 +54,7 @@
     }
 }
 
-/// Prices that may be missing.
+/// Optional prices.
 pub(super) mod maybe_price {
     use bergamotshift_core::prelude::*;
     use serde::Deserializer;
@@ -73,7 +73,7 @@
     }
 }
 
-/// Spans of time, such as `2s` or `77ms`.
+/// Durations, such as `2s` or `77ms`.
 pub(super) mod span {
     use core::time::Duration;
 
@@ -82,7 +82,7 @@
     use serde::Serializer;
     use serde::de;
 
-    /// The longest span that is read: deadlines stay far from the clock's end.
+    /// Maximum duration. It keeps deadlines far below the maximum of the clock.
     const MAX: Duration = Duration::from_hours(30 * 24);
 
     pub fn serialize<S: Serializer>(span: &Duration, serializer: S) -> Result<S::Ok, S::Error> {
@@ -93,13 +93,13 @@
         let text = String::deserialize(deserializer)?;
         let span = humantime::parse_duration(&text).map_err(de::Error::custom)?;
         if span.is_zero() || span > MAX {
-            return Err(de::Error::custom("a span of time is more than 0 and at most 30 days"));
+            return Err(de::Error::custom("a duration must be more than 0 and at most 30 days"));
         }
         Ok(span)
     }
 }
 
-/// Spans of time that may be missing.
+/// Optional durations.
 pub(super) mod maybe_span {
     use core::time::Duration;
 
--- a/bergamotshift-config/src/config/zone.rs
+++ b/bergamotshift-config/src/config/zone.rs
@@ -1,4 +1,4 @@
-//! Availability zones, machine classes and their prices.
+//! Availability zones, machine classes and prices.
 
 use bergamotshift_core::prelude::*;
 use serde::Deserialize;
@@ -6,45 +6,45 @@
 
 use super::value;
 
-/// An availability zone: `[[zone]]`.
+/// Availability zone: `[[zone]]`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Zone {
-    /// The zone's name.
+    /// Name of the zone.
     pub name: name::Zone,
-    /// The region it lies in.
+    /// Region of the zone.
     pub region: name::Region,
 }
 
-/// A machine class: `[[class]]`.
+/// Machine class: `[[class]]`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Class {
-    /// The class's name, as the platform's cloud knows it.
+    /// Name of the class, as used by the cloud.
     pub name: name::Class,
-    /// The price of an hour of a reclaimable VM.
+    /// Price of one hour of a reclaimable VM.
     #[serde(with = "value::price")]
     pub price_reclaimable: Price,
-    /// The price of an hour of an on-demand VM.
+    /// Price of one hour of an on-demand VM.
     #[serde(with = "value::price")]
     pub price_on_demand: Price,
 }
 
-/// What a class costs in one zone, where it differs: `[[price]]`.
+/// Price of a class in one zone, where it differs from the price of the class: `[[price]]`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ZonePrice {
-    /// The zone.
+    /// Availability zone.
     pub zone: name::Zone,
-    /// The machine class.
+    /// Machine class.
     pub class: name::Class,
-    /// The price of an hour of a reclaimable VM; the class's own when missing.
+    /// Price of one hour of a reclaimable VM; `None` uses the price of the class.
     #[serde(default, with = "value::maybe_price")]
     pub reclaimable: Option<Price>,
-    /// The price of an hour of an on-demand VM; the class's own when missing.
+    /// Price of one hour of an on-demand VM; `None` uses the price of the class.
     #[serde(default, with = "value::maybe_price")]
     pub on_demand: Option<Price>,
 }
--- a/bergamotshift-config/src/diff.rs
+++ b/bergamotshift-config/src/diff.rs
@@ -1,4 +1,4 @@
-//! What changes from one configuration to the next, item by item and key by key.
+//! Difference between two configurations, by item and by key.
 //!
 //! ```
 //! use bergamotshift_config::diff::Diff;
@@ -23,43 +23,43 @@
 
 use crate::config::Config;
 
-/// The changes between two configurations.
+/// Difference between two configurations.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Diff {
-    /// The changed items, by section and name.
+    /// Changed items, ordered by section and name.
     pub changes: Vec<Change>,
 }
 
-/// One item that changes.
+/// Change of one item.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Change {
-    /// The section, such as `service`.
+    /// Section of the item, such as `service`.
     pub section: &'static str,
-    /// What tells the item from others of its section.
+    /// Name of the item, which is unique within its section.
     pub name: SmolStr,
-    /// What becomes of it.
+    /// Kind of the change.
     pub kind: Kind,
 }
 
-/// What becomes of an item.
+/// Kind of a change of an item.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Kind {
-    /// It is new.
+    /// The item is new.
     Added,
-    /// It is gone.
+    /// The item was removed.
     Removed,
-    /// Some of its keys have other values.
+    /// The values of these keys changed.
     Changed(Vec<Field>),
 }
 
-/// One key whose value changes.
+/// Change of the value of one key.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Field {
-    /// The key.
+    /// Name of the key.
     pub key: SmolStr,
-    /// The value before, when it had one.
+    /// Previous value, if the key was set.
     pub old: Option<Value>,
-    /// The value after, when it has one.
+    /// New value, if the key is set.
     pub new: Option<Value>,
 }
 
@@ -73,7 +73,7 @@
                 (None, _) => Kind::Added,
                 (_, None) => Kind::Removed,
                 (Some(old), Some(new)) if old == new => return None,
-                (Some(old), Some(new)) => Kind::Changed(fields(old, new)),
+                (Some(old), Some(new)) => Kind::Changed(changed_fields(old, new)),
             };
             let (section, name) = key.clone();
             Some(Change { section, name, kind })
@@ -83,7 +83,7 @@
         }
     }
 
-    /// Returns whether nothing changes.
+    /// Returns whether the configurations are equal.
     pub const fn is_empty(&self) -> bool {
         self.changes.is_empty()
     }
@@ -100,7 +100,7 @@
             writeln!(f, "{sign} {} {}", change.section, change.name)?;
             let Kind::Changed(fields) = &change.kind else { continue };
             for field in fields {
-                let (old, new) = (Shown(field.old.as_ref()), Shown(field.new.as_ref()));
+                let (old, new) = (Rendered(field.old.as_ref()), Rendered(field.new.as_ref()));
                 writeln!(f, "    {}: {old} -> {new}", field.key)?;
             }
         }
@@ -108,9 +108,9 @@
     }
 }
 
-struct Shown<'a>(Option<&'a Value>);
+struct Rendered<'a>(Option<&'a Value>);
 
-impl fmt::Display for Shown<'_> {
+impl fmt::Display for Rendered<'_> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self.0 {
             Some(value) => write!(f, "{value}"),
@@ -121,40 +121,44 @@
 
 type Items = BTreeMap<(&'static str, SmolStr), Table>;
 
-/// Returns every item under its section and name.
+/// Returns all items of a configuration by section and name.
 fn items(config: &Config) -> Items {
     let mut items = Items::new();
     let mut add = |section, name: SmolStr, table| items.insert((section, name), table);
     for (name, zone) in &config.zones {
-        add("zone", name.as_str().into(), table(zone));
+        add("zone", name.as_str().into(), to_table(zone));
     }
     for (name, class) in &config.classes {
-        add("class", name.as_str().into(), table(class));
+        add("class", name.as_str().into(), to_table(class));
     }
     for price in &config.prices {
-        add("price", format_smolstr!("{} {}", price.zone, price.class), table(price));
+        add(
+            "price",
+            format_smolstr!("{} {}", price.zone, price.class),
+            to_table(price),
+        );
     }
     for (name, service) in &config.services {
-        add("service", name.as_str().into(), table(service));
+        add("service", name.as_str().into(), to_table(service));
     }
     for route in &config.routes {
         let name = format_smolstr!("{} {} {}", route.service, route.method, route.path);
-        add("route", name, table(route));
+        add("route", name, to_table(route));
     }
     for (name, organisation) in &config.organisations {
-        add("organisation", name.as_str().into(), table(organisation));
+        add("organisation", name.as_str().into(), to_table(organisation));
     }
     for endpoint in &config.endpoints {
-        add("endpoint", endpoint.name.as_str().into(), table(endpoint));
+        add("endpoint", endpoint.name.as_str().into(), to_table(endpoint));
     }
     items
 }
 
-fn table(item: &impl Serialize) -> Table {
+fn to_table(item: &impl Serialize) -> Table {
     Table::try_from(item).expect("every item of a configuration is a TOML table")
 }
 
-fn fields(old: &Table, new: &Table) -> Vec<Field> {
+fn changed_fields(old: &Table, new: &Table) -> Vec<Field> {
     let keys: BTreeSet<_> = old.keys().chain(new.keys()).collect();
     let changed = keys.into_iter().filter(|key| old.get(*key) != new.get(*key));
     changed
--- a/bergamotshift-config/src/digest.rs
+++ b/bergamotshift-config/src/digest.rs
@@ -1,4 +1,4 @@
-//! SHA-256 digests: of bearer tokens, of which the folder holds nothing else, and of the folder's own content.
+//! SHA-256 digests of bearer tokens and of the content of the folder. The folder stores tokens only as digests.
 
 use core::fmt;
 
@@ -12,25 +12,25 @@
 use subtle::Choice;
 use subtle::ConstantTimeEq;
 
-/// Starts the text of every digest.
+/// Prefix of a digest in text form.
 const PREFIX: &str = "sha256:";
 
-/// The SHA-256 digest of some bytes.
+/// SHA-256 digest.
 ///
-/// Bearer tokens are long and random, so a digest without salt gives nothing away to whoever reads the folder.
+/// Bearer tokens are long and random, so a digest without salt reveals nothing about them to a reader of the folder.
 ///
 /// ```
 /// use bergamotshift_config::digest::Digest;
 ///
 /// let digest = Digest::of("a long random token");
-/// assert!(bool::from(digest.same(&Digest::of("a long random token"))));
+/// assert!(bool::from(digest.ct_eq(&Digest::of("a long random token"))));
 /// assert!(digest.to_string().starts_with("sha256:"));
 /// ```
 #[derive(Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Digest([u8; 32]);
 
 impl Digest {
-    /// Makes a digest from its bytes.
+    /// Creates a digest from its bytes.
     pub const fn new(bytes: [u8; 32]) -> Self {
         Self(bytes)
     }
@@ -40,17 +40,17 @@
         Self(Sha256::digest(bytes.as_ref()).into())
     }
 
-    /// Returns the digest's bytes.
-    pub const fn bytes(&self) -> &[u8; 32] {
+    /// Returns the bytes of the digest.
+    pub const fn as_bytes(&self) -> &[u8; 32] {
         &self.0
     }
 
     /// Compares two digests in constant time.
-    pub fn same(&self, other: &Self) -> Choice {
+    pub fn ct_eq(&self, other: &Self) -> Choice {
         self.0.ct_eq(&other.0)
     }
 
-    /// Reads `sha256:` followed by 64 hexadecimal digits.
+    /// Parses `sha256:` followed by 64 hexadecimal digits.
     pub fn parse(text: &str) -> Option<Self> {
         let digits = text.strip_prefix(PREFIX)?.as_bytes();
         if digits.len() != 64 || !digits.iter().all(u8::is_ascii_hexdigit) {
@@ -94,6 +94,7 @@
             return <[u8; 32]>::deserialize(deserializer).map(Self);
         }
         let text = String::deserialize(deserializer)?;
-        Self::parse(&text).ok_or_else(|| de::Error::custom("a digest is `sha256:` and 64 hexadecimal digits"))
+        Self::parse(&text)
+            .ok_or_else(|| de::Error::custom("a digest must be `sha256:` followed by 64 hexadecimal digits"))
     }
 }
--- a/bergamotshift-config/src/folder/check/route.rs
+++ b/bergamotshift-config/src/folder/check/route.rs
@@ -1,81 +1,87 @@
-//! Checks the rules for single requests.
+//! Validation of routes.
 
 use super::Unique;
-use super::known;
+use super::check_references;
 use crate::config::Kind;
 use crate::config::Route;
 use crate::config::Service;
 use crate::folder::draft::Draft;
 use crate::folder::draft::Report;
 use crate::folder::hint;
-use crate::folder::source::Place;
+use crate::folder::source::Location;
 
-/// The methods that a rule may name.
+/// HTTP methods that a rule may contain.
 const METHODS: [&str; 7] = ["GET", "HEAD", "OPTIONS", "PUT", "DELETE", "POST", "PATCH"];
 
-/// Starts the name of every field that makes up a key.
-const FIELD: &str = "body.";
+/// Prefix of every field in `key_fields`.
+const FIELD_PREFIX: &str = "body.";
 
 pub(super) fn check(draft: &Draft, report: &mut Report<'_>) {
     let mut rules = Unique::new("path");
     for item in &draft.routes {
         let route = &item.value;
         let services = draft.services.iter().map(|item| item.value.name.as_str());
-        known(report, item.place, "service", [route.service.as_str()], &services);
+        check_references(report, item.location, "service", [route.service.as_str()], &services);
         rules.add(
             report,
-            item.place,
+            item.location,
             format!("{} {} {}", route.service, route.method, route.path),
         );
-        shape(route, item.place, report);
+        check_syntax(route, item.location, report);
         if let Some(service) = draft.service(&route.service) {
-            reach(route, service, item.place, report);
+            check_path_prefix(route, service, item.location, report);
         }
     }
 }
 
-fn shape(route: &Route, place: Place, report: &mut Report<'_>) {
+fn check_syntax(route: &Route, location: Location, report: &mut Report<'_>) {
     if !METHODS.contains(&route.method.as_str()) {
         let hint = hint::nearest(&route.method.to_ascii_uppercase(), METHODS);
-        report.add_hinted(place, "method", format!("there is no method `{}`", route.method), hint);
+        report.add_with_hint(
+            location,
+            "method",
+            format!("there is no method `{}`", route.method),
+            hint,
+        );
     }
     let stem = route.path.strip_suffix('*').unwrap_or(&route.path);
     if !stem.starts_with('/') || stem.contains(['*', '?', '%']) {
         report.add(
-            place,
+            location,
             "path",
-            "a path starts with `/` and holds no `?` or `%`; `*` stands at its end only",
+            "a path must start with `/` and contain no `?` or `%`; `*` is allowed only at its end",
         );
     }
     if !route.key_fields.is_empty() && route.repeatable == Some(true) {
-        report.add(place, "key_fields", "a repeatable request needs no key");
+        report.add(location, "key_fields", "a repeatable request needs no idempotency key");
     }
     for field in &route.key_fields {
-        let name = field.strip_prefix(FIELD).unwrap_or_default();
+        let name = field.strip_prefix(FIELD_PREFIX).unwrap_or_default();
         if name.is_empty() || name.split('.').any(str::is_empty) {
             report.add(
-                place,
+                location,
                 "key_fields",
-                format!("`{field}` is no field: write `body.NAME` or `body.NAME.NAME`"),
+                format!("`{field}` is not a field: write `body.NAME` or `body.NAME.NAME`"),
             );
         }
     }
 }
 
-/// Checks that the rule can ever apply: a rule outside of its service's path would silently protect nothing.
-fn reach(route: &Route, service: &Service, place: Place, report: &mut Report<'_>) {
+/// Checks that the rule can match any request. A rule outside the path of its service would silently have no effect,
+/// although the operator relies on it.
+fn check_path_prefix(route: &Route, service: &Service, location: Location, report: &mut Report<'_>) {
     let Some(prefix) = service.path.as_deref().map(|path| path.trim_end_matches('/')) else {
         return;
     };
-    let inside = route
+    let is_reachable = route
         .path
         .strip_prefix(prefix)
         .is_some_and(|rest| matches!(rest.as_bytes().first(), None | Some(b'/' | b'*')));
-    if service.kind == Kind::Plain && !inside {
+    if service.kind == Kind::Plain && !is_reachable {
         report.add(
-            place,
+            location,
             "path",
-            format!("service `{}` answers under `{prefix}` only", service.name),
+            format!("service `{}` serves only paths under `{prefix}`", service.name),
         );
     }
 }
--- a/bergamotshift-config/src/folder/draft.rs
+++ b/bergamotshift-config/src/folder/draft.rs
@@ -1,23 +1,23 @@
-//! All files together, each item with its place, before the whole is checked.
+//! Items of all files with their locations, before they are validated.
 
 use bergamotshift_core::prelude::*;
 use smol_str::SmolStr;
 
 use super::error::Problem;
 use super::file::File;
-use super::source::Place;
+use super::source::Location;
 use super::source::Source;
 use crate::config;
 use crate::config::Config;
 
-/// An item and where it stands.
+/// Item with its location.
 #[derive(Debug)]
 pub(super) struct Item<T> {
-    pub(super) place: Place,
+    pub(super) location: Location,
     pub(super) value: T,
 }
 
-/// The items of all files, in the order of the files' names.
+/// Items of all files, in the order of the file names.
 #[derive(Debug, Default)]
 pub(super) struct Draft {
     pub(super) zones: Vec<Item<config::Zone>>,
@@ -41,8 +41,8 @@
         append(&mut self.endpoints, file, "endpoint", content.endpoint);
     }
 
-    /// Drops the places.
-    pub(super) fn finish(self) -> Config {
+    /// Converts the items into a configuration without locations.
+    pub(super) fn into_config(self) -> Config {
         Config {
             zones: values(self.zones).map(|zone| (zone.name.clone(), zone)).collect(),
             classes: values(self.classes).map(|class| (class.name.clone(), class)).collect(),
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Finds a service by its name.
+    /// Returns the service with a name.
     pub(super) fn service(&self, name: &name::Service) -> Option<&config::Service> {
         self.services
             .iter()
@@ -69,7 +69,7 @@
 
 fn append<T>(items: &mut Vec<Item<T>>, file: usize, section: &'static str, values: Vec<T>) {
     items.extend(values.into_iter().enumerate().map(|(item, value)| Item {
-        place: Place { file, section, item },
+        location: Location { file, section, item },
         value,
     }));
 }
@@ -78,7 +78,7 @@
     items.into_iter().map(|item| item.value)
 }
 
-/// Collects problems and finds their lines.
+/// Report that collects problems and determines their lines.
 #[derive(Debug)]
 pub(super) struct Report<'a> {
     pub(super) sources: &'a [Source<'a>],
@@ -86,26 +86,36 @@
 }
 
 impl Report<'_> {
-    /// Adds a problem of one key of an item.
-    pub(super) fn add(&mut self, place: Place, key: &str, message: impl Into<String>) {
-        self.add_hinted(place, key, message, None);
+    /// Adds a problem with a key of an item.
+    pub(super) fn add(&mut self, location: Location, key: &str, message: impl Into<String>) {
+        self.add_with_hint(location, key, message, None);
     }
 
-    /// Adds a problem with a guess at what was meant.
-    pub(super) fn add_hinted(&mut self, place: Place, key: &str, message: impl Into<String>, hint: Option<String>) {
-        let source = self.sources[place.file];
+    /// Adds a problem with a key of an item, with a hint.
+    pub(super) fn add_with_hint(
+        &mut self,
+        location: Location,
+        key: &str,
+        message: impl Into<String>,
+        hint: Option<String>,
+    ) {
+        let source = self.sources[location.file];
         self.problems.push(Problem {
             file: SmolStr::new(source.name),
-            line: source.line_of(place.section, place.item, key),
-            key: SmolStr::new(format!("{}.{key}", place.section)),
+            line: source.line_of(location.section, location.item, key),
+            key: SmolStr::new(format!("{}.{key}", location.section)),
             message: message.into(),
             hint,
         });
     }
 
-    /// Returns file and line of an item's key, as in messages.
-    pub(super) fn locate(&self, place: Place, key: &str) -> String {
-        let source = self.sources[place.file];
-        format!("{}:{}", source.name, source.line_of(place.section, place.item, key))
+    /// Formats file and line of a key of an item as `file:line`.
+    pub(super) fn locate(&self, location: Location, key: &str) -> String {
+        let source = self.sources[location.file];
+        format!(
+            "{}:{}",
+            source.name,
+            source.line_of(location.section, location.item, key)
+        )
     }
 }
--- a/bergamotshift-config/src/folder/error.rs
+++ b/bergamotshift-config/src/folder/error.rs
@@ -1,4 +1,4 @@
-//! What can be wrong with a folder.
+//! Errors of a folder.
 
 use core::fmt;
 use std::io;
@@ -7,39 +7,39 @@
 use smol_str::SmolStr;
 use thiserror::Error;
 
-/// A folder that gives no configuration.
+/// Error that prevents a folder from being read as a configuration.
 #[derive(Debug)]
 #[derive(Error)]
 #[non_exhaustive]
 pub enum Error {
-    /// The folder or a file can't be read.
+    /// The folder or a file cannot be read.
     #[error("can't read {}: {source}", path.display())]
     Read {
-        /// The folder or file.
+        /// Path of the folder or file.
         path: PathBuf,
-        /// What the operating system said.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// The folder holds no file that ends in `.toml`.
-    #[error("the folder holds no TOML file; to take everything away, say so in one")]
+    /// The folder contains no file whose name ends in `.toml`.
+    #[error("the folder contains no TOML file; to remove all items, keep one without any items")]
     Empty,
-    /// The files' content is not a configuration.
+    /// The content of the files is not a valid configuration.
     #[error("{}", Lines(.0))]
     Invalid(Vec<Problem>),
 }
 
-/// One thing that is wrong, and where.
+/// One error in a file, with its position.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Problem {
-    /// The file's name.
+    /// Name of the file.
     pub file: SmolStr,
-    /// The line, counted from 1.
+    /// Line number, counted from 1.
     pub line: usize,
-    /// The key, such as `service.zones`; empty when the text is no TOML at all.
+    /// Key, such as `service.zones`; empty if the text is not valid TOML.
     pub key: SmolStr,
-    /// What is wrong.
+    /// Description of the problem.
     pub message: String,
-    /// What may have been meant.
+    /// Suggestion of what may have been meant.
     pub hint: Option<String>,
 }
 
@@ -61,8 +61,8 @@
 
 impl fmt::Display for Lines<'_> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        for (place, problem) in self.0.iter().enumerate() {
-            if place > 0 {
+        for (index, problem) in self.0.iter().enumerate() {
+            if index > 0 {
                 f.write_str("\n")?;
             }
             write!(f, "{problem}")?;
--- a/bergamotshift-config/src/folder/file.rs
+++ b/bergamotshift-config/src/folder/file.rs
@@ -1,4 +1,4 @@
-//! One file of the folder, before it is merged.
+//! Sections of one file of the folder, before the files are merged.
 
 use serde::Deserialize;
 use smol_str::SmolStr;
@@ -8,7 +8,7 @@
 use super::source::Source;
 use crate::config;
 
-/// The sections of one file.
+/// Sections of one file.
 #[derive(Debug, Default)]
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields, default)]
@@ -23,28 +23,28 @@
 }
 
 impl File {
-    /// Reads one file; its text alone is judged here, not what it refers to.
+    /// Parses one file. References to other items are not checked here.
     pub(super) fn parse(source: Source<'_>) -> Result<Self, Box<Problem>> {
-        toml::from_str(source.text).map_err(|error| Box::new(problem(source, &error)))
+        toml::from_str(source.text).map_err(|error| Box::new(to_problem(source, &error)))
     }
 }
 
-/// Turns a TOML error into a problem with line, key and hint.
-fn problem(source: Source<'_>, error: &toml::de::Error) -> Problem {
+/// Converts a TOML error into a problem with line, key and hint.
+fn to_problem(source: Source<'_>, error: &toml::de::Error) -> Problem {
     let start = error.span().map_or(0, |span| span.start);
     Problem {
         file: SmolStr::new(source.name),
-        line: source.line(start),
+        line: source.line_at(start),
         key: SmolStr::new(source.key_at(start)),
         message: error.message().to_owned(),
-        hint: unknown(error.message()),
+        hint: hint_for_unknown(error.message()),
     }
 }
 
-/// Returns a hint when the message says that a key or a value is none of the known ones.
+/// Returns a hint if the message is about an unknown key or value.
 ///
-/// `serde` writes such messages as: unknown field `a`, expected one of `b`, `c`.
-fn unknown(message: &str) -> Option<String> {
+/// `serde` formats such messages as: unknown field `a`, expected one of `b`, `c`.
+fn hint_for_unknown(message: &str) -> Option<String> {
     if !message.starts_with("unknown ") {
         return None;
     }
--- a/bergamotshift-config/src/folder/mod.rs
+++ b/bergamotshift-config/src/folder/mod.rs
@@ -1,4 +1,4 @@
-//! Reads a folder of TOML files into one configuration.
+//! Parser and validation of a folder of TOML files.
 
 use std::fs;
 use std::path::Path;
@@ -22,24 +22,24 @@
 
 use crate::config::Config;
 
-/// Ends the names of the files that count.
+/// Suffix of the names of the files that are read.
 const SUFFIX: &str = ".toml";
 
-/// Reads the TOML files of a folder, in the order of their names.
+/// Reads the TOML files of a folder and returns names and texts, ordered by name.
 ///
-/// Hidden files and other suffixes are passed over, so an editor's spare copy changes nothing.
+/// Hidden files and files with other suffixes are ignored, so that backup copies of an editor have no effect.
 ///
 /// # Errors
 ///
-/// Fails when the folder or one of its files can't be read as UTF-8 text.
+/// Returns an error if the folder or one of its files cannot be read as UTF-8 text.
 pub fn read(path: &Path) -> Result<Vec<(SmolStr, String)>, Error> {
-    let read_error = |source| Error::Read {
+    let to_error = |source| Error::Read {
         path: path.to_path_buf(),
         source,
     };
     let mut files = Vec::new();
-    for item in fs::read_dir(path).map_err(read_error)? {
-        let item = item.map_err(read_error)?;
+    for item in fs::read_dir(path).map_err(to_error)? {
+        let item = item.map_err(to_error)?;
         let name = item.file_name();
         let Some(name) = name.to_str() else { continue };
         if name.starts_with('.') || !name.ends_with(SUFFIX) {
@@ -55,39 +55,39 @@
     Ok(files)
 }
 
-/// Reads, merges and checks a folder.
+/// Reads, merges and validates a folder.
 ///
 /// # Errors
 ///
-/// Fails when a file can't be read, or with every problem found in the files.
+/// Returns an error if a file cannot be read, or all problems found in the files.
 pub fn load(path: &Path) -> Result<Config, Error> {
     parse(&read(path)?)
 }
 
-/// Merges and checks files given as names and texts, in the order of their names.
+/// Merges and validates files given as names and texts, in the order of their names.
 ///
 /// # Errors
 ///
-/// Fails with every problem found, each with file, line and key.
+/// Returns all problems, each with file, line and key.
 pub fn parse<N: AsRef<str>, T: AsRef<str>>(files: &[(N, T)]) -> Result<Config, Error> {
     Parser::default().parse(files)
 }
 
-/// How a folder is judged, beyond what its own text says.
+/// Parser of a folder, with what it knows beyond the files.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Parser<'a> {
-    /// The names of the endpoint adapters that there are; missing means that any name passes.
+    /// Names of the endpoint adapters that exist; `None` accepts any name.
     pub adapters: Option<&'a [&'a str]>,
 }
 
 impl Parser<'_> {
-    /// Merges and checks files given as names and texts, in the order of their names.
+    /// Merges and validates files given as names and texts, in the order of their names.
     ///
     /// # Errors
     ///
-    /// Fails with every problem found, each with file, line and key.
+    /// Returns all problems, each with file, line and key.
     pub fn parse<N: AsRef<str>, T: AsRef<str>>(&self, files: &[(N, T)]) -> Result<Config, Error> {
-        // A wrong path or an emptied folder would take every service and organisation away.
+        // An empty folder, perhaps a wrong path, would remove every service and organisation.
         if files.is_empty() {
             return Err(Error::Empty);
         }
@@ -98,18 +98,18 @@
             sources: &sources,
             problems: Vec::new(),
         };
-        for (place, source) in sources.iter().enumerate() {
+        for (index, source) in sources.iter().enumerate() {
             match File::parse(*source) {
-                Ok(file) => draft.add(place, file),
+                Ok(file) => draft.add(index, file),
                 Err(problem) => report.problems.push(*problem),
             }
         }
-        // With a file missing, the references into it would all be called wrong.
+        // If a file was not parsed, all references to its items would be reported as problems.
         if report.problems.is_empty() {
             check::all(&draft, self.adapters, &mut report);
         }
         if report.problems.is_empty() {
-            Ok(draft.finish())
+            Ok(draft.into_config())
         } else {
             Err(Error::Invalid(report.problems))
         }
--- a/bergamotshift-config/src/folder/source.rs
+++ b/bergamotshift-config/src/folder/source.rs
@@ -1,20 +1,20 @@
-//! Finds the line on which a key or section stands.
+//! Lookup of lines and keys in the text of a file.
 
 use toml::de::DeTable;
 use toml::de::DeValue;
 
-/// Which item of which file: the third `[[route]]` of `40-staff.toml`.
+/// Location of an item, such as the third `[[route]]` of `40-staff.toml`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) struct Place {
-    /// The file's index among the sources.
+pub(super) struct Location {
+    /// Index of the file among the sources.
     pub(super) file: usize,
-    /// The section's key.
+    /// Key of the section.
     pub(super) section: &'static str,
-    /// The item's index in its section and file.
+    /// Index of the item within its section of the file.
     pub(super) item: usize,
 }
 
-/// One file as it was read.
+/// Name and text of one file.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Source<'a> {
     pub(super) name: &'a str,
@@ -31,15 +31,15 @@
 }
 
 impl Source<'_> {
-    /// Returns the line, counted from 1, on which a byte stands.
-    pub(super) fn line(&self, byte: usize) -> usize {
+    /// Returns the line of a byte offset, counted from 1.
+    pub(super) fn line_at(&self, byte: usize) -> usize {
         let before = self.text.as_bytes().iter().take(byte);
         before.filter(|byte| **byte == b'\n').count() + 1
     }
 
-    /// Returns the line of an item's key, or of the item where the key is missing.
+    /// Returns the line of a key of an item, or the line of the item if the key is missing.
     ///
-    /// The text is parsed once more; that happens for problems only.
+    /// It parses the text again, which happens only when a problem is reported.
     pub(super) fn line_of(&self, section: &str, item: usize, key: &str) -> usize {
         let Ok(table) = DeTable::parse(self.text) else { return 1 };
         let value = table.get_ref().get(section).and_then(|items| items.get_ref().get(item));
@@ -52,12 +52,12 @@
             start = name.span().start;
             inner = value.get_ref().as_table();
         }
-        self.line(start)
+        self.line_at(start)
     }
 
-    /// Returns the key that a byte belongs to, such as `service.retry.budget`.
+    /// Returns the key at a byte offset, such as `service.retry.budget`.
     ///
-    /// TOML gives spans of whole values, so the deepest key that starts at or before the byte is the one.
+    /// The parser returns the spans of whole values, so this is the deepest key that starts at or before the offset.
     pub(super) fn key_at(&self, byte: usize) -> String {
         let Ok(table) = DeTable::parse(self.text) else {
             return String::new();
@@ -68,12 +68,13 @@
     }
 }
 
-/// Follows the last key that starts at or before the byte, into tables and arrays of tables.
+/// Appends the last key that starts at or before the offset to `path`, then descends into tables and arrays of tables.
 fn descend(table: &DeTable<'_>, byte: usize, path: &mut Vec<String>) {
     let before = table
         .iter()
-        .filter(|(name, value)| first(name.span().start, value.get_ref()) <= byte);
-    let Some((name, value)) = before.max_by_key(|(name, value)| last(name.span().start, value.get_ref(), byte)) else {
+        .filter(|(name, value)| first_start(name.span().start, value.get_ref()) <= byte);
+    let Some((name, value)) = before.max_by_key(|(name, value)| last_start(name.span().start, value.get_ref(), byte))
+    else {
         return;
     };
     path.push(name.get_ref().to_string());
@@ -89,20 +90,20 @@
     }
 }
 
-/// Returns where a key starts for the first time.
-fn first(name: usize, value: &DeValue<'_>) -> usize {
-    let inside = starts(value).min();
+/// Returns the first start of a key, which may occur several times as an array of tables.
+fn first_start(name: usize, value: &DeValue<'_>) -> usize {
+    let inside = item_starts(value).min();
     inside.map_or(name, |start| start.min(name))
 }
 
-/// Returns the last start of a key, or of one of its items, at or before the byte.
-fn last(name: usize, value: &DeValue<'_>, byte: usize) -> usize {
-    let inside = starts(value).filter(|start| *start <= byte).max();
+/// Returns the last start of a key, or of one of its items, at or before the offset.
+fn last_start(name: usize, value: &DeValue<'_>, byte: usize) -> usize {
+    let inside = item_starts(value).filter(|start| *start <= byte).max();
     inside.map_or(name, |start| if name <= byte { start.max(name) } else { start })
 }
 
-/// Returns where the items of an array start; nothing for other values.
-fn starts<'a>(value: &'a DeValue<'_>) -> impl Iterator<Item = usize> + 'a {
+/// Returns the starts of the items of an array; empty for other values.
+fn item_starts<'a>(value: &'a DeValue<'_>) -> impl Iterator<Item = usize> + 'a {
     let items = value.as_array().into_iter().flat_map(|items| items.iter());
     items.map(|item| item.span().start)
 }
--- a/bergamotshift-config/src/lib.rs
+++ b/bergamotshift-config/src/lib.rs
@@ -1,7 +1,8 @@
-//! The operators' folder: typed parsing, validation, merge, diff, versions and their acceptance.
+//! Configuration folder of the operators: parsing, validation, merge, diff and acceptance of versions.
 //!
-//! Operators keep a folder of small TOML files, merged in the order of their names. [`folder::load`] turns it into a
-//! [`config::Config`] or into a list of problems with file, line and key.
+//! Operators keep the configuration in a folder of TOML files, which are merged in the order of their names.
+//! [`folder::load`] reads the folder into a [`config::Config`], or returns a list of problems with file, line and key.
+//! [`accept`] holds the protocol by which all entries agree on a version.
 //!
 //! ```
 //! use bergamotshift_config::folder;
--- a/bergamotshift-config/src/manifest.rs
+++ b/bergamotshift-config/src/manifest.rs
@@ -1,4 +1,4 @@
-//! A folder's content as one value: file names, digests and texts.
+//! Content of a folder as one value: names, digests and texts of its files.
 
 use core::fmt;
 use core::hash::Hash;
@@ -16,15 +16,15 @@
 use crate::digest::Digest;
 use crate::folder;
 
-/// The largest file, in bytes: one object or message carries it.
-pub const MAX_FILE: usize = 256 * 1024;
+/// Maximum size of a file, in bytes. A file is transferred as one object or message.
+pub const MAX_FILE_BYTES: usize = 256 * 1024;
 
-/// The most files of a folder.
+/// Maximum number of files in a folder.
 pub const MAX_FILES: usize = 4096;
 
-/// The names of a folder's files and the digests of their texts, in the order of the names.
+/// Names of the files of a folder and digests of their texts, ordered by name.
 ///
-/// Its own digest stands for the whole content.
+/// The digest of the listing identifies the whole content.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Serialize, Deserialize)]
 #[serde(transparent)]
@@ -33,36 +33,36 @@
 }
 
 impl Listing {
-    /// Returns the files and their digests.
+    /// Returns the names of the files and the digests of their texts.
     pub const fn files(&self) -> &BTreeMap<SmolStr, Digest> {
         &self.files
     }
 
-    /// Computes the digest that stands for the whole content.
+    /// Computes the digest that identifies the whole content.
     ///
-    /// Lengths go in front of names, so no two listings have the same bytes.
+    /// Each name is prefixed with its length, so that different listings never have the same encoding.
     pub fn digest(&self) -> Digest {
         let mut bytes = Vec::new();
         for (name, digest) in &self.files {
             bytes.extend_from_slice(&(name.len() as u64).to_le_bytes());
             bytes.extend_from_slice(name.as_bytes());
-            bytes.extend_from_slice(digest.bytes());
+            bytes.extend_from_slice(digest.as_bytes());
         }
         Digest::of(bytes)
     }
 
-    /// Returns the digests of the files that `held` lacks.
-    pub fn missing(&self, held: &Manifest) -> BTreeSet<Digest> {
-        let known: BTreeSet<_> = held.inner.listing.files.values().collect();
+    /// Returns the digests of the files whose texts are not in `known`.
+    pub fn missing(&self, known: &Manifest) -> BTreeSet<Digest> {
+        let known_digests: BTreeSet<_> = known.inner.listing.files.values().collect();
         self.files
             .values()
-            .filter(|digest| !known.contains(digest))
+            .filter(|digest| !known_digests.contains(digest))
             .copied()
             .collect()
     }
 }
 
-/// A folder's content. Cloning it is cheap: the content is shared.
+/// Content of a folder. Clones share the content.
 #[derive(Clone, Default)]
 pub struct Manifest {
     inner: Arc<Inner>,
@@ -74,31 +74,31 @@
     texts: BTreeMap<Digest, Arc<str>>,
 }
 
-/// Content that makes no manifest.
+/// Error that prevents a manifest from being created or merged.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Error)]
 #[non_exhaustive]
 pub enum Error {
-    /// A text of the listing is missing.
+    /// The text of this file of the listing is missing.
     #[error("the text of {0} is missing")]
     Missing(SmolStr),
-    /// A file is too large.
-    #[error("{0} is larger than {MAX_FILE} bytes")]
+    /// This file is larger than [`MAX_FILE_BYTES`].
+    #[error("{0} is larger than {MAX_FILE_BYTES} bytes")]
     Large(SmolStr),
-    /// There are too many files.
+    /// There are more than [`MAX_FILES`] files.
     #[error("a folder holds at most {MAX_FILES} files")]
     Many,
-    /// Two operators changed the same files.
+    /// Two operators changed these files.
     #[error("changed by another operator at the same time: {}", .0.join(", "))]
     Conflict(Vec<SmolStr>),
 }
 
 impl Manifest {
-    /// Makes a manifest from names and texts.
+    /// Creates a manifest from the names and texts of files.
     ///
     /// # Errors
     ///
-    /// Fails when a file is too large, or there are too many.
+    /// Returns an error if a file is too large or there are too many files.
     pub fn new<N: AsRef<str>, T: AsRef<str>>(files: &[(N, T)]) -> Result<Self, Error> {
         if files.len() > MAX_FILES {
             return Err(Error::Many);
@@ -106,7 +106,7 @@
         let mut manifest = Self::default();
         for (name, text) in files {
             let (name, text) = (SmolStr::new(name), text.as_ref());
-            if text.len() > MAX_FILE {
+            if text.len() > MAX_FILE_BYTES {
                 return Err(Error::Large(name));
             }
             manifest.insert(name, Digest::of(text), text.into());
@@ -114,13 +114,13 @@
         Ok(manifest)
     }
 
-    /// Puts a listing and texts together, such as they came from the platform or a peer.
+    /// Creates a manifest from a listing and texts that were received from the platform or a peer.
     ///
-    /// Each text is found by its own digest, so a wrong one is a missing one.
+    /// Texts are looked up by their own digest, so a text with the wrong content counts as missing.
     ///
     /// # Errors
     ///
-    /// Fails when a text is missing.
+    /// Returns an error if a text is missing.
     pub fn assemble(listing: &Listing, texts: impl IntoIterator<Item = Arc<str>>) -> Result<Self, Error> {
         let texts: BTreeMap<_, _> = texts.into_iter().map(|text| (Digest::of(&*text), text)).collect();
         let mut manifest = Self::default();
@@ -131,12 +131,12 @@
         Ok(manifest)
     }
 
-    /// Returns names and digests.
+    /// Returns the listing of names and digests.
     pub fn listing(&self) -> &Listing {
         &self.inner.listing
     }
 
-    /// Computes the digest that stands for the whole content.
+    /// Computes the digest that identifies the whole content.
     pub fn digest(&self) -> Digest {
         self.inner.listing.digest()
     }
@@ -146,7 +146,7 @@
         self.inner.texts.get(digest)
     }
 
-    /// Returns names and texts, in the order of the names.
+    /// Returns the names and texts of the files, ordered by name.
     pub fn files(&self) -> impl Iterator<Item = (&SmolStr, &Arc<str>)> {
         self.inner
             .listing
@@ -155,40 +155,40 @@
             .map(|(name, digest)| (name, &self.inner.texts[digest]))
     }
 
-    /// Parses and checks the content.
+    /// Parses and validates the content.
     ///
     /// # Errors
     ///
-    /// Fails with every problem found, each with file, line and key.
+    /// Returns all problems, each with file, line and key.
     pub fn config(&self) -> Result<Config, folder::Error> {
         self.config_with(&folder::Parser::default())
     }
 
-    /// Parses the content and checks it in the parser's way.
+    /// Parses and validates the content with a parser.
     ///
     /// # Errors
     ///
-    /// Fails with every problem found, each with file, line and key.
+    /// Returns all problems, each with file, line and key.
     pub fn config_with(&self, parser: &folder::Parser<'_>) -> Result<Config, folder::Error> {
         let files: Vec<_> = self.files().map(|(name, text)| (name.as_str(), &**text)).collect();
         parser.parse(&files)
     }
 
-    /// Merges two operators' edits of one base: `ours` and `theirs`, file by file.
+    /// Merges two operators' edits `ours` and `theirs` of the same `base`, file by file.
     ///
-    /// The result is not checked; each edit may be valid and their sum not.
+    /// The result is not validated: it may be invalid although both edits are valid.
     ///
     /// # Errors
     ///
-    /// Fails when both changed the same file in different ways, and names every such file.
+    /// Returns the names of all files that both edits changed in different ways.
     pub fn merge(base: &Self, ours: &Self, theirs: &Self) -> Result<Self, Error> {
         let sides = [base, ours, theirs];
         let names: BTreeSet<_> = sides.iter().flat_map(|side| side.inner.listing.files.keys()).collect();
         let mut merged = Self::default();
         let mut conflicts = Vec::new();
         for name in names {
-            let [was, our, their] = sides.map(|side| side.inner.listing.files.get(name));
-            let (side, kept) = match (our == was, their == was) {
+            let [before, our, their] = sides.map(|side| side.inner.listing.files.get(name));
+            let (side, kept) = match (our == before, their == before) {
                 (true, _) => (theirs, their),
                 (_, true) => (ours, our),
                 _ if our == their => (ours, our),
@@ -215,7 +215,7 @@
     }
 }
 
-// The listing's digests stand for the texts, so comparing the listings is enough.
+// The listing contains the digests of the texts, so comparing the listings suffices.
 
 impl PartialEq for Manifest {
     fn eq(&self, other: &Self) -> bool {
--- a/bergamotshift-config/src/prelude.rs
+++ b/bergamotshift-config/src/prelude.rs
@@ -1,4 +1,4 @@
-//! The types that most users of the crate need.
+//! Re-exports of the types that most users of the crate need.
 
 pub use crate::config::Config;
 pub use crate::config::Organisation;
--- a/bergamotshift-config/tests/folder.rs
+++ b/bergamotshift-config/tests/folder.rs
@@ -75,11 +75,11 @@
         ),
         (
             "[[zone]]\nname = \"Hall B\"\nregion = \"r\"\n",
-            "50-more.toml:2: zone.name: `Hall B` is no name",
+            "50-more.toml:2: zone.name: `Hall B` is not a valid name",
         ),
         (
             "[[zone]]\nname = \"amsterdam-hall\"\nregion = \"r\"\n",
-            "50-more.toml:2: zone.name: `amsterdam-hall` stands already at 00-base.toml:3",
+            "50-more.toml:2: zone.name: `amsterdam-hall` is already used at 00-base.toml:3",
         ),
         (
             "[[class]]\nname = \"c\"\nprice_reclaimable = -1\nprice_on_demand = 1\n",
@@ -95,15 +95,15 @@
         ),
         (
             "[[organisation]]\nname = \"salto\"\nkeys = [\"demo-salto\"]\n",
-            "50-more.toml:3: organisation.keys: a digest is `sha256:` and 64 hexadecimal digits",
+            "50-more.toml:3: organisation.keys: a digest must be `sha256:` followed by 64 hexadecimal digits",
         ),
         (
             &organisation("weight = 0\n"),
-            "50-more.toml:4: organisation.weight: 1 to 1000000",
+            "50-more.toml:4: organisation.weight: must be from 1 to 1000000",
         ),
         (
             &organisation("limits = { burst = 0 }\n"),
-            "50-more.toml:4: organisation.limits.burst: a burst is at least 1",
+            "50-more.toml:4: organisation.limits.burst: a burst must be at least 1",
         ),
         (
             &organisation(&format!("\n[[organisation]]\nname = \"pocitos\"\n{key}\n")),
@@ -130,11 +130,11 @@
         ),
         (
             "[[route]]\nservice = \"staff-app\"\nmethod = \"POST\"\npath = \"/shifts\"\n",
-            "50-more.toml:4: route.path: service `staff-app` answers under `/staff` only",
+            "50-more.toml:4: route.path: service `staff-app` serves only paths under `/staff`",
         ),
         (
             "[[route]]\nservice = \"staff-app\"\nmethod = \"POST\"\npath = \"/staff/x\"\nkey_fields = [\"shift\"]\n",
-            "50-more.toml:5: route.key_fields: `shift` is no field: write `body.NAME`",
+            "50-more.toml:5: route.key_fields: `shift` is not a field: write `body.NAME`",
         ),
         (
             "[[service]]\nname = \"s\"\nkind = \"modle\"\nadapter = \"engine\"\n",
@@ -142,11 +142,11 @@
         ),
         (
             "[[service]]\nname = \"s\"\nkind = \"model\"\nadapter = \"engine\"\n",
-            "50-more.toml:1: service.models: a model service names the models it serves",
+            "50-more.toml:1: service.models: a model service must list the models that it serves",
         ),
         (
             "[[service]]\nname = \"s\"\nkind = \"plain\"\nadapter = \"http\"\npath = \"/staff/\"\n",
-            "50-more.toml:5: service.path: `/staff` stands already at 00-base.toml:15",
+            "50-more.toml:5: service.path: `/staff` is already used at 00-base.toml:15",
         ),
         (
             "[[service]]\nname = \"s\"\nkind = \"plain\"\nadapter = \"http\"\npath = \"/s\"\nretry = { budgett = 1 }\n",
@@ -154,7 +154,7 @@
         ),
         (
             "[[service]]\nname = \"s\"\nkind = \"plain\"\nadapter = \"http\"\npath = \"/s\"\nretry = { budget = 1.5 }\n",
-            "50-more.toml:6: service.retry.budget: 0 to 1 retries for each request",
+            "50-more.toml:6: service.retry.budget: must be from 0 to 1 retries per request",
         ),
         (
             "[[service]]\nname = \"s\"\nkind = \"plain\"\nadapter = \"http\"\npath = \"/s\"\ndeadline = \"soon\"\n",
