--- a/bergamotshift-config/src/accept/member/event.rs
+++ b/bergamotshift-config/src/accept/member/event.rs
@@ -60,7 +60,7 @@
     Fetched(Manifest),
     /// A fetch failed.
     FetchFailed,
-    /// A transaction ended this way.
+    /// A transaction ended with this result.
     Ended(Ending),
 }
 
--- a/bergamotshift-config/src/accept/proposer/event.rs
+++ b/bergamotshift-config/src/accept/proposer/event.rs
@@ -45,7 +45,7 @@
     Stored,
     /// The store failed; the content may not be durable.
     StoreFailed,
-    /// A transaction ended this way.
+    /// A transaction ended with this result.
     Ended(Ending),
 }
 
--- a/bergamotshift-config/tests/acceptance.rs
+++ b/bergamotshift-config/tests/acceptance.rs
@@ -1,4 +1,4 @@
-//! The acceptance protocol over a faulty fleet, in virtual time.
+//! Tests of the acceptance protocol in a simulated fleet with faults, in virtual time.
 
 mod support;
 
@@ -16,51 +16,51 @@
 use support::folder;
 use support::world::World;
 
-/// How soon a change is in force everywhere, at most.
-const IN_FORCE: Duration = Duration::from_secs(7);
+/// Maximum time until a change is in force everywhere.
+const IN_FORCE_TIMEOUT: Duration = Duration::from_secs(7);
 
-fn first(zones: usize) -> Manifest {
+fn initial_folder(zones: usize) -> Manifest {
     let zones: Vec<_> = (0..zones).map(World::zone).collect();
     let zones: Vec<_> = zones.iter().map(String::as_str).collect();
     folder(&zones, "20-classes.toml", &class("a", 1))
 }
 
-/// Starts a fleet with a first version in force everywhere.
-fn running(zones: usize, each: usize, seed: u64) -> (World, Manifest) {
-    let mut world = World::new(zones, each, seed);
-    let base = first(zones);
+/// Starts a fleet with version 1 in force everywhere.
+fn start_fleet(zones: usize, entries_per_zone: usize, seed: u64) -> (World, Manifest) {
+    let mut world = World::new(zones, entries_per_zone, seed);
+    let base = initial_folder(zones);
     world.run(Duration::from_secs(5));
     world.apply(0, 1, &Manifest::default(), &base);
-    assert_eq!(accepted(&world.outcome(0)), Some((1, 0)));
-    assert_follows(&mut world, 1);
+    assert_eq!(accepted_version(&world.outcome(0)), Some((1, 0)));
+    assert_in_force_everywhere(&mut world, 1);
     (world, base)
 }
 
-/// Returns the folder with one price changed.
-fn dearer(base: &Manifest) -> Manifest {
+/// Returns the folder with a higher price of one class.
+fn with_higher_price(base: &Manifest) -> Manifest {
     edit(base, "20-classes.toml", &class("a", 2))
 }
 
-/// Cuts a zone off from the platform and the other zones.
-fn cut(world: &mut World, zone: usize) {
-    world.faults.off_platform.insert(zone);
+/// Cuts a zone off from the platform and from the other zones.
+fn isolate(world: &mut World, zone: usize) {
+    world.faults.cut_from_platform.insert(zone);
     world.faults.isolated.insert(zone);
 }
 
 fn heal(world: &mut World) {
-    world.faults.off_platform.clear();
+    world.faults.cut_from_platform.clear();
     world.faults.isolated.clear();
 }
 
-/// Asserts that the version is in force everywhere in time, and that no entry ever went back.
-fn assert_follows(world: &mut World, version: u64) {
-    let end = world.now + IN_FORCE;
-    assert!(world.run_until(end, |world| world.everywhere(version)));
-    world.assert_only_upwards();
+/// Asserts that a version is in force everywhere in time, and that no entry switched to a lower version.
+fn assert_in_force_everywhere(world: &mut World, version: u64) {
+    let end = world.now + IN_FORCE_TIMEOUT;
+    assert!(world.run_until(end, |world| world.in_force_everywhere(version)));
+    world.assert_versions_increase();
 }
 
-/// Returns the version and how many zones were passed over.
-fn accepted(outcome: &Outcome) -> Option<(u64, usize)> {
+/// Returns the version and the number of zones that were passed over, if the change was accepted.
+fn accepted_version(outcome: &Outcome) -> Option<(u64, usize)> {
     match outcome {
         Outcome::Accepted { revision, passed_over } => Some((revision.version.get(), passed_over.len())),
         _ => None,
@@ -69,43 +69,43 @@
 
 #[test]
 fn a_change_is_staged_everywhere_and_in_force_in_time() {
-    let (mut world, base) = running(4, 2, 1);
-    world.apply(3, 2, &base, &dearer(&base));
+    let (mut world, base) = start_fleet(4, 2, 1);
+    world.apply(3, 2, &base, &with_higher_price(&base));
     let outcome = world.outcome(3);
-    assert_eq!(accepted(&outcome), Some((2, 0)));
+    assert_eq!(accepted_version(&outcome), Some((2, 0)));
     let staged = world.table.partition(record::STAGES).count();
     assert_eq!(staged, 4);
-    assert_follows(&mut world, 2);
+    assert_in_force_everywhere(&mut world, 2);
 }
 
-/// Two operators apply at the same moment, from entries of different zones, and changed different files. Both are told
-/// "accepted". One takes the head's place; the other waits, merges with what is accepted by then and follows.
+/// Two operators apply changes of different files at the same time, from entries of different zones. Neither change may
+/// be lost: the second proposer waits until the head is free and merges its change with the version accepted by then.
 #[test]
-fn two_operators_at_once_with_different_files_both_get_in() {
-    let (mut world, base) = running(4, 2, 2);
-    world.apply(1, 2, &base, &dearer(&base));
+fn concurrent_changes_of_different_files_are_both_accepted() {
+    let (mut world, base) = start_fleet(4, 2, 2);
+    world.apply(1, 2, &base, &with_higher_price(&base));
     world.apply(2, 3, &base, &edit(&base, "30-more.toml", &class("b", 3)));
     let outcomes = [world.outcome(1), world.outcome(2)];
-    let versions: BTreeSet<_> = outcomes.iter().filter_map(accepted).collect();
+    let versions: BTreeSet<_> = outcomes.iter().filter_map(accepted_version).collect();
     assert_eq!(versions, BTreeSet::from([(2, 0), (3, 0)]));
-    assert_follows(&mut world, 3);
+    assert_in_force_everywhere(&mut world, 3);
     let member = world.nodes[0].member.as_ref().unwrap();
     let content = member.content(&member.in_force().unwrap().digest).unwrap();
-    let both = edit(&dearer(&base), "30-more.toml", &class("b", 3));
+    let both = edit(&with_higher_price(&base), "30-more.toml", &class("b", 3));
     assert_eq!(*content, both);
 }
 
-/// Two operators apply at the same moment and changed the same file. One is told "accepted", the other the file's
-/// name; nothing of the other's change is in force anywhere.
+/// Two operators apply changes of the same file at the same time. One change is accepted; the other operator gets the
+/// name of the file, and none of that change comes into force.
 #[test]
-fn two_operators_at_once_with_the_same_file_conflict() {
-    let (mut world, base) = running(4, 2, 3);
-    world.apply(1, 2, &base, &dearer(&base));
+fn concurrent_changes_of_the_same_file_conflict() {
+    let (mut world, base) = start_fleet(4, 2, 3);
+    world.apply(1, 2, &base, &with_higher_price(&base));
     world.apply(2, 3, &base, &edit(&base, "20-classes.toml", &class("a", 3)));
     let outcomes = [world.outcome(1), world.outcome(2)];
     let won = outcomes
         .iter()
-        .filter(|outcome| accepted(outcome) == Some((2, 0)))
+        .filter(|outcome| accepted_version(outcome) == Some((2, 0)))
         .count();
     let conflict = Outcome::Conflict(vec!["20-classes.toml".into()]);
     let lost = outcomes.iter().filter(|outcome| **outcome == conflict).count();
@@ -113,11 +113,11 @@
 }
 
 #[test]
-fn a_change_that_is_no_configuration_together_with_others_is_refused() {
-    let (mut world, base) = running(2, 1, 4);
+fn a_change_that_is_invalid_after_the_merge_is_refused() {
+    let (mut world, base) = start_fleet(2, 1, 4);
     let price = "[[price]]\nzone = \"zone-0\"\nclass = \"a\"\nreclaimable = 1\n";
     world.apply(0, 2, &base, &edit(&base, "20-classes.toml", &class("c", 1)));
-    assert_eq!(accepted(&world.outcome(0)), Some((2, 0)));
+    assert_eq!(accepted_version(&world.outcome(0)), Some((2, 0)));
     world.apply(1, 3, &base, &edit(&base, "30-price.toml", price));
     let Outcome::Invalid(reason) = world.outcome(1) else {
         panic!("class `a` is gone")
@@ -128,36 +128,45 @@
     );
 }
 
-/// Half of the answers to writes are lost after they took effect: to the proposing, staging and accepting ones alike.
-/// The operator sees each change accepted once; the proposer finds its own id in the rows it reads back.
+/// Half of the responses to writes that propose, stage and accept are lost after the write took effect. Each change must
+/// still be accepted exactly once: the proposer finds its own identifier in the rows that it reads.
 #[test]
-fn lost_answers_are_settled_by_reading_back() {
+fn lost_responses_are_resolved_by_reading() {
     for seed in 0..20 {
-        let (mut world, mut base) = running(3, 2, seed);
+        let (mut world, mut base) = start_fleet(3, 2, seed);
         world.faults.lost_answers = 0.5;
         for change in 0..3 {
             let next = edit(&base, "20-classes.toml", &class("a", 2 + change));
             world.apply(change as usize, 10 + u128::from(change), &base, &next);
             let outcome = world.outcome(change as usize);
-            assert_eq!(accepted(&outcome), Some((2 + u64::from(change), 0)), "seed {seed}");
+            assert_eq!(
+                accepted_version(&outcome),
+                Some((2 + u64::from(change), 0)),
+                "seed {seed}"
+            );
             base = next;
         }
         assert_eq!(world.table.partition(record::VERSIONS).count(), 4, "seed {seed}");
-        world.assert_only_upwards();
+        world.assert_versions_increase();
     }
 }
 
-/// A zone is cut off from the platform and the other zones before a change. The operator gets "accepted" with that
-/// zone named; the other zones have it in force in time. The zone serves its last version, and after healing moves up.
+/// A zone that is cut off from the platform and the other zones before a change must not block its acceptance. The
+/// operator gets the name of the zone, and the other zones have the change in force in time. The zone serves its last
+/// version until it is reconnected.
 #[test]
-fn a_zone_cut_off_before_a_proposal_holds_nobody_up() {
-    let (mut world, base) = running(4, 2, 5);
-    cut(&mut world, 2);
+fn a_zone_cut_off_before_a_proposal_does_not_block_it() {
+    let (mut world, base) = start_fleet(4, 2, 5);
+    isolate(&mut world, 2);
     let start = world.now;
-    world.apply(0, 2, &base, &dearer(&base));
+    world.apply(0, 2, &base, &with_higher_price(&base));
     let outcome = world.outcome(0);
-    assert_eq!(accepted(&outcome), Some((2, 1)));
-    assert!(world.now.since(start) < IN_FORCE, "{:?}", world.now.since(start));
+    assert_eq!(accepted_version(&outcome), Some((2, 1)));
+    assert!(
+        world.now.since(start) < IN_FORCE_TIMEOUT,
+        "{:?}",
+        world.now.since(start)
+    );
     let [(_, row)] = world.table.partition(record::VERSIONS).skip(1).collect::<Vec<_>>()[..] else {
         panic!("two versions")
     };
@@ -166,77 +175,76 @@
     let versions: Vec<_> = (0..8).map(|node| world.in_force(node)).collect();
     assert_eq!(versions, [2, 2, 1, 2, 2, 2, 1, 2]);
     heal(&mut world);
-    assert_follows(&mut world, 2);
+    assert_in_force_everywhere(&mut world, 2);
 }
 
-/// A zone is cut off after it staged a proposal and before the acceptance. Acceptance does not wait for it. The zone
-/// holds the content, does not know of the acceptance, and serves its last version; healed, it switches without
-/// fetching anything.
+/// A zone that is cut off after it staged a proposal must not block the acceptance. It holds the content but does not
+/// know of the acceptance, so it serves its last version. Once reconnected, it switches without fetching the content.
 #[test]
 fn a_zone_cut_off_between_staging_and_acceptance_neither_blocks_nor_reverts() {
-    let (mut world, base) = running(4, 2, 6);
-    let next = dearer(&base);
+    let (mut world, base) = start_fleet(4, 2, 6);
+    let next = with_higher_price(&base);
     world.apply(0, 2, &base, &next);
-    let end = world.now + IN_FORCE;
+    let end = world.now + IN_FORCE_TIMEOUT;
     let staged = |world: &World| {
         let row = world.table.get(&record::stage_key(&"zone-2".into()));
         let stage = row.map(|row| record::decode::<Stage>(&row).unwrap());
         stage.is_some_and(|stage| stage.proposal.revision.digest == next.digest() && stage.progress == Progress::Staged)
     };
     assert!(world.run_until(end, staged));
-    cut(&mut world, 2);
+    isolate(&mut world, 2);
     let outcome = world.outcome(0);
-    assert_eq!(accepted(&outcome), Some((2, 0)));
+    assert_eq!(accepted_version(&outcome), Some((2, 0)));
     world.run(Duration::from_hours(1));
     assert_eq!((world.in_force(2), world.in_force(6), world.in_force(0)), (1, 1, 2));
     heal(&mut world);
-    assert_follows(&mut world, 2);
+    assert_in_force_everywhere(&mut world, 2);
 }
 
-/// A zone reaches the other zones and not the platform. It can't stage, so acceptance passes it over after its row
-/// has lapsed; it hears of the acceptance from its peers and switches as the others do.
+/// A zone reaches the other zones but not the platform, so it cannot stage. It is passed over once its row has not
+/// changed for the zone timeout, receives the acceptance from its peers and switches like the others.
 #[test]
 fn a_zone_cut_off_from_the_platform_alone_follows_its_peers() {
-    let (mut world, base) = running(4, 2, 7);
-    world.faults.off_platform.insert(1);
-    world.apply(0, 2, &base, &dearer(&base));
-    assert_eq!(accepted(&world.outcome(0)), Some((2, 1)));
-    assert_follows(&mut world, 2);
+    let (mut world, base) = start_fleet(4, 2, 7);
+    world.faults.cut_from_platform.insert(1);
+    world.apply(0, 2, &base, &with_higher_price(&base));
+    assert_eq!(accepted_version(&world.outcome(0)), Some((2, 1)));
+    assert_in_force_everywhere(&mut world, 2);
 }
 
-/// The platform is down and every entry of a zone is replaced. The fresh entries know nothing and learn the version
-/// in force, content and all, from entries of other zones.
+/// All entries of a zone are replaced while the platform is down. The new entries must get the version in force and its
+/// content from entries of other zones.
 #[test]
 fn fresh_entries_learn_from_peers_while_the_platform_is_down() {
-    let (mut world, _) = running(3, 2, 8);
+    let (mut world, _) = start_fleet(3, 2, 8);
     world.faults.platform_down = true;
     for node in [1, 4] {
         world.start(node);
     }
-    assert!(!world.everywhere(1));
-    assert_follows(&mut world, 1);
+    assert!(!world.in_force_everywhere(1));
+    assert_in_force_everywhere(&mut world, 1);
 }
 
-/// The platform holds a newer version than the only peers a fresh entry reaches, which are cut off from it. The entry
-/// may begin with either, and ends with the newer one.
+/// The platform holds a newer version than the only peers that a new entry reaches. The entry may begin with either
+/// version and must end with the newer one.
 #[test]
 fn a_fresh_entry_takes_the_highest_of_platform_and_peers() {
-    let (mut world, base) = running(2, 2, 9);
-    cut(&mut world, 1);
-    world.apply(0, 2, &base, &dearer(&base));
-    assert_eq!(accepted(&world.outcome(0)), Some((2, 1)));
-    world.faults.off_platform.clear();
+    let (mut world, base) = start_fleet(2, 2, 9);
+    isolate(&mut world, 1);
+    world.apply(0, 2, &base, &with_higher_price(&base));
+    assert_eq!(accepted_version(&world.outcome(0)), Some((2, 1)));
+    world.faults.cut_from_platform.clear();
     world.start(3);
-    let end = world.now + IN_FORCE;
+    let end = world.now + IN_FORCE_TIMEOUT;
     assert!(world.run_until(end, |world| world.in_force(3) == 2));
-    world.assert_only_upwards();
+    world.assert_versions_increase();
 }
 
-/// The entries of one zone run a release without the adapter that a change names. They refuse to stage it, and the
-/// operator is told which zone and why; nothing changes anywhere, and the next change goes through at once.
+/// The entries of one zone run a release without the adapter that a change requires. They refuse to stage it, and the
+/// operator gets the zone and the reason. The change must not take effect, and the next one is accepted at once.
 #[test]
-fn a_zone_of_an_older_release_refuses_what_it_cannot_use() {
-    let (mut world, base) = running(3, 2, 12);
+fn a_zone_of_an_older_release_refuses_an_unknown_adapter() {
+    let (mut world, base) = start_fleet(3, 2, 12);
     world.adapters = Some(vec!["http"]);
     for node in [2, 5] {
         world.start(node);
@@ -251,71 +259,71 @@
         reason.contains("30-more.toml:4: service.adapter: there is no adapter `new`"),
         "{reason}"
     );
-    world.apply(0, 3, &base, &dearer(&base));
-    assert_eq!(accepted(&world.outcome(0)), Some((2, 0)));
-    assert_follows(&mut world, 2);
+    world.apply(0, 3, &base, &with_higher_price(&base));
+    assert_eq!(accepted_version(&world.outcome(0)), Some((2, 0)));
+    assert_in_force_everywhere(&mut world, 2);
 }
 
-/// The entry that carries a change dies with its proposal in the head. Another operator's change waits until that
-/// proposal has stood still for the stated time, replaces it and is accepted. The dead one's content never is.
+/// A proposer dies with its proposal in the head. Another operator's change waits for the takeover timeout, replaces the
+/// proposal and is accepted. The content of the dead proposer must never be accepted.
 #[test]
 fn a_dead_proposer_is_replaced() {
-    let (mut world, base) = running(2, 2, 10);
-    cut(&mut world, 1);
-    world.apply(0, 2, &base, &dearer(&base));
+    let (mut world, base) = start_fleet(2, 2, 10);
+    isolate(&mut world, 1);
+    world.apply(0, 2, &base, &with_higher_price(&base));
     let proposed = |world: &World| {
         let view = record::View::read(world.table.get(&record::head_key()).as_ref()).unwrap();
         view.head.proposed.is_some()
     };
-    let end = world.now + IN_FORCE;
+    let end = world.now + IN_FORCE_TIMEOUT;
     assert!(world.run_until(end, proposed));
     world.kill(0);
     heal(&mut world);
     world.apply(1, 3, &base, &edit(&base, "30-more.toml", &class("b", 3)));
-    assert_eq!(accepted(&world.outcome(1)), Some((2, 0)));
+    assert_eq!(accepted_version(&world.outcome(1)), Some((2, 0)));
     let content = edit(&base, "30-more.toml", &class("b", 3));
     let row = world.table.get(&record::version_key(record::Version::new(2))).unwrap();
     assert_eq!(
         record::decode::<Record>(&row).unwrap().revision.digest,
         content.digest()
     );
-    assert_follows(&mut world, 2);
+    assert_in_force_everywhere(&mut world, 2);
 }
 
-/// The platform goes down for good in the middle of a change. The operator is told either that nothing was proposed,
-/// or that the history has to be asked; never "accepted".
+/// The platform goes down permanently during a change. The proposer must finish with an outcome, and the outcome must
+/// not be that the change was accepted.
 #[test]
 fn an_operator_is_not_left_waiting_when_the_platform_goes_down() {
     for delay in [0, 5, 10, 20, 40, 80] {
-        let (mut world, base) = running(2, 2, 11);
-        world.apply(0, 2, &base, &dearer(&base));
+        let (mut world, base) = start_fleet(2, 2, 11);
+        world.apply(0, 2, &base, &with_higher_price(&base));
         world.run(Duration::from_millis(delay));
         world.faults.platform_down = true;
         if world.nodes[0].outcomes.len() > 1 {
             continue;
         }
         let outcome = world.outcome(0);
-        assert!(accepted(&outcome).is_none(), "after {delay} ms: {outcome:?}");
+        assert!(accepted_version(&outcome).is_none(), "after {delay} ms: {outcome:?}");
     }
 }
 
-/// Messages between entries are lost, late and cut, answers of the platform are lost, entries die and come back, zones
-/// are cut off and heal, while operators apply changes. No entry ever goes back, no version has two contents, every
-/// change that was called accepted is in the history, and after healing all entries agree.
+/// Operators apply changes while messages and responses are lost or late, entries restart and zones are cut off. No
+/// entry may switch to a lower version, no version may have two contents, every change reported as accepted must be in
+/// the history, and all entries must agree once the faults end.
 #[test]
 fn nothing_reverts_under_random_faults() {
     use rand::RngExt;
     use rand::SeedableRng;
 
     for seed in 0..30 {
-        let (mut world, mut base) = running(4, 2, 100 + seed);
+        let (mut world, mut base) = start_fleet(4, 2, 100 + seed);
         let mut rng = rand_pcg::Pcg64Mcg::seed_from_u64(seed);
-        let mut told = 1;
+        let mut accepted_count = 1;
         for change in 0..12_u32 {
             world.faults.loss = rng.random_range(0.0..0.4);
             world.faults.lost_answers = rng.random_range(0.0..0.3);
             let zone = rng.random_range(0..4);
-            world.faults.off_platform = if rng.random_bool(0.3) {
+            world.faults.cut_from_platform = if rng.random_bool(0.3) {
                 BTreeSet::from([zone])
             } else {
                 BTreeSet::new()
@@ -333,9 +341,9 @@
             let next = edit(&base, &format!("{change}.toml"), &class(&format!("c{change}"), 1));
             world.apply(node, 10 + u128::from(change), &base, &next);
             let outcome = world.outcome(node);
-            if let Some((version, _)) = accepted(&outcome) {
-                told += 1;
-                assert_eq!(version, told, "seed {seed}");
+            if let Some((version, _)) = accepted_version(&outcome) {
+                accepted_count += 1;
+                assert_eq!(version, accepted_count, "seed {seed}");
                 base = next;
             } else {
                 assert!(
@@ -346,7 +354,7 @@
                     break;
                 }
             }
-            world.assert_only_upwards();
+            world.assert_versions_increase();
         }
         world.faults = support::world::Faults::default();
         let history: Vec<_> = world
@@ -354,10 +362,10 @@
             .partition(record::VERSIONS)
             .map(|(_, row)| record::decode::<Record>(row).unwrap())
             .collect();
-        assert!(history.len() as u64 >= told, "seed {seed}");
+        assert!(history.len() as u64 >= accepted_count, "seed {seed}");
         let end = world.now + Duration::from_mins(1);
         assert!(
-            world.run_until(end, |world| world.everywhere(history.len() as u64)),
+            world.run_until(end, |world| world.in_force_everywhere(history.len() as u64)),
             "seed {seed}"
         );
         for node in &world.nodes {
--- a/bergamotshift-config/tests/cost.rs
+++ b/bergamotshift-config/tests/cost.rs
@@ -1,4 +1,4 @@
-//! How soon a change is in force, and what following costs the platform, in virtual time.
+//! Tests of the time until a change is in force and of the number of calls to the platform, in virtual time.
 
 mod support;
 
@@ -19,30 +19,30 @@
 use support::folder;
 use support::world::World;
 
-/// How soon a change is in force everywhere, at most.
-const IN_FORCE: Duration = Duration::from_secs(7);
+/// Maximum time until a change is in force everywhere.
+const IN_FORCE_TIMEOUT: Duration = Duration::from_secs(7);
 
-/// 430 changes a day, in an hour.
+/// Changes per hour: 430 per day.
 const CHANGES_PER_HOUR: u64 = 18;
 
-/// A fleet and what it may cost.
+/// Fleet and the limits on its cost.
 struct Fleet {
     zones: usize,
-    each: usize,
+    entries_per_zone: usize,
     loss: f64,
-    /// The longest way between two entries.
-    way: Duration,
-    /// Rows read by an entry in an hour, on average, at most.
+    /// Maximum delay of a message between two entries.
+    max_delay: Duration,
+    /// Maximum average number of rows read by an entry per hour.
     reads: u64,
-    /// Rows written by an entry in an hour, on average, at most.
+    /// Maximum average number of rows written by an entry per hour.
     writes: u64,
-    /// The longest time from the acceptance until all entries have a change in force, at most.
+    /// Maximum time from the acceptance until a change is in force at all entries.
     in_force: Duration,
 }
 
-/// What was counted.
+/// Measured cost: calls per entry and hour, and the longest times of a change.
 #[derive(Debug)]
-struct Count {
+struct Cost {
     reads: u64,
     writes: u64,
     fetches: u64,
@@ -50,14 +50,14 @@
     in_force: Duration,
 }
 
-/// Runs a fleet for a third of an hour with 6 changes: 430 a day are 17.9 an hour.
-fn measure(fleet: &Fleet) -> Count {
+/// Runs a fleet for a third of an hour with 6 changes; 430 changes per day are 17.9 per hour.
+fn measure(fleet: &Fleet) -> Cost {
     const SPANS_PER_HOUR: u64 = 3;
     const CHANGES: u32 = (CHANGES_PER_HOUR / SPANS_PER_HOUR) as u32;
-    const APART: Duration = Duration::from_secs(200);
-    let mut world = World::new(fleet.zones, fleet.each, 7);
+    const CHANGE_INTERVAL: Duration = Duration::from_secs(200);
+    let mut world = World::new(fleet.zones, fleet.entries_per_zone, 7);
     world.faults.loss = fleet.loss;
-    world.faults.longest = fleet.way;
+    world.faults.max_delay = fleet.max_delay;
     let zones: Vec<_> = (0..fleet.zones).map(World::zone).collect();
     let zones: Vec<_> = zones.iter().map(String::as_str).collect();
     let mut base = Manifest::default();
@@ -66,22 +66,24 @@
     let before = world.calls();
     let (mut staging, mut in_force) = (Duration::ZERO, Duration::ZERO);
     for change in 1..=CHANGES {
-        let start = world.now;
+        let started_at = world.now;
         let node = change as usize % world.nodes.len();
         world.apply(node, change.into(), &base, &next);
         let outcome = world.outcome(node);
         assert!(matches!(outcome, Outcome::Accepted { .. }), "{outcome:?}");
-        let accepted = world.now;
-        staging = staging.max(accepted.since(start));
-        assert!(world.run_until(accepted + IN_FORCE, |world| world.everywhere(change.into())));
-        in_force = in_force.max(world.now.since(accepted));
-        world.run(APART.saturating_sub(world.now.since(start)));
+        let accepted_at = world.now;
+        staging = staging.max(accepted_at.since(started_at));
+        assert!(world.run_until(accepted_at + IN_FORCE_TIMEOUT, |world| {
+            world.in_force_everywhere(change.into())
+        }));
+        in_force = in_force.max(world.now.since(accepted_at));
+        world.run(CHANGE_INTERVAL.saturating_sub(world.now.since(started_at)));
         (base, next) = (next.clone(), edit(&next, "20-classes.toml", &class("a", change + 1)));
     }
     let after = world.calls();
     let entries = world.nodes.len() as u64;
     let per_hour = |after: u64, before: u64| (after - before) * SPANS_PER_HOUR / entries;
-    Count {
+    Cost {
         reads: per_hour(after.0, before.0),
         writes: per_hour(after.1, before.1),
         fetches: per_hour(after.2, before.2),
@@ -90,24 +92,24 @@
     }
 }
 
-fn check(fleet: &Fleet) {
-    let count = measure(fleet);
-    let entries = fleet.zones * fleet.each;
-    println!("{entries} entries, {} of messages lost: {count:?}", fleet.loss);
-    assert!(count.reads <= fleet.reads, "{count:?}");
-    assert!(count.writes <= fleet.writes, "{count:?}");
-    assert!(count.fetches <= CHANGES_PER_HOUR, "{count:?}");
-    assert!(count.in_force <= fleet.in_force, "{count:?}");
-    assert!(count.staging + count.in_force <= IN_FORCE, "{count:?}");
+fn assert_cost(fleet: &Fleet) {
+    let cost = measure(fleet);
+    let entries = fleet.zones * fleet.entries_per_zone;
+    println!("{entries} entries, {} of messages lost: {cost:?}", fleet.loss);
+    assert!(cost.reads <= fleet.reads, "{cost:?}");
+    assert!(cost.writes <= fleet.writes, "{cost:?}");
+    assert!(cost.fetches <= CHANGES_PER_HOUR, "{cost:?}");
+    assert!(cost.in_force <= fleet.in_force, "{cost:?}");
+    assert!(cost.staging + cost.in_force <= IN_FORCE_TIMEOUT, "{cost:?}");
 }
 
 #[test]
 fn eight_entries() {
-    check(&Fleet {
+    assert_cost(&Fleet {
         zones: 4,
-        each: 2,
+        entries_per_zone: 2,
         loss: 0.05,
-        way: Duration::from_millis(3),
+        max_delay: Duration::from_millis(3),
         reads: 3_700,
         writes: 35,
         in_force: Duration::from_secs(2),
@@ -116,34 +118,34 @@
 
 #[test]
 fn three_hundred_and_ninety_entries() {
-    check(&Fleet {
+    assert_cost(&Fleet {
         zones: 10,
-        each: 39,
+        entries_per_zone: 39,
         loss: 0.05,
-        way: Duration::from_millis(80),
+        max_delay: Duration::from_millis(80),
         reads: 310,
         writes: 2,
         in_force: Duration::from_secs(2),
     });
 }
 
-/// No message between entries arrives at all. Every zone follows by its own reads of the platform; entries that read
-/// seldom would be late, so the two of a small zone both read often.
+/// All messages between entries are lost, so every entry depends on its own reads of the platform. Entries that read
+/// rarely would be late; in a zone of two, both entries are pollers.
 #[test]
 fn eight_entries_without_any_gossip() {
-    check(&Fleet {
+    assert_cost(&Fleet {
         zones: 4,
-        each: 2,
+        entries_per_zone: 2,
         loss: 1.0,
-        way: Duration::from_millis(3),
+        max_delay: Duration::from_millis(3),
         reads: 3_700,
         writes: 35,
         in_force: Duration::from_secs(2),
     });
 }
 
-/// The platform is down for a quarter of an hour. The entries that read often slow down, and all are spread out, so
-/// that the platform's first seconds bring it no more reads than any other second.
+/// The platform is down for a quarter of an hour. If all entries read again at the same moment, they would overload it
+/// when it recovers. Pollers back off and reads have jitter, so the first seconds bring no peak of reads.
 #[test]
 fn the_platform_is_not_stampeded_when_it_comes_back() {
     let mut world = World::new(10, 39, 7);
--- a/bergamotshift-config/tests/explore.rs
+++ b/bergamotshift-config/tests/explore.rs
@@ -1,4 +1,4 @@
-//! Every order of events of the acceptance protocol, within stated bounds.
+//! Exhaustive exploration of the acceptance protocol: every order of events within given bounds.
 
 mod support;
 
@@ -13,32 +13,32 @@
 use support::model::State;
 use xxhash_rust::xxh3::Xxh3;
 
-/// What an exploration found.
+/// Result of an exploration.
 #[derive(Debug, Default)]
-struct Found {
+struct Exploration {
     states: usize,
     depth: usize,
-    /// How often each combination of what the operators were told was reached.
+    /// Number of states in which each combination of outcomes of the operators was reached.
     outcomes: BTreeMap<String, usize>,
-    /// The first broken rule.
-    broken: Option<Rule>,
+    /// First rule that was violated.
+    violation: Option<Rule>,
 }
 
-/// Visits every state that can be reached, nearest first, and stops at the first broken rule.
-fn explore(bounds: &Bounds) -> Found {
+/// Visits every reachable state in breadth-first order and stops at the first violated rule.
+fn explore(bounds: &Bounds) -> Exploration {
     let first = State::first(bounds);
     let mut seen = HashSet::from([digest(&first)]);
-    let mut found = Found::default();
+    let mut exploration = Exploration::default();
     let mut level = vec![first];
     while !level.is_empty() {
         let mut next_level = Vec::new();
         for state in level {
-            found.states += 1;
-            let told: Vec<_> = state.outcomes().map(|outcome| outcome.map(name)).collect();
-            if told.iter().all(Option::is_some) {
-                *found
+            exploration.states += 1;
+            let outcomes: Vec<_> = state.outcomes().map(|outcome| outcome.map(variant_name)).collect();
+            if outcomes.iter().all(Option::is_some) {
+                *exploration
                     .outcomes
-                    .entry(told.into_iter().flatten().collect::<Vec<_>>().join(" "))
+                    .entry(outcomes.into_iter().flatten().collect::<Vec<_>>().join(" "))
                     .or_default() += 1;
             }
             for next in state.next(bounds) {
@@ -46,19 +46,19 @@
                     Ok(next) if seen.insert(digest(&next)) => next_level.push(next),
                     Ok(_) => {}
                     Err(broken) => {
-                        found.broken = Some(broken);
-                        return found;
+                        exploration.violation = Some(broken);
+                        return exploration;
                     }
                 }
             }
         }
-        found.depth += usize::from(!next_level.is_empty());
+        exploration.depth += usize::from(!next_level.is_empty());
         level = next_level;
     }
-    found
+    exploration
 }
 
-/// Returns 128 bits of a state: two of a million states share them with a chance of one in 10^26.
+/// Returns a 128-bit hash of a state. The probability of a collision among a million states is about 1 in 10^26.
 fn digest(state: &State) -> u128 {
     struct Wide(Xxh3);
 
@@ -77,49 +77,52 @@
     hasher.0.digest128()
 }
 
-/// Returns an outcome's name without its fields.
-fn name(outcome: &impl core::fmt::Debug) -> String {
+/// Returns the variant name of an outcome without its fields.
+fn variant_name(outcome: &impl core::fmt::Debug) -> String {
     let text = format!("{outcome:?}");
     text.split([' ', '(', '{']).next().unwrap_or_default().to_owned()
 }
 
-const BARE: Bounds = Bounds {
+const NO_ZONES: Bounds = Bounds {
     operators: 2,
     zones: 0,
     same_file: false,
     gossip: false,
     steps: 0,
     lost: 0,
-    late: 0,
+    delayed: 0,
     cuts: 0,
     restarts: 0,
     defect: None,
     only: None,
 };
 
-const ZONED: Bounds = Bounds { zones: 2, ..BARE };
+const TWO_ZONES: Bounds = Bounds { zones: 2, ..NO_ZONES };
 
-/// Asserts that no rule is broken, and how much was visited: a smaller number would mean that less is checked.
+/// Asserts that no rule is violated, and the numbers of states and steps: smaller numbers would mean a weaker check.
 fn assert_holds(bounds: &Bounds, states: usize, depth: usize, reached: &[&str]) {
-    let found = explore(bounds);
-    println!("{bounds:?}: {found:?}");
-    assert_eq!(found.broken, None);
-    assert_eq!((found.states, found.depth), (states, depth));
+    let exploration = explore(bounds);
+    println!("{bounds:?}: {exploration:?}");
+    assert_eq!(exploration.violation, None);
+    assert_eq!((exploration.states, exploration.depth), (states, depth));
     for outcome in reached {
-        assert!(found.outcomes.contains_key(*outcome), "{outcome} was never reached");
+        assert!(
+            exploration.outcomes.contains_key(*outcome),
+            "{outcome} was never reached"
+        );
     }
 }
 
-/// Two operators change the same file. Either may pause at any point and be taken for dead, lose one answer, and have
-/// one write take effect long after it gave up. Each is told the truth, and no version has two contents.
+/// Two operators change the same file. Either may pause at any point and be considered dead, lose one response, and have
+/// one write take effect long after it gave up. Each must get the true outcome, and no version may have two contents.
 #[test]
-fn two_operators_with_one_file_and_lost_and_late_writes() {
+fn two_operators_with_one_file_and_lost_and_delayed_writes() {
     let bounds = Bounds {
         same_file: true,
         steps: 2,
         lost: 1,
-        late: 1,
-        ..BARE
+        delayed: 1,
+        ..NO_ZONES
     };
     assert_holds(
         &bounds,
@@ -129,14 +132,14 @@
     );
 }
 
-/// The same with different files, and two lost answers: both may be accepted, one after the other.
+/// Two operators change different files, and two responses are lost. Both changes may be accepted, one after the other.
 #[test]
-fn two_operators_with_two_files_and_lost_and_late_writes() {
+fn two_operators_with_two_files_and_lost_and_delayed_writes() {
     let bounds = Bounds {
         steps: 2,
         lost: 2,
-        late: 1,
-        ..BARE
+        delayed: 1,
+        ..NO_ZONES
     };
     assert_holds(
         &bounds,
@@ -146,69 +149,69 @@
     );
 }
 
-/// Two operators change the same file while two zones stage, and one answer is lost.
+/// Two operators change the same file while two zones stage, and one response is lost.
 #[test]
-fn two_operators_two_zones_and_a_lost_answer() {
+fn two_operators_two_zones_and_a_lost_response() {
     let bounds = Bounds {
         same_file: true,
         lost: 1,
-        ..ZONED
+        ..TWO_ZONES
     };
     assert_holds(&bounds, 14_212, 23, &["Accepted Conflict", "Conflict Accepted"]);
 }
 
-/// Two operators change the same file; the last zone is cut off at any point, its entry is replaced at any point, and
-/// it may heal at any point.
+/// Two operators change the same file. The last zone is cut off at any point, its entry is replaced at any point, and it
+/// may be reconnected at any point.
 #[test]
 fn two_operators_two_zones_a_cut_and_a_restart() {
     let bounds = Bounds {
         same_file: true,
         cuts: 1,
         restarts: 1,
-        ..ZONED
+        ..TWO_ZONES
     };
     assert_holds(&bounds, 68_826, 25, &["Accepted Conflict", "Conflict Accepted"]);
 }
 
-/// One operator loses an answer, and a zone that says nothing for a step of the clock lapses and comes back.
+/// One operator loses a response. A zone that writes nothing for a step of the clock times out and comes back.
 #[test]
-fn a_lapsing_zone_and_a_lost_answer() {
+fn a_zone_that_times_out_and_a_lost_response() {
     let bounds = Bounds {
         operators: 1,
         steps: 1,
         lost: 1,
-        ..ZONED
+        ..TWO_ZONES
     };
     assert_holds(&bounds, 24_455, 27, &["Accepted"]);
 }
 
-/// One operator's write takes effect after a zone has lapsed and come back.
+/// One operator's write takes effect after a zone has timed out and come back.
 #[test]
-fn a_lapsing_zone_and_a_late_write() {
+fn a_zone_that_times_out_and_a_delayed_write() {
     let bounds = Bounds {
         operators: 1,
         steps: 1,
-        late: 1,
-        ..ZONED
+        delayed: 1,
+        ..TWO_ZONES
     };
     assert_holds(&bounds, 43_998, 30, &["Accepted"]);
 }
 
-/// The last zone is cut off at any point, lapses, heals at any point, and hears from the other before or after it
-/// reads for itself.
+/// The last zone is cut off at any point, times out, is reconnected at any point, and receives an announcement from the
+/// other zone before or after its own read.
 #[test]
-fn a_cut_zone_that_lapses_heals_and_hears() {
+fn a_zone_that_is_cut_off_times_out_and_reconnects() {
     let bounds = Bounds {
         operators: 1,
         steps: 1,
         cuts: 1,
         gossip: true,
-        ..ZONED
+        ..TWO_ZONES
     };
     assert_holds(&bounds, 34_608, 29, &["Accepted"]);
 }
 
-/// Each rule is broken by a fault put into what the kernels write or read, so each can fail.
+/// Each rule is violated by a defect that is injected into the writes or reads, which shows that each check can fail.
 #[test]
 fn each_rule_can_fail() {
     let cases = [
@@ -218,7 +221,7 @@
             Bounds {
                 operators: 1,
                 steps: 1,
-                ..ZONED
+                ..TWO_ZONES
             },
         ),
         (
@@ -226,7 +229,7 @@
             Rule::HeadIsLast,
             Bounds {
                 same_file: true,
-                ..BARE
+                ..NO_ZONES
             },
         ),
         (
@@ -235,39 +238,46 @@
             Bounds {
                 same_file: true,
                 steps: 2,
-                ..BARE
+                ..NO_ZONES
             },
         ),
         (
             Defect::NoRecord,
-            Rule::Told,
+            Rule::TruthfulOutcome,
             Bounds {
                 operators: 1,
                 lost: 1,
-                ..BARE
+                ..NO_ZONES
             },
         ),
         (
-            Defect::Forgetful,
-            Rule::Upwards,
+            Defect::ForgetsVersion,
+            Rule::Monotonic,
             Bounds {
                 operators: 1,
                 restarts: 1,
-                ..ZONED
+                ..TWO_ZONES
+            },
+        ),
+        (
+            Defect::AppliesProposal,
+            Rule::Accepted,
+            Bounds {
+                operators: 1,
+                ..TWO_ZONES
             },
         ),
-        (Defect::Eager, Rule::Accepted, Bounds { operators: 1, ..ZONED }),
     ];
     for (defect, rule, bounds) in cases {
         let sound = Bounds {
             only: Some(rule),
             ..bounds
         };
-        assert_eq!(explore(&sound).broken, None, "{rule:?} without a defect");
+        assert_eq!(explore(&sound).violation, None, "{rule:?} without a defect");
         let broken = Bounds {
             defect: Some(defect),
             ..sound
         };
-        assert_eq!(explore(&broken).broken, Some(rule), "{defect:?}");
+        assert_eq!(explore(&broken).violation, Some(rule), "{defect:?}");
     }
 }
--- a/bergamotshift-config/tests/folder.rs
+++ b/bergamotshift-config/tests/folder.rs
@@ -1,4 +1,4 @@
-//! Folders that are refused, with file, line, key and hint; and folders that are taken.
+//! Tests of the parsing and validation of folders, and of the problems that are reported.
 
 use std::path::Path;
 
@@ -32,7 +32,7 @@
 models = ["planner"]
 "#;
 
-/// Returns the problems of the base folder with one more file.
+/// Returns the problems of the base folder with one additional file.
 fn problems(text: &str) -> Vec<String> {
     let files = [("00-base.toml", BASE), ("50-more.toml", text)];
     match folder::parse(&files) {
@@ -42,7 +42,7 @@
     }
 }
 
-/// Asserts that each text gives one problem that starts as expected.
+/// Asserts that each text results in one problem that starts with the expected text.
 fn assert_refused(cases: &[(&str, &str)]) {
     for (text, expected) in cases {
         let found = problems(text);
@@ -164,7 +164,7 @@
 }
 
 #[test]
-fn all_problems_of_all_files_are_told_at_once() {
+fn all_problems_of_all_files_are_reported_together() {
     let files = [
         ("a.toml", "[[zone]]\nnam = 'x'\n"),
         ("b.toml", "x = "),
@@ -178,7 +178,7 @@
 }
 
 #[test]
-fn an_emptied_folder_takes_nothing_away() {
+fn an_empty_folder_is_refused() {
     assert!(matches!(folder::parse::<&str, &str>(&[]), Err(Error::Empty)));
 }
 
@@ -197,7 +197,7 @@
 }
 
 #[test]
-fn prices_of_a_zone_go_before_the_classes_own() {
+fn prices_of_a_zone_override_those_of_the_class() {
     let more = "[[price]]\nzone = \"amsterdam-hall\"\nclass = \"small\"\nreclaimable = 0.03\n";
     let config = folder::parse(&[("a.toml", BASE), ("b.toml", more)]).unwrap();
     let (zone, class) = ("amsterdam-hall".into(), "small".into());
@@ -211,8 +211,8 @@
     );
 }
 
-/// A caller spells the path of a non-repeatable rule in another way, and the endpoint normalises it. Were the request
-/// then repeatable by default, a retry could run it twice. It falls to "not repeatable" and asks for a key instead.
+/// A caller writes the path of a non-repeatable rule in another form, which the endpoint normalises. If such a request
+/// was repeatable by default, a retry could run it twice. It must count as not repeatable and require a key.
 #[test]
 fn another_spelling_of_a_path_makes_nothing_repeatable() {
     let rules = r#"
@@ -244,7 +244,7 @@
 }
 
 #[test]
-fn a_service_answers_at_segment_borders_and_for_its_hosts() {
+fn a_service_matches_whole_path_segments_and_its_hosts() {
     let more = "[[service]]\nname = \"hosted\"\nkind = \"plain\"\nadapter = \"http\"\nhosts = [\"Apps.example\"]\n";
     let config = folder::parse(&[("a.toml", BASE), ("b.toml", more)]).unwrap();
     for (host, path, expected) in [
@@ -260,16 +260,16 @@
     }
 }
 
-fn example(name: &str) -> Vec<(String, String)> {
+fn read_example(name: &str) -> Vec<(String, String)> {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../examples").join(name);
     let files = folder::read(&path).unwrap();
     files.into_iter().map(|(name, text)| (name.to_string(), text)).collect()
 }
 
 #[test]
-fn a_written_configuration_reads_back_as_itself() {
+fn a_formatted_configuration_parses_to_the_same_value() {
     for name in ["oranjehal", "mapa-limpio"] {
-        let config = folder::parse(&example(name)).unwrap();
+        let config = folder::parse(&read_example(name)).unwrap();
         let text = config.to_string();
         assert_eq!(folder::parse(&[("all.toml", text)]).unwrap(), config);
     }
@@ -281,18 +281,18 @@
         folder::parse(&[("a.toml", text)]).map_or(true, |config| config == Config::default())
     }
 
-    fn damaged_examples_are_judged_without_a_panic(cuts: Vec<(usize, u8, u8)>) -> bool {
-        let mut files = example("oranjehal");
+    fn damaged_examples_do_not_panic(cuts: Vec<(usize, u8, u8)>) -> bool {
+        let mut files = read_example("oranjehal");
         for (at, byte, kind) in cuts {
-            let place = at % files.len();
-            let mut bytes = files[place].1.clone().into_bytes();
+            let index = at % files.len();
+            let mut bytes = files[index].1.clone().into_bytes();
             let at = at % bytes.len().max(1);
             match kind % 3 {
                 0 if at < bytes.len() => bytes[at] = byte,
                 1 => bytes.insert(at, byte),
                 _ => bytes.truncate(at),
             }
-            files[place].1 = String::from_utf8_lossy(&bytes).into_owned();
+            files[index].1 = String::from_utf8_lossy(&bytes).into_owned();
         }
         match folder::parse(&files) {
             Err(Error::Invalid(problems)) => problems.iter().all(|problem| problem.line > 0 && !problem.to_string().is_empty()),
--- a/bergamotshift-config/tests/manifest.rs
+++ b/bergamotshift-config/tests/manifest.rs
@@ -1,4 +1,4 @@
-//! Two operators' edits meet, and differences are told.
+//! Tests of manifests, merges and diffs.
 
 use bergamotshift_config::diff::Diff;
 use bergamotshift_config::folder;
@@ -30,14 +30,14 @@
 }
 
 #[test]
-fn the_same_edit_by_both_is_no_conflict() {
+fn identical_edits_do_not_conflict() {
     let base = manifest(&[("a", "1")]);
     let edit = manifest(&[("a", "2"), ("b", "1")]);
     assert_eq!(Manifest::merge(&base, &edit, &edit).unwrap(), edit);
 }
 
 #[test]
-fn a_digest_tells_names_from_names() {
+fn a_digest_depends_on_names_and_not_on_their_order() {
     assert_ne!(
         manifest(&[("ab", "1")]).digest(),
         manifest(&[("a", "1"), ("b", "1")]).digest()
@@ -48,10 +48,10 @@
     );
 }
 
-/// A peer or the platform sends a text that is not the one listed. Taken as it is, a process would run another
-/// configuration than the accepted one. Texts are found by their own digest, so the file counts as missing.
+/// A peer or the platform sends a text that differs from the listed one. If it was used, a process would run another
+/// configuration than the accepted one. Texts are looked up by their own digest, so the file counts as missing.
 #[test]
-fn a_wrong_text_never_takes_the_place_of_the_listed_one() {
+fn a_text_with_another_digest_counts_as_missing() {
     let listing = manifest(&[("a", "1"), ("b", "2")]).listing().clone();
     assert_eq!(
         Manifest::assemble(&listing, ["1".into(), "other".into()]),
@@ -65,15 +65,15 @@
 
 #[test]
 fn only_changed_texts_are_fetched() {
-    let held = manifest(&[("a", "1"), ("b", "1x")]);
+    let known = manifest(&[("a", "1"), ("b", "1x")]);
     let next = manifest(&[("a", "1"), ("b", "2"), ("c", "3")]);
-    let missing = next.listing().missing(&held);
+    let missing = next.listing().missing(&known);
     assert_eq!(missing.len(), 2);
-    assert!(Listing::default().missing(&held).is_empty());
+    assert!(Listing::default().missing(&known).is_empty());
 }
 
 #[test]
-fn a_difference_is_told_item_by_item() {
+fn a_diff_lists_changes_by_item() {
     let old = "[[zone]]\nname = 'a'\nregion = 'r'\n[[zone]]\nname = 'b'\nregion = 'r'\n";
     let new = "[[zone]]\nname = 'a'\nregion = 's'\n[[zone]]\nname = 'c'\nregion = 'r'\n";
     let [old, new] = [old, new].map(|text| folder::parse(&[("z.toml", text)]).unwrap());
@@ -83,7 +83,7 @@
 }
 
 quickcheck! {
-    fn a_merge_is_the_same_for_both_operators(base: Vec<(u8, u8)>, ours: Vec<(u8, u8)>, theirs: Vec<(u8, u8)>) -> bool {
+    fn a_merge_is_commutative(base: Vec<(u8, u8)>, ours: Vec<(u8, u8)>, theirs: Vec<(u8, u8)>) -> bool {
         let [base, ours, theirs] = [base, ours, theirs].map(|files| {
             let files: Vec<_> = files.iter().map(|(name, text)| ((name % 4).to_string(), (text % 3).to_string())).collect();
             Manifest::new(&files).unwrap()
--- a/bergamotshift-config/tests/page.rs
+++ b/bergamotshift-config/tests/page.rs
@@ -1,4 +1,4 @@
-//! The page of all keys says what the types say, in both directions.
+//! Tests that the documentation page lists exactly the keys of the configuration types.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -13,7 +13,7 @@
 use serde::de::Visitor;
 use serde::de::value::Error;
 
-/// Hears from a type's own `Deserialize` which fields it has.
+/// Deserializer that records the fields which a type's `Deserialize` implementation requests.
 struct Fields<'a>(&'a mut &'static [&'static str]);
 
 impl<'de> Deserializer<'de> for Fields<'_> {
@@ -30,7 +30,7 @@
         _: V,
     ) -> Result<V::Value, Error> {
         *self.0 = fields;
-        Err(Error::custom("the fields are known now"))
+        Err(Error::custom("the fields are recorded"))
     }
 
     serde::forward_to_deserialize_any! {
@@ -39,7 +39,7 @@
     }
 }
 
-/// Returns the keys of a section as its type has them.
+/// Returns the keys of a section, taken from its type.
 fn keys<'de, T: Deserialize<'de>>() -> BTreeSet<String> {
     let mut fields: &[&str] = &[];
     let result = T::deserialize(Fields(&mut fields));
@@ -50,7 +50,7 @@
     fields.iter().map(ToString::to_string).collect()
 }
 
-fn types() -> BTreeMap<String, BTreeSet<String>> {
+fn keys_of_types() -> BTreeMap<String, BTreeSet<String>> {
     let types = [
         ("zone", keys::<config::Zone>()),
         ("class", keys::<config::Class>()),
@@ -66,13 +66,13 @@
     types.into_iter().map(|(name, keys)| (name.to_owned(), keys)).collect()
 }
 
-fn page() -> String {
+fn read_page() -> String {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../docs/CONFIGURATION.md");
     fs::read_to_string(path).unwrap()
 }
 
-/// Returns the keys in the tables of each section of a page.
-fn documented(page: &str) -> BTreeMap<String, BTreeSet<String>> {
+/// Returns the keys in the tables of a page, by section.
+fn documented_keys(page: &str) -> BTreeMap<String, BTreeSet<String>> {
     let mut sections = BTreeMap::new();
     let mut section = None;
     for line in page.lines() {
@@ -84,11 +84,11 @@
             section = name;
         } else if let (Some(section), Some(row)) = (&section, line.strip_prefix("| `")) {
             let key = row.split('`').next().unwrap_or_default().to_owned();
-            let new = sections
+            let is_new = sections
                 .entry(section.clone())
                 .or_insert_with(BTreeSet::new)
                 .insert(key);
-            assert!(new, "{section} lists a key twice: {line}");
+            assert!(is_new, "{section} lists a key twice: {line}");
         }
     }
     sections
@@ -96,7 +96,7 @@
 
 #[test]
 fn the_page_has_every_key_and_no_other() {
-    assert_eq!(documented(&page()), types());
+    assert_eq!(documented_keys(&read_page()), keys_of_types());
 }
 
 #[test]
@@ -104,7 +104,7 @@
     let error = folder::parse(&[("a.toml", "nonsense = 1")]).unwrap_err().to_string();
     let known = error.split_once("expected one of ").expect("the sections are listed").1;
     let known: BTreeSet<_> = known.split('`').skip(1).step_by(2).collect();
-    let types = types();
+    let types = keys_of_types();
     let documented: BTreeSet<_> = types
         .keys()
         .map(String::as_str)
@@ -115,7 +115,7 @@
 
 #[test]
 fn the_example_on_the_page_is_a_folder() {
-    let page = page();
+    let page = read_page();
     let example = page
         .split("```toml\n")
         .nth(1)
@@ -125,12 +125,12 @@
     assert_eq!(config.endpoints.len(), 1);
 }
 
-/// A key that the page forgets, and one that it makes up, are both found.
+/// The comparison detects a key that is missing on the page and a key that exists only there.
 #[test]
 fn the_comparison_can_fail() {
-    let page = page();
+    let page = read_page();
     let forgotten = page.replace("| `region` |", "| region |");
-    assert_ne!(documented(&forgotten), types());
+    assert_ne!(documented_keys(&forgotten), keys_of_types());
     let made_up = page.replace("| `region` |", "| `colour` | none |\n| `region` |");
-    assert_ne!(documented(&made_up), types());
+    assert_ne!(documented_keys(&made_up), keys_of_types());
 }
--- a/bergamotshift-config/tests/support/model/bounds.rs
+++ b/bergamotshift-config/tests/support/model/bounds.rs
@@ -1,4 +1,4 @@
-//! How far an exploration goes, what it checks, and the faults that show a check able to fail.
+//! Bounds of an exploration, the rules that it checks, and defects that show that each check can fail.
 
 use bergamotshift_config::accept::Head;
 use bergamotshift_config::accept::record;
@@ -7,74 +7,74 @@
 use bergamotshift_core::table::Row;
 use bergamotshift_core::table::Write;
 
-/// A fault put into the kernels' writes or reads, to show that a property can fail.
+/// Defect that is injected into the writes or reads of the state machines, to show that a rule can fail.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Defect {
-    /// The accepting transaction does not check the zones' rows.
+    /// The accepting transaction does not check the stage rows of the zones.
     NoZoneChecks,
-    /// Writes of the head take no notice of its version.
+    /// Writes of the head have no condition on its version.
     NoHeadCondition,
-    /// The accepting transaction has no conditions at all.
+    /// The accepting transaction has no conditions.
     NoAcceptConditions,
-    /// The proposer never sees the record of the version it sent.
+    /// The proposer never reads the record of the version that it sent.
     NoRecord,
-    /// An entry forgets the version in force and goes on.
-    Forgetful,
-    /// An entry takes what is proposed for accepted.
-    Eager,
+    /// An entry forgets the version in force when it restarts, although its configuration stays in force.
+    ForgetsVersion,
+    /// An entry treats the proposal as the accepted version.
+    AppliesProposal,
 }
 
-/// What has to hold in every state.
+/// Rule that must hold in every state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Rule {
-    /// An entry only ever moves to a higher version.
-    Upwards,
-    /// What is accepted was staged in each live zone: one whose row moved within the lapse.
+    /// An entry switches only to a higher version.
+    Monotonic,
+    /// An accepted version was staged in each live zone, that is, each whose row changed within the zone timeout.
     Staged,
-    /// A version once accepted keeps its content.
+    /// The content of an accepted version never changes.
     OneContent,
-    /// The head holds the last accepted version.
+    /// The head contains the last accepted version.
     HeadIsLast,
-    /// What is in force was accepted.
+    /// Every version in force was accepted.
     Accepted,
-    /// What an operator is told is true, and no change is accepted twice.
-    Told,
+    /// The outcome that an operator gets is true, and no change is accepted twice.
+    TruthfulOutcome,
 }
 
-/// How much of what may happen, happens.
+/// Bounds of an exploration: the participants, and how many steps and faults of each kind may occur.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Bounds {
     pub operators: usize,
-    /// How many zones there are: none, or both.
+    /// Number of zones: none or both.
     pub zones: usize,
     /// Whether both operators change the same file.
     pub same_file: bool,
-    /// Whether entries tell each other what they know.
+    /// Whether entries exchange announcements.
     pub gossip: bool,
     pub steps: u8,
     pub lost: u8,
-    pub late: u8,
+    pub delayed: u8,
     pub cuts: u8,
     pub restarts: u8,
     pub defect: Option<Defect>,
-    /// The only rule to be checked; missing means all.
+    /// The only rule to check; `None` checks all.
     pub only: Option<Rule>,
 }
 
 impl Bounds {
     pub(super) fn check(&self, rule: Rule, holds: bool) -> Result<(), Rule> {
-        let counts = self.only.is_none_or(|only| only == rule);
-        if holds || !counts { Ok(()) } else { Err(rule) }
+        let is_checked = self.only.is_none_or(|only| only == rule);
+        if holds || !is_checked { Ok(()) } else { Err(rule) }
     }
 }
 
-/// Puts the defect into a proposer's writes.
+/// Injects the defect into the writes of a proposer.
 pub(super) fn break_writes(writes: &mut Vec<Write>, defect: Option<Defect>) {
-    let accepts = writes.len() > 1;
+    let is_accepting = writes.len() > 1;
     match defect {
         Some(Defect::NoZoneChecks) => writes.retain(|write| write.change != Change::Check),
-        Some(Defect::NoHeadCondition) if !accepts => writes[0].condition = Condition::Any,
-        Some(Defect::NoAcceptConditions) if accepts => {
+        Some(Defect::NoHeadCondition) if !is_accepting => writes[0].condition = Condition::Any,
+        Some(Defect::NoAcceptConditions) if is_accepting => {
             writes.truncate(2);
             for write in writes {
                 write.condition = Condition::Any;
@@ -84,8 +84,8 @@
     }
 }
 
-/// Puts the eager entry's defect into what it reads.
-pub(super) fn take_proposed_for_accepted(rows: &mut [Option<Row>]) {
+/// Injects [`Defect::AppliesProposal`] into the rows that an entry reads.
+pub(super) fn mark_proposal_as_accepted(rows: &mut [Option<Row>]) {
     let Some(Some(row)) = rows.first_mut() else { return };
     let mut head: Head = record::decode(row).expect("the head is JSON");
     head.accepted = head.proposed.map(|proposal| proposal.revision).or(head.accepted);
--- a/bergamotshift-config/tests/support/model/mod.rs
+++ b/bergamotshift-config/tests/support/model/mod.rs
@@ -1,4 +1,4 @@
-//! The acceptance protocol's kernels with every order of what may happen to them.
+//! Model of the acceptance protocol that enumerates every order of events of its state machines.
 
 use core::hash::Hash;
 use core::time::Duration;
@@ -35,17 +35,18 @@
 pub use bounds::Defect;
 pub use bounds::Rule;
 use bounds::break_writes;
-use bounds::take_proposed_for_accepted;
+use bounds::mark_proposal_as_accepted;
 
-/// The zones, with one entry each.
+/// Zones, with one entry each.
 pub const ZONES: [&str; 2] = ["zone-0", "zone-1"];
 
-/// How far one step of the clock goes.
+/// Duration of one step of the clock.
 const STEP: Duration = Duration::from_secs(1);
 
-/// A call to the platform under way.
+/// Call to the platform that is in flight.
 ///
-/// A read of several rows is no snapshot: the head is read last, when the other rows may be out of date already.
+/// A read of several rows is no snapshot: each step reads one more row, in the order of the keys, and the rows that were
+/// read before may have changed by then.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Call {
     Read(Vec<Key>, Vec<Option<Row>>),
@@ -55,7 +56,7 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Operator {
-    /// Missing when it is done.
+    /// State machine of the operator; `None` once it has finished.
     proposer: Option<Proposer>,
     call: Option<Call>,
     outcome: Option<Outcome>,
@@ -68,7 +69,7 @@
     in_force: Option<Revision>,
 }
 
-/// Everything at one moment.
+/// State of the whole model.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct State {
     now: Instant,
@@ -76,49 +77,51 @@
     objects: Arc<BTreeMap<Digest, Manifest>>,
     operators: Vec<Operator>,
     entries: Vec<Entry>,
-    /// A write whose sender was told nothing and which may still take effect.
-    late_write: Option<Vec<Write>>,
-    /// Whether the last zone reaches neither the platform nor the other zone.
-    cut: bool,
-    /// When each zone's row last moved, and when the head's proposal was put there.
-    moved: [Instant; 2],
-    proposed: Instant,
-    left: [u8; 5],
+    /// Write whose sender got no response, and which may still take effect.
+    delayed_write: Option<Vec<Write>>,
+    /// Whether the last zone is cut off from the platform and the other zone.
+    is_cut: bool,
+    /// Time at which the stage row of each zone last changed.
+    stage_changed_at: [Instant; 2],
+    /// Time at which the proposal was written into the head.
+    proposed_at: Instant,
+    /// Number of steps and faults of each kind that may still occur.
+    remaining: [u8; 5],
 }
 
-/// Places in `State::left`.
+// Indexes into `State::remaining`.
 const STEPS: usize = 0;
 const LOST: usize = 1;
-const LATE: usize = 2;
+const DELAYED: usize = 2;
 const CUTS: usize = 3;
 const RESTARTS: usize = 4;
 
-/// What may happen next.
+/// Step from one state to the next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Step {
     Clock,
-    OperatorCall(usize, Fate),
+    OperatorCall(usize, Delivery),
     EntryCall(usize, usize),
-    Hear { from: usize, to: usize },
+    Announce { from: usize, to: usize },
     Restart(usize),
     Cut,
     Heal,
-    LateWrite,
+    DelayedWrite,
 }
 
-/// What becomes of a call.
+/// Delivery of a call and its response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Fate {
-    Served,
-    /// It took effect and its answer was lost.
-    Unanswered,
-    /// It was lost on its way.
-    Lost,
-    /// Its sender gave up; it may still take effect.
-    Late,
+enum Delivery {
+    Answered,
+    /// The call took effect, but its response was lost.
+    ResponseLost,
+    /// The call was lost.
+    RequestLost,
+    /// The sender gave up, but the call may still take effect.
+    Delayed,
 }
 
-/// The spans of time in the model: reads are as frequent as wanted, the rest is counted in steps of the clock.
+/// Returns the timing of the model: reads may happen at any time, other durations are multiples of a clock step.
 fn timing() -> Timing {
     Timing {
         poll_interval: Duration::ZERO,
@@ -145,11 +148,11 @@
 }
 
 impl State {
-    /// Returns every state that may come next, or what rule the step to it broke.
+    /// Returns the state after each possible step, or the rule that the step violates.
     pub fn next(&self, bounds: &Bounds) -> impl Iterator<Item = Result<Self, Rule>> {
         self.steps(bounds).into_iter().map(move |step| {
             let mut next = self.clone();
-            next.take(step, bounds)?;
+            next.apply(step, bounds)?;
             next.check(self, bounds)?;
             Ok(next)
         })
@@ -157,107 +160,114 @@
 
     fn steps(&self, bounds: &Bounds) -> Vec<Step> {
         let mut steps = Vec::new();
-        if self.left[STEPS] > 0 {
+        if self.remaining[STEPS] > 0 {
             steps.push(Step::Clock);
         }
-        for (place, operator) in self.operators.iter().enumerate() {
+        for (index, operator) in self.operators.iter().enumerate() {
             if let Some(call) = &operator.call {
-                steps.extend(self.fates(call).map(|fate| Step::OperatorCall(place, fate)));
+                steps.extend(
+                    self.deliveries(call)
+                        .map(|delivery| Step::OperatorCall(index, delivery)),
+                );
             }
         }
-        for (place, entry) in self.entries.iter().enumerate() {
-            let away = self.cut && place == ZONES.len() - 1;
-            let calls = if away { 0 } else { entry.calls.len() };
-            steps.extend((0..calls).map(|call| Step::EntryCall(place, call)));
-            let other = 1 - place;
-            if bounds.gossip && !self.cut && entry.member.view().row > self.entries[other].member.view().row {
-                steps.push(Step::Hear { from: place, to: other });
+        for (index, entry) in self.entries.iter().enumerate() {
+            let is_unreachable = self.is_cut && index == ZONES.len() - 1;
+            let calls = if is_unreachable { 0 } else { entry.calls.len() };
+            steps.extend((0..calls).map(|call| Step::EntryCall(index, call)));
+            let other = 1 - index;
+            if bounds.gossip && !self.is_cut && entry.member.view().row > self.entries[other].member.view().row {
+                steps.push(Step::Announce { from: index, to: other });
             }
-            if place == ZONES.len() - 1 && self.left[RESTARTS] > 0 {
-                steps.push(Step::Restart(place));
+            if index == ZONES.len() - 1 && self.remaining[RESTARTS] > 0 {
+                steps.push(Step::Restart(index));
             }
         }
-        if !self.cut && self.left[CUTS] > 0 {
+        if !self.is_cut && self.remaining[CUTS] > 0 {
             steps.push(Step::Cut);
         }
-        if self.cut {
+        if self.is_cut {
             steps.push(Step::Heal);
         }
-        if self.late_write.is_some() {
-            steps.push(Step::LateWrite);
+        if self.delayed_write.is_some() {
+            steps.push(Step::DelayedWrite);
         }
         steps
     }
 
-    fn fates(&self, call: &Call) -> impl Iterator<Item = Fate> + use<> {
-        let write = matches!(call, Call::Write(_));
-        let lost = write && self.left[LOST] > 0;
-        let late = write && self.left[LATE] > 0;
-        let fates = [
-            (true, Fate::Served),
-            (lost, Fate::Unanswered),
-            (lost, Fate::Lost),
-            (late, Fate::Late),
+    fn deliveries(&self, call: &Call) -> impl Iterator<Item = Delivery> + use<> {
+        let is_write = matches!(call, Call::Write(_));
+        let may_be_lost = is_write && self.remaining[LOST] > 0;
+        let may_be_delayed = is_write && self.remaining[DELAYED] > 0;
+        let deliveries = [
+            (true, Delivery::Answered),
+            (may_be_lost, Delivery::ResponseLost),
+            (may_be_lost, Delivery::RequestLost),
+            (may_be_delayed, Delivery::Delayed),
         ];
-        fates.into_iter().filter(|(may, _)| *may).map(|(_, fate)| fate)
+        deliveries
+            .into_iter()
+            .filter(|(possible, _)| *possible)
+            .map(|(_, delivery)| delivery)
     }
 
-    fn take(&mut self, step: Step, bounds: &Bounds) -> Result<(), Rule> {
+    fn apply(&mut self, step: Step, bounds: &Bounds) -> Result<(), Rule> {
         match step {
             Step::Clock => {
-                self.left[STEPS] -= 1;
+                self.remaining[STEPS] -= 1;
                 self.now = self.now + STEP;
-                (0..self.entries.len()).try_for_each(|entry| self.tell_entry(entry, member::Event::Tick, bounds))?;
+                (0..self.entries.len()).try_for_each(|entry| self.step_entry(entry, member::Event::Tick, bounds))?;
                 (0..self.operators.len())
-                    .try_for_each(|operator| self.tell_operator(operator, proposer::Event::Tick, bounds))
+                    .try_for_each(|operator| self.step_operator(operator, proposer::Event::Tick, bounds))
             }
-            Step::OperatorCall(place, fate) => self.serve_operator(place, fate, bounds),
-            Step::EntryCall(place, call) => self.serve_entry(place, call, bounds),
-            Step::Hear { from, to } => {
+            Step::OperatorCall(index, delivery) => self.serve_operator(index, delivery, bounds),
+            Step::EntryCall(index, call) => self.serve_entry(index, call, bounds),
+            Step::Announce { from, to } => {
                 let announcement = self.entries[from].member.announcement();
                 let from = name::Entry::new(from.to_string());
-                self.tell_entry(to, member::Event::Announced { from, announcement }, bounds)
+                self.step_entry(to, member::Event::Announced { from, announcement }, bounds)
             }
-            Step::Restart(place) => {
-                self.left[RESTARTS] -= 1;
-                let member = self.fresh(place);
-                let entry = &mut self.entries[place];
+            Step::Restart(index) => {
+                self.remaining[RESTARTS] -= 1;
+                let member = self.new_member(index);
+                let entry = &mut self.entries[index];
                 entry.member = member;
                 entry.calls.clear();
-                if bounds.defect != Some(Defect::Forgetful) {
+                if bounds.defect != Some(Defect::ForgetsVersion) {
                     entry.in_force = None;
                 }
-                self.tell_entry(place, member::Event::Tick, bounds)
+                self.step_entry(index, member::Event::Tick, bounds)
             }
             Step::Cut => {
-                self.left[CUTS] -= 1;
-                self.cut = true;
+                self.remaining[CUTS] -= 1;
+                self.is_cut = true;
                 Ok(())
             }
             Step::Heal => {
-                self.cut = false;
+                self.is_cut = false;
                 Ok(())
             }
-            Step::LateWrite => {
-                let writes = self.late_write.take().unwrap_or_default();
+            Step::DelayedWrite => {
+                let writes = self.delayed_write.take().unwrap_or_default();
                 self.transact(&writes, bounds).map(|_| ())
             }
         }
     }
 
-    /// Gives an operator an event, and answers at once what depends on nobody else: time, stores and fetches.
-    fn tell_operator(&mut self, place: usize, event: proposer::Event, bounds: &Bounds) -> Result<(), Rule> {
-        let Some(mut proposer) = self.operators[place].proposer.take() else {
+    /// Passes an event to an operator, and answers at once what does not depend on other participants: ticks, stores and
+    /// fetches.
+    fn step_operator(&mut self, index: usize, event: proposer::Event, bounds: &Bounds) -> Result<(), Rule> {
+        let Some(mut proposer) = self.operators[index].proposer.take() else {
             return Ok(());
         };
         let mut events = vec![event];
-        let mut told = None;
+        let mut published = None;
         let mut outcome = None;
         while let Some(event) = events.pop() {
             for action in proposer.handle(self.now, event) {
                 match action {
-                    proposer::Action::Read(keys) => self.operators[place].call = Some(Call::Read(keys, Vec::new())),
-                    proposer::Action::Write(writes) => self.operators[place].call = Some(Call::Write(writes)),
+                    proposer::Action::Read(keys) => self.operators[index].call = Some(Call::Read(keys, Vec::new())),
+                    proposer::Action::Write(writes) => self.operators[index].call = Some(Call::Write(writes)),
                     proposer::Action::Fetch(digest) => {
                         events.push(proposer::Event::Fetched(self.objects[&digest].clone()));
                     }
@@ -265,7 +275,7 @@
                         Arc::make_mut(&mut self.objects).insert(content.digest(), content);
                         events.push(proposer::Event::Stored);
                     }
-                    proposer::Action::Publish(view) => told = Some(view),
+                    proposer::Action::Publish(view) => published = Some(view),
                     proposer::Action::Finish(end) => outcome = Some(end),
                 }
             }
@@ -273,21 +283,21 @@
                 events.push(proposer::Event::Tick);
             }
         }
-        self.operators[place].proposer = outcome.is_none().then_some(proposer);
-        self.operators[place].outcome = outcome;
-        // Both operators use the first zone's entry.
-        told.map_or(Ok(()), |view: View| {
-            self.tell_entry(0, member::Event::Published(view), bounds)
+        self.operators[index].proposer = outcome.is_none().then_some(proposer);
+        self.operators[index].outcome = outcome;
+        // Both operators use the entry of the first zone.
+        published.map_or(Ok(()), |view: View| {
+            self.step_entry(0, member::Event::Published(view), bounds)
         })
     }
 
-    fn tell_entry(&mut self, place: usize, event: member::Event, bounds: &Bounds) -> Result<(), Rule> {
+    fn step_entry(&mut self, index: usize, event: member::Event, bounds: &Bounds) -> Result<(), Rule> {
         const REPEATS: usize = 3;
-        let Some(entry) = self.entries.get_mut(place) else {
+        let Some(entry) = self.entries.get_mut(index) else {
             return Ok(());
         };
         let mut actions = entry.member.handle(self.now, event, &mut rng());
-        // Repeated announcements change nothing here: what is known may be heard at any time.
+        // Repeated announcements need not be modelled, because an announcement may be received in any state.
         for _ in 0..REPEATS {
             actions.extend(entry.member.handle(self.now, member::Event::Tick, &mut rng()));
         }
@@ -296,15 +306,15 @@
             match action {
                 member::Action::Read(keys) => entry.calls.push(Call::Read(keys, Vec::new())),
                 member::Action::Write(writes) => entry.calls.push(Call::Write(writes)),
-                member::Action::Fetch { digest, .. } if place == 0 => fetched.push(self.objects[&digest].clone()),
+                member::Action::Fetch { digest, .. } if index == 0 => fetched.push(self.objects[&digest].clone()),
                 member::Action::Fetch { digest, .. } => entry.calls.push(Call::Fetch(digest)),
                 member::Action::Announce(_) | member::Action::Reply { .. } => {}
                 member::Action::Switch { revision, .. } => {
-                    let upwards = entry.in_force.is_none_or(|before| before.version < revision.version);
-                    bounds.check(Rule::Upwards, upwards)?;
+                    let is_higher = entry.in_force.is_none_or(|before| before.version < revision.version);
+                    bounds.check(Rule::Monotonic, is_higher)?;
                     entry.in_force = Some(revision);
                 }
-                member::Action::Reject { reason, .. } => panic!("the model's folders are valid: {reason}"),
+                member::Action::Reject { reason, .. } => panic!("a folder of the model was rejected: {reason}"),
             }
         }
         entry.calls.sort_unstable_by_key(|call| match call {
@@ -312,22 +322,22 @@
             Call::Write(_) => 1,
             Call::Fetch(_) => 2,
         });
-        // The first zone's entry has content as soon as it wants it; the last zone's may wait for it for long.
+        // The entry of the first zone gets content at once; that of the last zone may wait for it for any time.
         fetched
             .into_iter()
-            .try_for_each(|content| self.tell_entry(place, member::Event::Fetched(content), bounds))
+            .try_for_each(|content| self.step_entry(index, member::Event::Fetched(content), bounds))
     }
 
-    fn serve_operator(&mut self, place: usize, fate: Fate, bounds: &Bounds) -> Result<(), Rule> {
-        let Some(mut call) = self.operators[place].call.take() else {
+    fn serve_operator(&mut self, index: usize, delivery: Delivery, bounds: &Bounds) -> Result<(), Rule> {
+        let Some(mut call) = self.operators[index].call.take() else {
             return Ok(());
         };
         if let Call::Write(writes) = &mut call {
             break_writes(writes, bounds.defect);
         }
-        let event = match self.serve(call, fate, bounds)? {
+        let event = match self.serve(call, delivery, bounds)? {
             Reply::More(call) => {
-                self.operators[place].call = Some(call);
+                self.operators[index].call = Some(call);
                 return Ok(());
             }
             Reply::Rows(keys, mut rows) => {
@@ -345,31 +355,31 @@
             Reply::Ended(ending) => proposer::Event::Ended(ending),
             Reply::Content(_) => return Ok(()),
         };
-        self.tell_operator(place, event, bounds)
+        self.step_operator(index, event, bounds)
     }
 
-    fn serve_entry(&mut self, place: usize, call: usize, bounds: &Bounds) -> Result<(), Rule> {
-        let call = self.entries[place].calls.remove(call);
-        let reply = match self.serve(call, Fate::Served, bounds)? {
-            // An entry's two rows have nothing to do with each other, so it makes no difference when each is read.
-            Reply::More(call) => self.serve(call, Fate::Served, bounds)?,
+    fn serve_entry(&mut self, index: usize, call: usize, bounds: &Bounds) -> Result<(), Rule> {
+        let call = self.entries[index].calls.remove(call);
+        let reply = match self.serve(call, Delivery::Answered, bounds)? {
+            // The two rows that an entry reads are independent, so it makes no difference when each is read.
+            Reply::More(call) => self.serve(call, Delivery::Answered, bounds)?,
             reply => reply,
         };
         let event = match reply {
             Reply::More(_) => return Ok(()),
             Reply::Rows(_, mut rows) => {
-                if bounds.defect == Some(Defect::Eager) {
-                    take_proposed_for_accepted(&mut rows);
+                if bounds.defect == Some(Defect::AppliesProposal) {
+                    mark_proposal_as_accepted(&mut rows);
                 }
                 member::Event::Rows(rows)
             }
             Reply::Ended(ending) => member::Event::Ended(ending),
             Reply::Content(content) => member::Event::Fetched(content),
         };
-        self.tell_entry(place, event, bounds)
+        self.step_entry(index, event, bounds)
     }
 
-    fn serve(&mut self, call: Call, fate: Fate, bounds: &Bounds) -> Result<Reply, Rule> {
+    fn serve(&mut self, call: Call, delivery: Delivery, bounds: &Bounds) -> Result<Reply, Rule> {
         Ok(match call {
             Call::Read(keys, mut rows) => {
                 rows.push(self.table.get(&keys[rows.len()]));
@@ -379,20 +389,20 @@
                     Reply::Rows(keys, rows)
                 }
             }
-            Call::Write(writes) => Reply::Ended(match fate {
-                Fate::Served => self.transact(&writes, bounds)?,
-                Fate::Unanswered => {
-                    self.left[LOST] -= 1;
+            Call::Write(writes) => Reply::Ended(match delivery {
+                Delivery::Answered => self.transact(&writes, bounds)?,
+                Delivery::ResponseLost => {
+                    self.remaining[LOST] -= 1;
                     self.transact(&writes, bounds)?;
                     Ending::Unknown
                 }
-                Fate::Lost => {
-                    self.left[LOST] -= 1;
+                Delivery::RequestLost => {
+                    self.remaining[LOST] -= 1;
                     Ending::Unknown
                 }
-                Fate::Late => {
-                    self.left[LATE] -= 1;
-                    self.late_write = Some(writes);
+                Delivery::Delayed => {
+                    self.remaining[DELAYED] -= 1;
+                    self.delayed_write = Some(writes);
                     Ending::Unknown
                 }
             }),
@@ -406,33 +416,33 @@
         if ending != Ending::Applied {
             return Ok(ending);
         }
-        for (zone, moved) in ZONES.iter().zip(&mut self.moved) {
+        for (zone, changed_at) in ZONES.iter().zip(&mut self.stage_changed_at) {
             let key = record::stage_key(&name::Zone::new(zone));
             if writes
                 .iter()
                 .any(|write| write.key == key && write.change != Change::Check)
             {
-                *moved = self.now;
+                *changed_at = self.now;
             }
         }
         if self.head().proposed.is_some_and(|proposed| Some(proposed) != before) {
-            self.proposed = self.now;
+            self.proposed_at = self.now;
         }
-        let accepts = writes.iter().any(|write| write.key.partition == record::VERSIONS);
-        if accepts {
+        let is_accepting = writes.iter().any(|write| write.key.partition == record::VERSIONS);
+        if is_accepting {
             self.check_staged(bounds).map(|()| ending)
         } else {
             Ok(ending)
         }
     }
 
-    /// Returns what each operator was told.
+    /// Returns the outcome of each operator, or `None` while its change is in progress.
     pub fn outcomes(&self) -> impl Iterator<Item = Option<&Outcome>> {
         self.operators.iter().map(|operator| operator.outcome.as_ref())
     }
 }
 
-/// The platform's answer.
+/// Reply of the platform.
 enum Reply {
     More(Call),
     Rows(Vec<Key>, Vec<Option<Row>>),
--- a/bergamotshift-config/tests/support/model/rules.rs
+++ b/bergamotshift-config/tests/support/model/rules.rs
@@ -1,4 +1,4 @@
-//! The rules that every state keeps.
+//! Checks of the rules.
 
 use bergamotshift_config::accept::Head;
 use bergamotshift_config::accept::View;
@@ -29,23 +29,23 @@
             .collect()
     }
 
-    /// Checks that what was just accepted is staged in each zone whose row moved within the lapse.
+    /// Checks that the version that was just accepted is staged in each zone whose row changed within the zone timeout.
     pub(super) fn check_staged(&self, bounds: &Bounds) -> Result<(), Rule> {
         let Some(revision) = self.head().accepted else {
             return Ok(());
         };
-        for (zone, moved) in ZONES.iter().zip(self.moved).take(bounds.zones) {
+        for (zone, changed_at) in ZONES.iter().zip(self.stage_changed_at).take(bounds.zones) {
             let row = self.table.get(&record::stage_key(&name::Zone::new(zone)));
             let stage: Option<Stage> = row.and_then(|row| record::decode(&row).ok());
             let staged =
                 stage.is_some_and(|stage| stage.proposal.revision == revision && stage.progress == Progress::Staged);
-            let lapsed = self.now.since(moved.max(self.proposed)) >= timing().zone_timeout;
-            bounds.check(Rule::Staged, staged || lapsed)?;
+            let timed_out = self.now.since(changed_at.max(self.proposed_at)) >= timing().zone_timeout;
+            bounds.check(Rule::Staged, staged || timed_out)?;
         }
         Ok(())
     }
 
-    /// Checks what must hold in every state, against the one before.
+    /// Checks the rules in a state, given the state before it.
     pub(super) fn check(&self, before: &Self, bounds: &Bounds) -> Result<(), Rule> {
         let (old, new) = (before.records(), self.records());
         bounds.check(Rule::OneContent, new.starts_with(&old))?;
@@ -54,14 +54,14 @@
         for revision in self.entries.iter().filter_map(|entry| entry.in_force) {
             bounds.check(Rule::Accepted, new.iter().any(|record| record.revision == revision))?;
         }
-        for (place, operator) in self.operators.iter().enumerate() {
-            let times = new.iter().filter(|record| record.id == Id::new(place as u128)).count();
-            let true_told = match &operator.outcome {
-                Some(Outcome::Accepted { .. }) => times == 1,
-                None | Some(Outcome::Unknown) => times <= 1,
-                Some(_) => times == 0,
+        for (index, operator) in self.operators.iter().enumerate() {
+            let count = new.iter().filter(|record| record.id == Id::new(index as u128)).count();
+            let is_truthful = match &operator.outcome {
+                Some(Outcome::Accepted { .. }) => count == 1,
+                None | Some(Outcome::Unknown) => count <= 1,
+                Some(_) => count == 0,
             };
-            bounds.check(Rule::Told, true_told)?;
+            bounds.check(Rule::TruthfulOutcome, is_truthful)?;
         }
         Ok(())
     }
--- a/bergamotshift-config/tests/support/model/start.rs
+++ b/bergamotshift-config/tests/support/model/start.rs
@@ -1,4 +1,4 @@
-//! Where an exploration starts.
+//! Initial state of an exploration.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -33,7 +33,7 @@
 use crate::support::table::Table;
 
 impl State {
-    /// Returns the state with version 1 accepted and nothing under way.
+    /// Returns the initial state: version 1 is accepted, and each operator and entry has made its first step.
     pub fn first(bounds: &Bounds) -> Self {
         let now = Instant::from_secs(100);
         let base = folder(&ZONES[..bounds.zones], "20-a.toml", &class("a", 1));
@@ -63,18 +63,18 @@
             put(record::version_key(revision.version), json(&record)),
         ];
         assert_eq!(table.transact(&rows), Ending::Applied);
-        let operators = (0..bounds.operators).map(|place| {
-            let (file, name) = if place == 0 || bounds.same_file {
+        let operators = (0..bounds.operators).map(|index| {
+            let (file, name) = if index == 0 || bounds.same_file {
                 ("20-a.toml", "a")
             } else {
                 ("30-b.toml", "b")
             };
             let request = Request {
-                id: Id::new(place as u128),
+                id: Id::new(index as u128),
                 author: "operator".into(),
                 at: 0,
                 base: base.clone(),
-                ours: edit(&base, file, &class(name, 2 + place as u32)),
+                ours: edit(&base, file, &class(name, 2 + index as u32)),
             };
             Operator {
                 proposer: Some(Proposer::new(request, timing(), now)),
@@ -89,31 +89,31 @@
             objects: Arc::new(BTreeMap::from([(base.digest(), base)])),
             operators,
             entries: Vec::new(),
-            late_write: None,
-            cut: false,
-            moved: [now; 2],
-            proposed: now,
-            left: [bounds.steps, bounds.lost, bounds.late, bounds.cuts, bounds.restarts],
+            delayed_write: None,
+            is_cut: false,
+            stage_changed_at: [now; 2],
+            proposed_at: now,
+            remaining: [bounds.steps, bounds.lost, bounds.delayed, bounds.cuts, bounds.restarts],
         };
-        for place in 0..bounds.operators {
+        for index in 0..bounds.operators {
             state
-                .tell_operator(place, proposer::Event::Tick, bounds)
-                .expect("it reads first");
+                .step_operator(index, proposer::Event::Tick, bounds)
+                .expect("the first step only reads");
         }
         for zone in 0..bounds.zones {
             state.entries.push(Entry {
-                member: state.fresh(zone),
+                member: state.new_member(zone),
                 calls: Vec::new(),
                 in_force: None,
             });
             state
-                .tell_entry(zone, member::Event::Tick, bounds)
-                .expect("nothing is in force yet");
+                .step_entry(zone, member::Event::Tick, bounds)
+                .expect("no version is in force yet");
         }
         state
     }
 
-    pub(super) fn fresh(&self, zone: usize) -> Member {
+    pub(super) fn new_member(&self, zone: usize) -> Member {
         let settings = member::Settings {
             zone: ZONES[zone].into(),
             timing: timing(),
--- a/bergamotshift-config/tests/support/platform.rs
+++ b/bergamotshift-config/tests/support/platform.rs
@@ -1,4 +1,4 @@
-//! Calls to the platform and their answers.
+//! Calls to the platform and their replies.
 
 use bergamotshift_config::accept::member;
 use bergamotshift_config::accept::proposer;
@@ -9,7 +9,7 @@
 use bergamotshift_core::table::Row;
 use bergamotshift_core::table::Write;
 
-/// A call to the platform.
+/// Call to the platform.
 #[derive(Clone, Debug)]
 pub enum Call {
     Read(Vec<Key>),
@@ -18,57 +18,57 @@
     Store(Manifest),
 }
 
-/// Who asked.
+/// State machine that made a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Asker {
+pub enum Caller {
     Member,
     Proposer,
 }
 
 impl Call {
-    /// Returns the answer when the call's own was lost.
+    /// Returns the reply to report if the call or its reply was lost.
     pub fn failure(&self) -> Reply {
         match self {
-            Self::Read(_) => Reply::Unread,
+            Self::Read(_) => Reply::ReadFailed,
             Self::Write(_) => Reply::Ended(Ending::Unknown),
-            Self::Fetch(_) => Reply::Failed,
-            Self::Store(_) => Reply::NotStored,
+            Self::Fetch(_) => Reply::FetchFailed,
+            Self::Store(_) => Reply::StoreFailed,
         }
     }
 }
 
-/// The platform's answer.
+/// Reply of the platform.
 #[derive(Debug)]
 pub enum Reply {
     Rows(Vec<Option<Row>>),
-    Unread,
+    ReadFailed,
     Ended(Ending),
     Content(Manifest),
-    Failed,
+    FetchFailed,
     Stored,
-    NotStored,
+    StoreFailed,
 }
 
 impl Reply {
     pub fn into_member(self) -> member::Event {
         match self {
             Self::Rows(rows) => member::Event::Rows(rows),
-            Self::Unread => member::Event::ReadFailed,
+            Self::ReadFailed => member::Event::ReadFailed,
             Self::Ended(ending) => member::Event::Ended(ending),
             Self::Content(content) => member::Event::Fetched(content),
-            Self::Failed | Self::Stored | Self::NotStored => member::Event::FetchFailed,
+            Self::FetchFailed | Self::Stored | Self::StoreFailed => member::Event::FetchFailed,
         }
     }
 
     pub fn into_proposer(self) -> proposer::Event {
         match self {
             Self::Rows(rows) => proposer::Event::Rows(rows),
-            Self::Unread => proposer::Event::ReadFailed,
+            Self::ReadFailed => proposer::Event::ReadFailed,
             Self::Ended(ending) => proposer::Event::Ended(ending),
             Self::Content(content) => proposer::Event::Fetched(content),
-            Self::Failed => proposer::Event::FetchFailed,
+            Self::FetchFailed => proposer::Event::FetchFailed,
             Self::Stored => proposer::Event::Stored,
-            Self::NotStored => proposer::Event::StoreFailed,
+            Self::StoreFailed => proposer::Event::StoreFailed,
         }
     }
 }
--- a/bergamotshift-config/tests/support/table.rs
+++ b/bergamotshift-config/tests/support/table.rs
@@ -1,4 +1,4 @@
-//! The platform's table, in memory.
+//! In-memory table of the platform.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -10,22 +10,24 @@
 use bergamotshift_core::table::Row;
 use bergamotshift_core::table::Write;
 
-/// Rows, and transactions over them.
+/// Table of rows with transactions.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Table {
     rows: Arc<BTreeMap<Key, Row>>,
 }
 
 impl Table {
-    /// Runs a transaction: all of it, or nothing.
+    /// Performs a transaction atomically.
     pub fn transact(&mut self, writes: &[Write]) -> Ending {
         let version = |key: &Key| self.rows.get(key).map(|row| row.version);
-        let fails = |write: &Write| match write.condition {
+        let conflicts_with = |write: &Write| match write.condition {
             Condition::Absent => version(&write.key).is_some(),
             Condition::Version(expected) => version(&write.key) != Some(expected),
             Condition::Any => false,
         };
-        let conflicts: Vec<_> = (0..writes.len()).filter(|place| fails(&writes[*place])).collect();
+        let conflicts: Vec<_> = (0..writes.len())
+            .filter(|index| conflicts_with(&writes[*index]))
+            .collect();
         if !conflicts.is_empty() {
             return Ending::Conflict(conflicts);
         }
@@ -51,7 +53,7 @@
         self.rows.get(key).cloned()
     }
 
-    /// Returns the rows of a partition, in order.
+    /// Returns the rows of a partition, ordered by key.
     pub fn partition<'a>(&'a self, partition: &'a str) -> impl Iterator<Item = (&'a Key, &'a Row)> {
         self.rows.iter().filter(move |(key, _)| key.partition == partition)
     }
--- a/bergamotshift-config/tests/support/world.rs
+++ b/bergamotshift-config/tests/support/world.rs
@@ -1,4 +1,4 @@
-//! Entries and proposers over a seeded faulty network and platform, in virtual time.
+//! Simulation of entries and proposers in virtual time, with a network and a platform whose faults are seeded.
 
 use core::time::Duration;
 use std::collections::BTreeMap;
@@ -20,25 +20,25 @@
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 
-use super::platform::Asker;
 use super::platform::Call;
+use super::platform::Caller;
 use super::platform::Reply;
 use super::table::Table;
 
-/// What goes wrong, and how long things take.
+/// Faults and delays.
 #[derive(Clone, Debug)]
 pub struct Faults {
-    /// The share of messages between entries that are lost.
+    /// Probability that a message between entries is lost.
     pub loss: f64,
-    /// The longest way between two entries.
-    pub longest: Duration,
-    /// The share of answers to writes that are lost after the write took effect.
+    /// Maximum delay of a message between two entries.
+    pub max_delay: Duration,
+    /// Probability that the response to a write is lost after the write took effect.
     pub lost_answers: f64,
     /// Whether the platform is down.
     pub platform_down: bool,
-    /// Zones that do not reach the platform.
-    pub off_platform: BTreeSet<usize>,
-    /// Zones that reach no other zone.
+    /// Zones that cannot reach the platform.
+    pub cut_from_platform: BTreeSet<usize>,
+    /// Zones that cannot reach any other zone.
     pub isolated: BTreeSet<usize>,
 }
 
@@ -46,20 +46,21 @@
     fn default() -> Self {
         Self {
             loss: 0.0,
-            longest: Duration::from_millis(3),
+            max_delay: Duration::from_millis(3),
             lost_answers: 0.0,
             platform_down: false,
-            off_platform: BTreeSet::new(),
+            cut_from_platform: BTreeSet::new(),
             isolated: BTreeSet::new(),
         }
     }
 }
 
-/// How long a platform call takes, and how long its caller waits for a lost one.
-const PLATFORM: Duration = Duration::from_millis(8);
+/// Duration of a call to the platform.
+const PLATFORM_ROUND_TRIP: Duration = Duration::from_millis(8);
+/// Timeout of a call that is lost.
 const TIMEOUT: Duration = Duration::from_secs(1);
 
-/// One entry.
+/// Simulated entry.
 #[derive(Debug)]
 pub struct Node {
     pub zone: usize,
@@ -68,23 +69,23 @@
     pub reads: u64,
     pub writes: u64,
     pub fetches: u64,
-    life: u64,
+    incarnation: u64,
     wake: Instant,
     proposer: Option<Proposer>,
     pub outcomes: Vec<(Instant, Outcome)>,
 }
 
-/// What happens at a moment.
+/// Scheduled event of an entry.
 #[derive(Clone, Debug)]
-enum Happening {
+enum Event {
     Wake,
-    Platform(Asker, Call),
+    Platform(Caller, Call),
     Member(member::Event),
     Proposer(proposer::Event),
-    Ask { from: usize, digest: Digest },
+    FetchRequest { from: usize, digest: Digest },
 }
 
-/// The fleet.
+/// Simulated fleet and platform.
 #[derive(Debug)]
 pub struct World {
     pub now: Instant,
@@ -92,17 +93,17 @@
     pub table: Table,
     pub nodes: Vec<Node>,
     pub timing: Timing,
-    /// The adapters that entries started from now on have; missing means any.
+    /// Adapters of the entries that are started from now on; `None` accepts any.
     pub adapters: Option<Vec<&'static str>>,
     objects: BTreeMap<Digest, Manifest>,
-    queue: BTreeMap<(Instant, u64), (usize, u64, Happening)>,
+    queue: BTreeMap<(Instant, u64), (usize, u64, Event)>,
     sequence: u64,
     rng: Pcg64Mcg,
 }
 
 impl World {
-    /// Starts `zones * each` entries.
-    pub fn new(zones: usize, each: usize, seed: u64) -> Self {
+    /// Creates a simulation and starts `zones * entries_per_zone` entries.
+    pub fn new(zones: usize, entries_per_zone: usize, seed: u64) -> Self {
         let mut world = Self {
             now: Instant::from_secs(1_000),
             faults: Faults::default(),
@@ -115,15 +116,15 @@
             sequence: 0,
             rng: Pcg64Mcg::seed_from_u64(seed),
         };
-        for place in 0..zones * each {
+        for index in 0..zones * entries_per_zone {
             world.nodes.push(Node {
-                zone: place % zones,
+                zone: index % zones,
                 member: None,
                 switches: Vec::new(),
                 reads: 0,
                 writes: 0,
                 fetches: 0,
-                life: 0,
+                incarnation: 0,
                 wake: Instant::MAX,
                 proposer: None,
                 outcomes: Vec::new(),
@@ -135,12 +136,12 @@
         world
     }
 
-    /// Returns a zone's name.
+    /// Returns the name of a zone.
     pub fn zone(zone: usize) -> String {
         format!("zone-{zone}")
     }
 
-    /// Starts or restarts an entry; it knows nothing.
+    /// Starts or restarts an entry without any state.
     pub fn start(&mut self, node: usize) {
         let settings = member::Settings {
             zone: name::Zone::new(Self::zone(self.nodes[node].zone)),
@@ -149,24 +150,24 @@
         };
         let member = Member::new(settings, self.now);
         let state = &mut self.nodes[node];
-        state.life += 1;
+        state.incarnation += 1;
         state.member = Some(member);
         state.proposer = None;
         state.wake = Instant::MAX;
         state.switches.clear();
-        self.rank(state_zone(&self.nodes, node));
+        self.update_ranks(zone_of(&self.nodes, node));
     }
 
-    /// Kills an entry; what it asked for may still happen.
+    /// Kills an entry. Its calls in flight may still take effect.
     pub fn kill(&mut self, node: usize) {
         let state = &mut self.nodes[node];
-        state.life += 1;
+        state.incarnation += 1;
         state.member = None;
         state.proposer = None;
-        self.rank(state_zone(&self.nodes, node));
+        self.update_ranks(zone_of(&self.nodes, node));
     }
 
-    /// Lets an entry carry a change.
+    /// Starts a proposer with a change at an entry.
     pub fn apply(&mut self, node: usize, id: u128, base: &Manifest, ours: &Manifest) {
         let request = Request {
             id: Id::new(id),
@@ -176,17 +177,17 @@
             ours: ours.clone(),
         };
         self.nodes[node].proposer = Some(Proposer::new(request, self.timing, self.now));
-        self.deliver(node, Happening::Proposer(proposer::Event::Tick));
+        self.deliver(node, Event::Proposer(proposer::Event::Tick));
     }
 
-    /// Runs for a span of virtual time.
+    /// Runs for a duration of virtual time.
     pub fn run(&mut self, span: Duration) {
         let end = self.now + span;
         self.run_until(end, |_| false);
         self.now = end;
     }
 
-    /// Runs until something holds; returns whether it came to hold before the limit.
+    /// Runs until a condition holds; returns whether it held before `end`.
     pub fn run_until(&mut self, end: Instant, holds: impl Fn(&Self) -> bool) -> bool {
         while !holds(self) {
             let Some((&(at, _), _)) = self.queue.first_key_value() else {
@@ -195,27 +196,27 @@
             if at > end {
                 return false;
             }
-            let Some(((at, _), (node, life, happening))) = self.queue.pop_first() else {
+            let Some(((at, _), (node, incarnation, event))) = self.queue.pop_first() else {
                 return false;
             };
             self.now = at;
-            if self.nodes[node].life == life || matches!(happening, Happening::Platform(..)) {
-                self.happen(node, life, happening);
+            if self.nodes[node].incarnation == incarnation || matches!(event, Event::Platform(..)) {
+                self.handle(node, incarnation, event);
             }
         }
         true
     }
 
-    /// Runs until a proposer is done and returns what became of its change.
+    /// Runs until the proposer of an entry finishes and returns its outcome.
     pub fn outcome(&mut self, node: usize) -> Outcome {
         let before = self.nodes[node].outcomes.len();
         let end = self.now + Duration::from_mins(5);
         let done = self.run_until(end, |world| world.nodes[node].outcomes.len() > before);
-        assert!(done, "the proposer of entry {node} never finished");
+        assert!(done, "the proposer of entry {node} did not finish");
         self.nodes[node].outcomes[before].1.clone()
     }
 
-    /// Returns the version in force at an entry.
+    /// Returns the version that is in force at an entry, or 0.
     pub fn in_force(&self, node: usize) -> u64 {
         let member = self.nodes[node].member.as_ref();
         member
@@ -223,13 +224,13 @@
             .map_or(0, |revision| revision.version.get())
     }
 
-    /// Returns whether a version, or a higher one, is in force at every entry that lives.
-    pub fn everywhere(&self, version: u64) -> bool {
+    /// Returns whether a version, or a higher one, is in force at every live entry.
+    pub fn in_force_everywhere(&self, version: u64) -> bool {
         let live = (0..self.nodes.len()).filter(|node| self.nodes[*node].member.is_some());
         live.map(|node| self.in_force(node)).all(|in_force| in_force >= version)
     }
 
-    /// Returns all rows read, rows written and contents fetched from the platform so far.
+    /// Returns the numbers of rows read, rows written and contents fetched from the platform so far.
     pub fn calls(&self) -> (u64, u64, u64) {
         let sum = |count: fn(&Node) -> u64| self.nodes.iter().map(count).sum();
         (
@@ -239,8 +240,8 @@
         )
     }
 
-    /// Asserts that no entry ever went back.
-    pub fn assert_only_upwards(&self) {
+    /// Asserts that each entry switched only to higher versions.
+    pub fn assert_versions_increase(&self) {
         for node in &self.nodes {
             assert!(
                 node.switches.is_sorted_by(|a, b| a.1.version < b.1.version),
@@ -250,27 +251,27 @@
         }
     }
 
-    fn rank(&mut self, zone: usize) {
+    fn update_ranks(&mut self, zone: usize) {
         let members: Vec<_> = (0..self.nodes.len())
             .filter(|node| self.nodes[*node].zone == zone && self.nodes[*node].member.is_some())
             .collect();
         for (rank, node) in members.into_iter().enumerate() {
-            self.deliver(node, Happening::Member(member::Event::Ranked(rank as u16)));
+            self.deliver(node, Event::Member(member::Event::Ranked(rank as u16)));
         }
     }
 
-    fn deliver(&mut self, node: usize, happening: Happening) {
-        self.schedule(self.now, node, happening);
+    fn deliver(&mut self, node: usize, event: Event) {
+        self.schedule(self.now, node, event);
     }
 
-    fn schedule(&mut self, at: Instant, node: usize, happening: Happening) {
+    fn schedule(&mut self, at: Instant, node: usize, event: Event) {
         self.sequence += 1;
-        let life = self.nodes[node].life;
-        self.queue.insert((at, self.sequence), (node, life, happening));
+        let incarnation = self.nodes[node].incarnation;
+        self.queue.insert((at, self.sequence), (node, incarnation, event));
     }
 
     fn reaches_platform(&self, node: usize) -> bool {
-        !self.faults.platform_down && !self.faults.off_platform.contains(&self.nodes[node].zone)
+        !self.faults.platform_down && !self.faults.cut_from_platform.contains(&self.nodes[node].zone)
     }
 
     fn reaches(&self, from: usize, to: usize) -> bool {
@@ -279,21 +280,21 @@
         from == to || !(isolated.contains(&from) || isolated.contains(&to))
     }
 
-    fn happen(&mut self, node: usize, life: u64, happening: Happening) {
-        match happening {
-            Happening::Wake if self.nodes[node].wake <= self.now => {
+    fn handle(&mut self, node: usize, incarnation: u64, event: Event) {
+        match event {
+            Event::Wake if self.nodes[node].wake <= self.now => {
                 self.nodes[node].wake = Instant::MAX;
-                self.step(node, member::Event::Tick);
+                self.step_member(node, member::Event::Tick);
             }
-            Happening::Wake => {}
-            Happening::Member(event) => self.step(node, event),
-            Happening::Proposer(event) => self.advance(node, event),
-            Happening::Platform(asker, call) => self.serve(node, life, asker, call),
-            Happening::Ask { from, digest } => self.answer(node, from, digest),
+            Event::Wake => {}
+            Event::Member(event) => self.step_member(node, event),
+            Event::Proposer(event) => self.step_proposer(node, event),
+            Event::Platform(caller, call) => self.serve(node, incarnation, caller, call),
+            Event::FetchRequest { from, digest } => self.answer_fetch(node, from, digest),
         }
     }
 
-    fn step(&mut self, node: usize, event: member::Event) {
+    fn step_member(&mut self, node: usize, event: member::Event) {
         let now = self.now;
         let Some(member) = &mut self.nodes[node].member else {
             return;
@@ -301,31 +302,31 @@
         let actions = member.handle(now, event, &mut self.rng);
         let wake = member.wake(now);
         for action in actions {
-            self.act(node, action);
+            self.perform(node, action);
         }
         if wake < self.nodes[node].wake || self.nodes[node].wake <= now {
-            assert!(wake > now, "entry {node} asks to be woken at once, again and again");
+            assert!(wake > now, "entry {node} asks for a wake-up that is already due");
             self.nodes[node].wake = wake;
-            self.schedule(wake, node, Happening::Wake);
+            self.schedule(wake, node, Event::Wake);
         }
     }
 
-    fn act(&mut self, node: usize, action: member::Action) {
+    fn perform(&mut self, node: usize, action: member::Action) {
         match action {
-            member::Action::Read(keys) => self.call(node, Asker::Member, Call::Read(keys)),
-            member::Action::Write(writes) => self.call(node, Asker::Member, Call::Write(writes)),
+            member::Action::Read(keys) => self.call(node, Caller::Member, Call::Read(keys)),
+            member::Action::Write(writes) => self.call(node, Caller::Member, Call::Write(writes)),
             member::Action::Fetch {
                 digest,
                 from: member::Source::Platform,
             } => {
-                self.call(node, Asker::Member, Call::Fetch(digest));
+                self.call(node, Caller::Member, Call::Fetch(digest));
             }
             member::Action::Fetch {
                 digest,
                 from: member::Source::Peer(peer),
             } => {
-                let peer: usize = peer.as_str().parse().expect("entries are called by their numbers");
-                self.send(node, peer, Happening::Ask { from: node, digest });
+                let peer: usize = peer.as_str().parse().expect("names of entries are numbers");
+                self.send(node, peer, Event::FetchRequest { from: node, digest });
             }
             member::Action::Announce(announcement) => {
                 for peer in self.neighbours(node) {
@@ -333,28 +334,28 @@
                     self.send(
                         node,
                         peer,
-                        Happening::Member(member::Event::Announced { from, announcement }),
+                        Event::Member(member::Event::Announced { from, announcement }),
                     );
                 }
             }
             member::Action::Reply { to, announcement } => {
-                let peer: usize = to.as_str().parse().expect("entries are called by their numbers");
+                let peer: usize = to.as_str().parse().expect("names of entries are numbers");
                 let from = name::Entry::new(node.to_string());
                 self.send(
                     node,
                     peer,
-                    Happening::Member(member::Event::Announced { from, announcement }),
+                    Event::Member(member::Event::Announced { from, announcement }),
                 );
             }
             member::Action::Switch { revision, .. } => {
                 let now = self.now;
                 self.nodes[node].switches.push((now, revision));
             }
-            member::Action::Reject { revision, reason } => panic!("{revision:?} is no configuration: {reason}"),
+            member::Action::Reject { revision, reason } => panic!("{revision:?} was rejected: {reason}"),
         }
     }
 
-    /// Draws two entries of the same zone and one of any.
+    /// Selects two random entries of the same zone and one of any zone.
     fn neighbours(&mut self, node: usize) -> Vec<usize> {
         let zone = self.nodes[node].zone;
         let near: Vec<_> = (0..self.nodes.len())
@@ -371,19 +372,19 @@
         chosen
     }
 
-    fn send(&mut self, from: usize, to: usize, happening: Happening) {
+    fn send(&mut self, from: usize, to: usize, event: Event) {
         let lost = self.rng.random_bool(self.faults.loss) || !self.reaches(from, to);
-        let ask = matches!(happening, Happening::Ask { .. });
-        let dead = self.nodes[to].member.is_none();
-        if !lost && !dead {
-            let way = self.faults.longest.mul_f64(self.rng.random_range(0.2..1.0));
-            self.schedule(self.now + way, to, happening);
-        } else if ask {
-            self.schedule(self.now + TIMEOUT, from, Happening::Member(member::Event::FetchFailed));
+        let is_fetch = matches!(event, Event::FetchRequest { .. });
+        let is_dead = self.nodes[to].member.is_none();
+        if !lost && !is_dead {
+            let delay = self.faults.max_delay.mul_f64(self.rng.random_range(0.2..1.0));
+            self.schedule(self.now + delay, to, event);
+        } else if is_fetch {
+            self.schedule(self.now + TIMEOUT, from, Event::Member(member::Event::FetchFailed));
         }
     }
 
-    fn answer(&mut self, node: usize, from: usize, digest: Digest) {
+    fn answer_fetch(&mut self, node: usize, from: usize, digest: Digest) {
         let content = self.nodes[node]
             .member
             .as_ref()
@@ -392,33 +393,33 @@
             Some(content) if self.reaches(node, from) => member::Event::Fetched(content),
             _ => member::Event::FetchFailed,
         };
-        self.schedule(self.now + self.faults.longest, from, Happening::Member(event));
+        self.schedule(self.now + self.faults.max_delay, from, Event::Member(event));
     }
 
-    fn advance(&mut self, node: usize, event: proposer::Event) {
+    fn step_proposer(&mut self, node: usize, event: proposer::Event) {
         let now = self.now;
         let Some(proposer) = &mut self.nodes[node].proposer else {
             return;
         };
         let actions = proposer.handle(now, event);
         if let Some(wake) = proposer.wake() {
-            self.schedule(wake, node, Happening::Proposer(proposer::Event::Tick));
+            self.schedule(wake, node, Event::Proposer(proposer::Event::Tick));
         }
         for action in actions {
             match action {
-                proposer::Action::Read(keys) => self.call(node, Asker::Proposer, Call::Read(keys)),
-                proposer::Action::Write(writes) => self.call(node, Asker::Proposer, Call::Write(writes)),
-                proposer::Action::Fetch(digest) => self.call(node, Asker::Proposer, Call::Fetch(digest)),
-                proposer::Action::Store(manifest) => self.call(node, Asker::Proposer, Call::Store(manifest)),
+                proposer::Action::Read(keys) => self.call(node, Caller::Proposer, Call::Read(keys)),
+                proposer::Action::Write(writes) => self.call(node, Caller::Proposer, Call::Write(writes)),
+                proposer::Action::Fetch(digest) => self.call(node, Caller::Proposer, Call::Fetch(digest)),
+                proposer::Action::Store(manifest) => self.call(node, Caller::Proposer, Call::Store(manifest)),
                 proposer::Action::Publish(view) => {
-                    self.deliver(node, Happening::Member(member::Event::Published(view)));
+                    self.deliver(node, Event::Member(member::Event::Published(view)));
                 }
                 proposer::Action::Finish(outcome) => self.nodes[node].outcomes.push((now, outcome)),
             }
         }
     }
 
-    fn call(&mut self, node: usize, asker: Asker, call: Call) {
+    fn call(&mut self, node: usize, caller: Caller, call: Call) {
         let state = &mut self.nodes[node];
         match &call {
             Call::Read(keys) => state.reads += keys.len() as u64,
@@ -427,14 +428,14 @@
             Call::Store(_) => {}
         }
         if self.reaches_platform(node) {
-            self.schedule(self.now + PLATFORM / 2, node, Happening::Platform(asker, call));
+            self.schedule(self.now + PLATFORM_ROUND_TRIP / 2, node, Event::Platform(caller, call));
         } else {
-            self.reply(self.now + TIMEOUT, node, asker, call.failure());
+            self.reply(self.now + TIMEOUT, node, caller, call.failure());
         }
     }
 
-    /// Serves a call whose bytes reached the platform, even if its sender is dead by now.
-    fn serve(&mut self, node: usize, life: u64, asker: Asker, call: Call) {
+    /// Performs a call that reached the platform, even if its sender has died since.
+    fn serve(&mut self, node: usize, incarnation: u64, caller: Caller, call: Call) {
         let failed = call.failure();
         let reply = match call {
             Call::Read(keys) => Reply::Rows(keys.iter().map(|key| self.table.get(key)).collect()),
@@ -442,32 +443,32 @@
             Call::Fetch(digest) => self
                 .objects
                 .get(&digest)
-                .map_or(Reply::Failed, |found| Reply::Content(found.clone())),
+                .map_or(Reply::FetchFailed, |found| Reply::Content(found.clone())),
             Call::Store(manifest) => {
                 self.objects.insert(manifest.digest(), manifest);
                 Reply::Stored
             }
         };
-        if self.nodes[node].life != life {
+        if self.nodes[node].incarnation != incarnation {
             return;
         }
         let lost = matches!(reply, Reply::Ended(_)) && self.rng.random_bool(self.faults.lost_answers);
         if lost || !self.reaches_platform(node) {
-            self.reply(self.now + TIMEOUT, node, asker, failed);
+            self.reply(self.now + TIMEOUT, node, caller, failed);
         } else {
-            self.reply(self.now + PLATFORM / 2, node, asker, reply);
+            self.reply(self.now + PLATFORM_ROUND_TRIP / 2, node, caller, reply);
         }
     }
 
-    fn reply(&mut self, at: Instant, node: usize, asker: Asker, reply: Reply) {
-        let happening = match asker {
-            Asker::Member => Happening::Member(reply.into_member()),
-            Asker::Proposer => Happening::Proposer(reply.into_proposer()),
+    fn reply(&mut self, at: Instant, node: usize, caller: Caller, reply: Reply) {
+        let event = match caller {
+            Caller::Member => Event::Member(reply.into_member()),
+            Caller::Proposer => Event::Proposer(reply.into_proposer()),
         };
-        self.schedule(at, node, happening);
+        self.schedule(at, node, event);
     }
 }
 
-fn state_zone(nodes: &[Node], node: usize) -> usize {
+fn zone_of(nodes: &[Node], node: usize) -> usize {
     nodes[node].zone
 }
