--- a/bergamotshift-config/src/accept/timing.rs
+++ b/bergamotshift-config/src/accept/timing.rs
@@ -30,7 +30,8 @@
     /// Time without a change of a zone's row after which the acceptance does not wait for the zone any more.
     pub zone_timeout: Duration,
     /// Time for which another operator's proposal has to stand unchanged before it may be replaced. It is longer than
-    /// `staging_timeout`, so that a live proposer has withdrawn by then.
+    /// `staging_timeout`, so that a live proposer has withdrawn by then. After this time, a member no longer shows that it
+    /// is fetching the content of a proposal.
     pub takeover_timeout: Duration,
     /// Time for which a proposer waits for the zones before it withdraws.
     pub staging_timeout: Duration,
--- a/bergamotshift-config/src/folder/error.rs
+++ b/bergamotshift-config/src/folder/error.rs
@@ -21,7 +21,7 @@
         source: io::Error,
     },
     /// The folder contains no file whose name ends in `.toml`.
-    #[error("the folder contains no TOML file; to remove all items, keep one without any items")]
+    #[error("the folder contains no TOML file; to remove all items, keep one TOML file without items")]
     Empty,
     /// The content of the files is not a valid configuration.
     #[error("{}", Lines(.0))]
