--- a/bergamotshift-soak/src/endpoint.rs
+++ b/bergamotshift-soak/src/endpoint.rs
@@ -236,7 +236,7 @@
                 continue;
             }
             thread::sleep(WORK);
-            if call.line.contains(Kind::Draft.prefix()) {
+            if call.request_line.contains(Kind::Draft.prefix()) {
                 self.stream(&mut stream, &call, &id, said, habit)?;
             } else {
                 self.whole(&mut stream, &id, said, habit)?;
--- a/bergamotshift-soak/src/fleet/mod.rs
+++ b/bergamotshift-soak/src/fleet/mod.rs
@@ -12,8 +12,8 @@
 use std::thread;
 use std::time::Instant;
 
+use bergamotshift_metadata_standin::Disruption;
 use bergamotshift_metadata_standin::Fault;
-use bergamotshift_metadata_standin::Spell;
 use bergamotshift_metadata_standin::Store;
 
 pub use self::doors::Doors;
@@ -65,8 +65,8 @@
         } = settings;
         let store = Store::start();
         let mut state = store.state();
-        state.waits = true;
-        state.forgets = true;
+        state.long_polling = true;
+        state.discards_calls = true;
         drop(state);
         let mut fleet = Self {
             program: program.clone(),
@@ -148,7 +148,7 @@
             Step::Spell(fault, span, spared) => self.spell(fault, span, spared),
             Step::Forget => {
                 self.ledger.note(Place::Store, "history forgotten", false);
-                self.store.forget();
+                self.store.truncate_history();
             }
             Step::Crash(place) => self.crash(place)?,
             Step::Leave(place) => self.leave(place)?,
@@ -180,7 +180,7 @@
     ///
     /// Returns why something does not start.
     pub fn heal(&mut self) -> Result<(), process::Error> {
-        self.store.state().spell = None;
+        self.store.state().disruption = None;
         for place in 0..self.endpoints.len() {
             self.carry_out(Step::Habit(place, Habit::Sound))?;
             if self.endpoints[place].says() == Notice::Leaves {
@@ -221,7 +221,7 @@
 
     fn spell(&mut self, fault: Fault, span: Duration, spared: u32) {
         self.ledger.during(Place::Store, "spell", span);
-        self.store.state().spell = Some(Spell::new(fault, Instant::now() + span, spared));
+        self.store.state().disruption = Some(Disruption::new(fault, Instant::now() + span, spared));
     }
 
     /// Writes the next document: the moving route goes to the next service.
