--- a/bergamotshift-entry/src/api/error.rs
+++ b/bergamotshift-entry/src/api/error.rs
@@ -206,7 +206,7 @@
             Reason::Stopping => (StatusCode::SERVICE_UNAVAILABLE, "stopping"),
             Reason::Refused(refusal) if refusal.is_organisations() => (StatusCode::TOO_MANY_REQUESTS, refusal.code()),
             Reason::Refused(refusal) => (StatusCode::SERVICE_UNAVAILABLE, refusal.code()),
-            Reason::Claim(error) => error.row(),
+            Reason::Claim(error) => error.status_and_code(),
             Reason::Job(error) => error.row(),
             Reason::Exchange(error) => exchange_row(error),
         }
--- a/bergamotshift-entry/src/api/openai/complete.rs
+++ b/bergamotshift-entry/src/api/openai/complete.rs
@@ -26,7 +26,7 @@
 use crate::api::reply::Active;
 use crate::api::request;
 use crate::claims;
-use crate::claims::Joined;
+use crate::claims::Lookup;
 use crate::exchange::Attempts;
 use crate::exchange::Call;
 use crate::exchange::Work;
@@ -109,13 +109,13 @@
         return jobs::accept(worker, &call).await;
     }
     let joined = if call.repeatable && !streams {
-        Joined::look(worker, &call).await?
+        Lookup::find_answer(worker, &call).await?
     } else {
-        Joined::Run(None)
+        Lookup::Run(None)
     };
     let started = match joined {
-        Joined::Run(started) => started,
-        Joined::Answered(response) => return Ok(response),
+        Lookup::Run(started) => started,
+        Lookup::Answered(response) => return Ok(response),
     };
     let streamed = if streams { None } else { assemble::streaming(&call.body) };
     if !streams && streamed.is_none() {
@@ -130,14 +130,14 @@
         service.budget.deposit();
     }
     if let (false, Some(key)) = (call.repeatable, call.key.clone()) {
-        return claims::once(worker, call, ticket, key, active.trace()).await;
+        return claims::send_once(worker, call, ticket, key, active.trace()).await;
     }
     let attempts = Attempts::new(Rc::clone(worker), call, ticket).traced(active.trace());
     if streams {
         answer::stream(attempts, &service.adapter, active).await
     } else {
         let whole = answer::fetch(attempts, &service.adapter, streamed).await?;
-        claims::leave(started, &whole);
+        claims::share_answer(started, &whole);
         Ok(reply::whole(whole, id))
     }
 }
--- a/bergamotshift-entry/src/api/plain.rs
+++ b/bergamotshift-entry/src/api/plain.rs
@@ -21,7 +21,7 @@
 use super::reply::Active;
 use super::request;
 use crate::claims;
-use crate::claims::Joined;
+use crate::claims::Lookup;
 use crate::exchange;
 use crate::exchange::Attempts;
 use crate::exchange::Call;
@@ -93,7 +93,7 @@
     };
     if !call.repeatable {
         let key = call.key.take();
-        let key = key.or_else(|| claims::from_fields(&handling.key_fields, &call.body));
+        let key = key.or_else(|| claims::key_from_fields(&handling.key_fields, &call.body));
         call.key = Some(key.ok_or_else(|| Error::not_run(Reason::MissingKey))?);
     }
     let held = matches!(outgoing, Outgoing::Held(_));
@@ -102,13 +102,13 @@
     }
     // A body that streams through has no digest to compare, so it neither joins nor replays.
     let joined = if held && call.repeatable {
-        Joined::look(worker, &call).await?
+        Lookup::find_answer(worker, &call).await?
     } else {
-        Joined::Run(None)
+        Lookup::Run(None)
     };
     let started = match joined {
-        Joined::Run(started) => started,
-        Joined::Answered(response) => return Ok(response),
+        Lookup::Run(started) => started,
+        Lookup::Answered(response) => return Ok(response),
     };
     let call = Rc::new(call);
     let ticket = sharing::admit(worker, snapshot, &call).map_err(|refusal| Error::not_run(refusal.into()))?;
@@ -117,12 +117,12 @@
         service.budget.deposit();
     }
     if let (false, Some(key)) = (call.repeatable, call.key.clone()) {
-        return claims::once(worker, call, ticket, key, active.trace()).await;
+        return claims::send_once(worker, call, ticket, key, active.trace()).await;
     }
     let mut attempts = Attempts::new(Rc::clone(worker), call, ticket).traced(active.trace());
     match pass(&mut attempts, outgoing).await {
         Ok(Passed::Whole(whole)) => {
-            claims::leave(started, &whole);
+            claims::share_answer(started, &whole);
             Ok(reply::whole(whole, id))
         }
         Ok(Passed::Large(open)) => Ok(large(attempts, open, id, active)),
--- a/bergamotshift-entry/src/claims/committer.rs
+++ b/bergamotshift-entry/src/claims/committer.rs
@@ -90,11 +90,11 @@
                 let table = self.table.clone();
                 ntex::rt::spawn(async move { answer.send(read(table, key).await) }).detach();
             }
-            Message::Keep(key, body, answer) => {
+            Message::PutObject(key, body, answer) => {
                 let objects = self.objects.clone();
                 ntex::rt::spawn(async move { answer.send(keep(objects, key, body).await) }).detach();
             }
-            Message::Fetch(key, answer) => {
+            Message::GetObject(key, answer) => {
                 let objects = self.objects.clone();
                 ntex::rt::spawn(async move { answer.send(fetch(objects, key).await) }).detach();
             }
--- a/bergamotshift-entry/src/claims/convert.rs
+++ b/bergamotshift-entry/src/claims/convert.rs
@@ -30,8 +30,8 @@
 pub async fn to_whole(answer: Answer, store: &Store) -> Result<Whole, Error> {
     let body = match answer.body {
         Body::Inline(bytes) => Bytes::from(bytes),
-        Body::Object { key, .. } => store.fetch(key).await.ok_or(Error::AnswerAway)?,
-        Body::Dropped => return Err(Error::AnswerAway),
+        Body::Object { key, .. } => store.get_object(key).await.ok_or(Error::AnswerUnavailable)?,
+        Body::Dropped => return Err(Error::AnswerUnavailable),
     };
     Ok(Whole {
         status: StatusCode::from_u16(answer.status).unwrap_or(StatusCode::OK),
--- a/bergamotshift-entry/src/claims/drive.rs
+++ b/bergamotshift-entry/src/claims/drive.rs
@@ -36,7 +36,7 @@
 
 /// What the caller is told, and what the endpoints said when they brought no answer.
 #[derive(Debug)]
-pub struct Told {
+pub struct Conclusion {
     /// What the claim came to.
     pub reply: Reply,
     /// What the endpoints said.
@@ -46,7 +46,7 @@
 /// Sends a request at most once, whatever its caller, the table or the endpoints do.
 ///
 /// The claim goes on when the future is dropped: what was sent has to be recorded for the next who asks.
-pub async fn claim(worker: &Rc<Worker>, call: Rc<Call>, ticket: Ticket, key: SmolStr, trace: &Trace) -> Told {
+pub async fn claim(worker: &Rc<Worker>, call: Rc<Call>, ticket: Ticket, key: SmolStr, trace: &Trace) -> Conclusion {
     let scope = Scope {
         organisation: call.organisation.clone(),
         service: call.service.clone(),
@@ -55,7 +55,7 @@
     let (told, telling) = oneshot::channel();
     let claim = Claim::new(Rc::clone(worker), call, scope, trace.clone(), ticket, told);
     ntex::rt::spawn(claim.run()).detach();
-    telling.await.unwrap_or(Told {
+    telling.await.unwrap_or(Conclusion {
         reply: Reply::Unknown,
         failure: None,
     })
@@ -66,7 +66,7 @@
 /// # Errors
 ///
 /// Returns the failure that the caller is told of.
-pub async fn once(
+pub async fn send_once(
     worker: &Rc<Worker>,
     call: Rc<Call>,
     ticket: Ticket,
@@ -74,7 +74,7 @@
     trace: &Trace,
 ) -> Result<Response, api::error::Error> {
     let id = call.id;
-    let Told { reply, failure } = claim(worker, call, ticket, key, trace).await;
+    let Conclusion { reply, failure } = claim(worker, call, ticket, key, trace).await;
     if let Some(failure) = failure {
         return Err(failure);
     }
@@ -97,7 +97,7 @@
     worker: Rc<Worker>,
     call: Rc<Call>,
     driver: Driver,
-    told: Option<oneshot::Sender<Told>>,
+    told: Option<oneshot::Sender<Conclusion>>,
     failure: Option<api::error::Error>,
     events: mpsc::UnboundedSender<Happened>,
     happened: mpsc::UnboundedReceiver<Happened>,
@@ -129,7 +129,7 @@
         scope: Scope,
         trace: Trace,
         ticket: Ticket,
-        told: oneshot::Sender<Told>,
+        told: oneshot::Sender<Conclusion>,
     ) -> Self {
         trace.admitted();
         let now = worker.shared.now();
@@ -189,7 +189,7 @@
                 Event::Rows { op, row }.into()
             }),
             Action::Store { op, key, body } => self.spawn(async move {
-                let is_stored = store.keep(key, body).await;
+                let is_stored = store.put_object(key, body).await;
                 Event::Stored { op, is_stored }.into()
             }),
             Action::Send => {
@@ -208,7 +208,7 @@
         self.span = None;
         if let Some(told) = self.told.take() {
             let failure = self.failure.take();
-            let _ = told.send(Told { reply, failure });
+            let _ = told.send(Conclusion { reply, failure });
         }
     }
 
--- a/bergamotshift-entry/src/claims/error.rs
+++ b/bergamotshift-entry/src/claims/error.rs
@@ -35,7 +35,7 @@
     Mismatch,
     /// The request ran, but its answer cannot be had.
     #[error("the request ran, but its answer is not at hand")]
-    AnswerAway,
+    AnswerUnavailable,
 }
 
 impl Error {
@@ -59,12 +59,12 @@
         match self {
             Self::Unrecorded | Self::Deadline | Self::Endpoint | Self::Mismatch => Outcome::NotRun,
             Self::Lost | Self::InProgress => Outcome::Unknown,
-            Self::AnswerAway => Outcome::Ran,
+            Self::AnswerUnavailable => Outcome::Ran,
         }
     }
 
     /// Returns the HTTP status and the API's code.
-    pub const fn row(self) -> (StatusCode, &'static str) {
+    pub const fn status_and_code(self) -> (StatusCode, &'static str) {
         match self {
             Self::Unrecorded => (StatusCode::SERVICE_UNAVAILABLE, "not_recorded"),
             Self::Deadline => (StatusCode::GATEWAY_TIMEOUT, "deadline_passed"),
@@ -72,14 +72,14 @@
             Self::Lost => (StatusCode::BAD_GATEWAY, "answer_lost"),
             Self::InProgress => (StatusCode::CONFLICT, "in_progress"),
             Self::Mismatch => (StatusCode::UNPROCESSABLE_ENTITY, "idempotency_key_reused"),
-            Self::AnswerAway => (StatusCode::BAD_GATEWAY, "answer_not_at_hand"),
+            Self::AnswerUnavailable => (StatusCode::BAD_GATEWAY, "answer_not_at_hand"),
         }
     }
 
     /// Returns when the caller should ask again, where that helps.
     pub const fn retry_after(self) -> Option<Duration> {
         match self {
-            Self::Unrecorded | Self::Endpoint | Self::InProgress | Self::AnswerAway => Some(SOON),
+            Self::Unrecorded | Self::Endpoint | Self::InProgress | Self::AnswerUnavailable => Some(SOON),
             Self::Deadline | Self::Lost | Self::Mismatch => None,
         }
     }
--- a/bergamotshift-entry/src/claims/join.rs
+++ b/bergamotshift-entry/src/claims/join.rs
@@ -8,9 +8,9 @@
 use ntex::http::header::HeaderName;
 use ntex::http::header::HeaderValue;
 
-use super::Entrance;
+use super::Decision;
 use super::Error;
-use super::Started;
+use super::Leader;
 use super::Windows;
 use super::convert;
 use crate::api;
@@ -22,20 +22,20 @@
 
 /// What a request that carries a key does next.
 #[derive(Debug)]
-pub enum Joined {
+pub enum Lookup {
     /// It runs; with a key, it leaves its answer to others.
-    Run(Option<Started>),
+    Run(Option<Leader>),
     /// An earlier one has answered it.
     Answered(Response),
 }
 
-impl Joined {
+impl Lookup {
     /// Looks for an earlier request under the same key, and waits for its answer if it is still running.
     ///
     /// # Errors
     ///
     /// Returns an error when the key belongs to another request, or too many wait already.
-    pub async fn look(worker: &Rc<Worker>, call: &Call) -> Result<Self, api::error::Error> {
+    pub async fn find_answer(worker: &Rc<Worker>, call: &Call) -> Result<Self, api::error::Error> {
         let Some(key) = &call.key else {
             return Ok(Self::Run(None));
         };
@@ -47,11 +47,11 @@
         let digest = Digest::of(call.method.as_str(), call.path.as_str(), &call.body);
         loop {
             let answer = match Windows::enter(&worker.shared, scope.clone(), digest) {
-                Entrance::Start(started) => return Ok(Self::Run(Some(started))),
-                Entrance::Mismatch => return Err(api::error::Error::from_claim(Error::Mismatch)),
-                Entrance::Full => return Err(api::error::Error::from_claim(Error::InProgress)),
-                Entrance::Replay(answer) => answer,
-                Entrance::Join(left) => match left.await {
+                Decision::Start(started) => return Ok(Self::Run(Some(started))),
+                Decision::Mismatch => return Err(api::error::Error::from_claim(Error::Mismatch)),
+                Decision::Full => return Err(api::error::Error::from_claim(Error::InProgress)),
+                Decision::Replay(answer) => answer,
+                Decision::Join(left) => match left.await {
                     Ok(Some(answer)) => answer,
                     // The one it waited for brought no answer, so this one may be the first now.
                     Ok(None) | Err(_) => continue,
@@ -65,7 +65,7 @@
 }
 
 /// Leaves an answer to those who joined; a failure of the endpoint's is not worth replaying.
-pub fn leave(started: Option<Started>, whole: &Whole) {
+pub fn share_answer(started: Option<Leader>, whole: &Whole) {
     if let Some(started) = started
         && !whole.status.is_server_error()
     {
--- a/bergamotshift-entry/src/claims/key.rs
+++ b/bergamotshift-entry/src/claims/key.rs
@@ -9,7 +9,7 @@
 /// Returns the key that the configured fields of a JSON body make, if all of them are there.
 ///
 /// A field is a path such as `body.shift.id`.
-pub fn from_fields(fields: &[SmolStr], body: &[u8]) -> Option<SmolStr> {
+pub fn key_from_fields(fields: &[SmolStr], body: &[u8]) -> Option<SmolStr> {
     if fields.is_empty() {
         return None;
     }
--- a/bergamotshift-entry/src/claims/store.rs
+++ b/bergamotshift-entry/src/claims/store.rs
@@ -23,9 +23,9 @@
     /// List a partition.
     List(SmolStr, oneshot::Sender<Option<Vec<(SmolStr, Row)>>>),
     /// Keep an object.
-    Keep(SmolStr, Vec<u8>, oneshot::Sender<bool>),
+    PutObject(SmolStr, Vec<u8>, oneshot::Sender<bool>),
     /// Fetch an object.
-    Fetch(SmolStr, oneshot::Sender<Option<Bytes>>),
+    GetObject(SmolStr, oneshot::Sender<Option<Bytes>>),
 }
 
 /// Reaches the committer from any thread.
@@ -81,16 +81,16 @@
     }
 
     /// Keeps an object; returns whether it is known to be kept.
-    pub async fn keep(&self, key: SmolStr, body: Vec<u8>) -> bool {
+    pub async fn put_object(&self, key: SmolStr, body: Vec<u8>) -> bool {
         let (answer, kept) = oneshot::channel();
-        drop(self.0.send(Message::Keep(key, body, answer)));
+        drop(self.0.send(Message::PutObject(key, body, answer)));
         kept.await.unwrap_or(false)
     }
 
     /// Fetches an object, if it can be had.
-    pub async fn fetch(&self, key: SmolStr) -> Option<Bytes> {
+    pub async fn get_object(&self, key: SmolStr) -> Option<Bytes> {
         let (answer, body) = oneshot::channel();
-        drop(self.0.send(Message::Fetch(key, answer)));
+        drop(self.0.send(Message::GetObject(key, answer)));
         body.await.unwrap_or(None)
     }
 }
--- a/bergamotshift-entry/src/claims/windows.rs
+++ b/bergamotshift-entry/src/claims/windows.rs
@@ -27,9 +27,9 @@
 
 /// What becomes of a keyed request.
 #[derive(Debug)]
-pub enum Entrance {
+pub enum Decision {
     /// It is the first: it runs, and tells how it ended.
-    Start(Started),
+    Start(Leader),
     /// Another one is running; this brings its answer.
     Join(oneshot::Receiver<Left>),
     /// Another one has run.
@@ -42,7 +42,7 @@
 
 /// A request that is the first under its key; dropping it lets the next one start.
 #[derive(Debug)]
-pub struct Started {
+pub struct Leader {
     shared: Arc<Shared>,
     scope: Option<Scope>,
 }
@@ -59,18 +59,18 @@
     }
 
     /// Takes a request in.
-    pub fn enter(shared: &Arc<Shared>, scope: Scope, digest: Digest) -> Entrance {
+    pub fn enter(shared: &Arc<Shared>, scope: Scope, digest: Digest) -> Decision {
         let (ticket, left) = oneshot::channel();
         let entered = shared.windows.part(&scope).enter(shared.now(), &scope, digest, ticket);
         match entered {
-            window::Decision::Start => Entrance::Start(Started {
+            window::Decision::Start => Decision::Start(Leader {
                 shared: Arc::clone(shared),
                 scope: Some(scope),
             }),
-            window::Decision::Join => Entrance::Join(left),
-            window::Decision::Replay(answer) => Entrance::Replay(answer),
-            window::Decision::Mismatch => Entrance::Mismatch,
-            window::Decision::Full => Entrance::Full,
+            window::Decision::Join => Decision::Join(left),
+            window::Decision::Replay(answer) => Decision::Replay(answer),
+            window::Decision::Mismatch => Decision::Mismatch,
+            window::Decision::Full => Decision::Full,
         }
     }
 
@@ -87,7 +87,7 @@
     }
 }
 
-impl Started {
+impl Leader {
     /// Leaves an answer to those who joined and those who come later.
     pub fn finish(mut self, answer: &Answer) {
         self.leave(Some(answer));
@@ -106,7 +106,7 @@
     }
 }
 
-impl Drop for Started {
+impl Drop for Leader {
     fn drop(&mut self) {
         self.leave(None);
     }
--- a/bergamotshift-entry/src/control/mod.rs
+++ b/bergamotshift-entry/src/control/mod.rs
@@ -36,7 +36,7 @@
 #[derive(Debug)]
 pub enum Request {
     /// An attempt brought no whole answer.
-    Broken {
+    AttemptFailed {
         /// Where it ran.
         endpoint: Arc<Endpoint>,
         /// Whether it ran at all, or no connection came about.
@@ -73,7 +73,7 @@
     /// Returns what kind of message it is, for the metrics.
     pub(crate) const fn kind(&self) -> &'static str {
         match self {
-            Self::Request(Request::Broken { .. }) => "broken",
+            Self::Request(Request::AttemptFailed { .. }) => "broken",
             Self::Request(Request::Status(_)) => "status",
             Self::Request(Request::Stop) => "stop",
             Self::Seen(watch::Event::Tick) => "tick",
--- a/bergamotshift-entry/src/control/state.rs
+++ b/bergamotshift-entry/src/control/state.rs
@@ -89,7 +89,7 @@
     pub(super) fn take(&mut self, message: Message) -> bool {
         self.shared.metrics.message(message.kind());
         match message {
-            Message::Request(Request::Broken {
+            Message::Request(Request::AttemptFailed {
                 endpoint,
                 connected,
                 fingerprint,
--- a/bergamotshift-entry/src/exchange/send.rs
+++ b/bergamotshift-entry/src/exchange/send.rs
@@ -65,7 +65,7 @@
     /// Asks the control thread what became of an endpoint.
     pub(super) async fn ask(&self, running: &Running, failure: &Failure) -> Verdict {
         let (answer, verdict) = oneshot::channel();
-        self.worker.shared.control.send(control::Request::Broken {
+        self.worker.shared.control.send(control::Request::AttemptFailed {
             endpoint: Arc::clone(&running.endpoint),
             connected: !matches!(failure, Failure::Connect(_)),
             fingerprint: self.call.fingerprint,
--- a/bergamotshift-entry/src/jobs/accept.rs
+++ b/bergamotshift-entry/src/jobs/accept.rs
@@ -73,7 +73,7 @@
         Body::Inline(call.body.to_vec())
     } else {
         let key = format_smolstr!("job/{id}/{}", call.id);
-        if !worker.shared.store.keep(key.clone(), call.body.to_vec()).await {
+        if !worker.shared.store.put_object(key.clone(), call.body.to_vec()).await {
             return Err(Error::NotKept);
         }
         let length = call.body.len() as u64;
--- a/bergamotshift-entry/src/jobs/run.rs
+++ b/bergamotshift-entry/src/jobs/run.rs
@@ -175,7 +175,7 @@
     let mut answer = claims::from_whole(whole);
     if whole.body.len() > INLINE {
         let key = format_smolstr!("job/{id}/answer/{}", worker.draw());
-        let kept = worker.shared.store.keep(key.clone(), whole.body.to_vec()).await;
+        let kept = worker.shared.store.put_object(key.clone(), whole.body.to_vec()).await;
         let length = whole.body.len() as u64;
         // A job whose answer cannot be kept has to run again, or its caller would never get it.
         if !kept {
@@ -191,7 +191,7 @@
     let service = snapshot.config.services.get(&record.service)?;
     let body = match &record.request.body {
         Body::Inline(bytes) => Bytes::copy_from_slice(bytes),
-        Body::Object { key, .. } => worker.shared.store.fetch(key.clone()).await?,
+        Body::Object { key, .. } => worker.shared.store.get_object(key.clone()).await?,
         Body::Dropped => return None,
     };
     let (method, path) = (&record.request.method, &record.request.path);
