--- a/bergamotshift-entry/src/control/death.rs
+++ b/bergamotshift-entry/src/control/death.rs
@@ -1,4 +1,5 @@
-//! Finds out what became of an endpoint whose attempt broke, and what follows for the work that ran there.
+//! Handling of failed attempts: determines whether the endpoint is dead, and attributes its death to the requests that
+//! ran there.
 
 use std::sync::Arc;
 
@@ -18,32 +19,33 @@
 use crate::watch::Waiting;
 
 impl State {
-    /// Finds out what became of an endpoint whose attempt broke.
+    /// Determines the state of an endpoint after a failed attempt and sends the verdict.
     ///
-    /// A broken attempt alone does not say whether the endpoint died: it may have cut this one exchange. Asking it
-    /// again tells, and only a death counts against the work that ran there.
-    pub(super) fn broken(&mut self, endpoint: Arc<Endpoint>, connected: bool, waiting: Waiting) {
-        let announced = self.fleet.find(&endpoint).is_some_and(|known| known.leaving);
+    /// A failed attempt alone does not show that the endpoint is dead: it may have closed only this connection. The
+    /// endpoint is therefore probed, and only a death counts against the request that ran there.
+    pub(super) fn handle_failed_attempt(&mut self, endpoint: Arc<Endpoint>, connected: bool, waiting: Waiting) {
+        let announced = self.fleet.find(&endpoint).is_some_and(|record| record.leaving);
         if announced {
             let _ = waiting.answer.send(Verdict { announced, dead: false });
             return;
         }
         if connected {
-            let finished = self.finished(&endpoint);
-            if self.fleet.fault(&endpoint, finished, self.shared.now()) {
+            let finished = self.finished_attempts(&endpoint);
+            if self.fleet.record_failure(&endpoint, finished, self.shared.now()) {
                 warn!(self.shared.settings.logger, "endpoint is suspended"; &*endpoint);
-                self.due(Due::Now);
+                self.schedule(Due::Now);
             }
-            self.ask(endpoint, Some(waiting));
+            self.probe(endpoint, Some(waiting));
             return;
         }
-        self.died(&endpoint, None);
-        // The snapshot goes first, so that the worker's next choice already knows.
+        self.handle_death(&endpoint, None);
+        // The snapshot is published first, so that the worker does not choose the dead endpoint again.
         self.publish();
         let _ = waiting.answer.send(Verdict { announced, dead: true });
     }
 
-    pub(super) fn probed(
+    /// Handles the result of a load probe and sends the verdict to the worker that waits for it, if any.
+    pub(super) fn handle_probe(
         &mut self,
         endpoint: &Arc<Endpoint>,
         report: &Result<load::Report, Failure>,
@@ -53,101 +55,107 @@
             Some(waiting) => (Some(waiting.fingerprint), Some(waiting.answer)),
             None => (None, None),
         };
-        if let Some(known) = self.fleet.find(endpoint) {
-            known.asked = false;
+        if let Some(record) = self.fleet.find(endpoint) {
+            record.is_probing = false;
         }
         let dead = matches!(report, Err(Failure::Connect(_)));
         match report {
-            Ok(report) => self.reported(endpoint, *report),
-            Err(Failure::Connect(_)) => self.died(endpoint, fingerprint),
-            // Something answers there, if only to say that it gives no reports.
-            Err(Failure::Malformed(_) | Failure::Mismatch) => self.regain(endpoint),
-            // It takes connections and answers nothing: it is not dead, and of no use until it answers again.
+            Ok(report) => self.handle_report(endpoint, *report),
+            Err(Failure::Connect(_)) => self.handle_death(endpoint, fingerprint),
+            // An invalid answer still shows that the endpoint is alive; it may not support load reports.
+            Err(Failure::Malformed(_) | Failure::Mismatch) => self.mark_reachable(endpoint),
+            // The endpoint accepts connections but does not answer: it is not dead, but gets no requests until it
+            // answers again.
             Err(_) => {
-                if self.fleet.lose(endpoint) {
+                if self.fleet.mark_unreachable(endpoint) {
                     warn!(self.shared.settings.logger, "endpoint does not answer"; &**endpoint);
-                    self.due(Due::Now);
+                    self.schedule(Due::Now);
                 }
             }
         }
         self.publish();
         if let Some(answer) = answer {
-            let announced = self.fleet.find(endpoint).is_some_and(|known| known.leaving);
+            let announced = self.fleet.find(endpoint).is_some_and(|record| record.leaving);
             let _ = answer.send(Verdict { announced, dead });
         }
     }
 
-    fn reported(&mut self, endpoint: &Endpoint, report: load::Report) {
-        if report.leaving && self.fleet.leave(endpoint) {
+    /// Handles an endpoint's load report and forwards it to the other entries.
+    fn handle_report(&mut self, endpoint: &Endpoint, report: load::Report) {
+        if report.leaving && self.fleet.mark_leaving(endpoint) {
             info!(self.shared.settings.logger, "endpoint says that it leaves"; endpoint);
-            self.announced(endpoint);
-            self.tell_leaving(endpoint, mark::Source::Endpoint, None);
-            self.due(Due::Now);
+            self.record_announcement(endpoint);
+            self.announce_leaving(endpoint, mark::Source::Endpoint, None);
+            self.schedule(Due::Now);
         }
-        self.tell_load(endpoint, report);
-        self.regain(endpoint);
-        let key = self.fleet.find(endpoint).and_then(|known| known.key);
+        self.announce_load(endpoint, report);
+        self.mark_reachable(endpoint);
+        let key = self.fleet.find(endpoint).and_then(|record| record.key);
         if let Some(key) = key {
             let _ = self.fleet.registry.record_report(key, report, self.shared.now());
-            self.due(Due::Tick);
+            self.schedule(Due::Tick);
         }
     }
 
-    fn regain(&mut self, endpoint: &Endpoint) {
-        if self.fleet.regain(&self.config, endpoint, self.shared.now()) {
+    /// Returns an endpoint that answered to routing, unless it is suspended.
+    fn mark_reachable(&mut self, endpoint: &Endpoint) {
+        if self.fleet.mark_reachable(&self.config, endpoint, self.shared.now()) {
             info!(self.shared.settings.logger, "endpoint is reached again"; endpoint);
-            self.due(Due::Now);
+            self.schedule(Due::Now);
         }
     }
 
-    /// Returns how many attempts of this entry have ended at an endpoint.
-    fn finished(&mut self, endpoint: &Endpoint) -> u32 {
-        let key = self.fleet.find(endpoint).and_then(|known| known.key);
+    /// Returns the number of this entry's attempts that have ended at an endpoint.
+    fn finished_attempts(&mut self, endpoint: &Endpoint) -> u32 {
+        let key = self.fleet.find(endpoint).and_then(|record| record.key);
         let snapshot = self.shared.publisher.current();
         let row = key.and_then(|key| snapshot.view.find(key));
         row.map_or(0, |row| row.counter().totals().finished)
     }
 
-    pub(super) fn announced(&mut self, endpoint: &Endpoint) {
-        let victim = self.fleet.find(endpoint).map(|known| known.victim());
-        if let Some(victim) = victim {
-            self.quarantine.announce(self.shared.now(), victim);
+    /// Records that an endpoint's end was announced, so that its death counts against no request.
+    pub(super) fn record_announcement(&mut self, endpoint: &Endpoint) {
+        let instance = self.fleet.find(endpoint).map(|record| record.instance());
+        if let Some(instance) = instance {
+            self.quarantine.announce(self.shared.now(), instance);
         }
     }
 
-    /// Notes that nothing listens at an endpoint, and looks whether its neighbours are still there.
+    /// Records the death of an endpoint and schedules probes of the other endpoints in its zone.
     ///
-    /// Failure: a zone is lost at once and each of its requests is next to a death. Symptom: innocent requests are
-    /// suspected. Neighbours that died too show a common cause, so they are asked before anybody is refused.
-    fn died(&mut self, endpoint: &Endpoint, fingerprint: Option<Fingerprint>) {
-        let Some(known) = self.fleet.find(endpoint) else { return };
+    /// The loss of a whole zone would otherwise cast suspicion on every request that ran there. Deaths of other
+    /// endpoints in the zone show a common cause, so these endpoints are probed before any request is refused.
+    fn handle_death(&mut self, endpoint: &Endpoint, fingerprint: Option<Fingerprint>) {
+        let Some(record) = self.fleet.find(endpoint) else {
+            return;
+        };
         let death = Death {
-            instance: known.victim(),
-            announced: known.leaving,
+            instance: record.instance(),
+            announced: record.leaving,
             running: fingerprint.into_iter().collect(),
         };
-        let news = self.fleet.lose(endpoint);
-        if !news && death.running.is_empty() {
+        let is_new = self.fleet.mark_unreachable(endpoint);
+        if !is_new && death.running.is_empty() {
             return;
         }
         self.quarantine.record_death(self.shared.now(), death);
-        self.tell_suspicion(endpoint, fingerprint);
+        self.log_verdict(endpoint, fingerprint);
         self.share_suspicions();
-        self.due(Due::Now);
-        if !news {
+        self.schedule(Due::Now);
+        if !is_new {
             return;
         }
         warn!(self.shared.settings.logger, "endpoint cannot be reached"; endpoint);
         let now = self.shared.now();
-        for neighbour in self.fleet.known.values_mut() {
+        for neighbour in self.fleet.records.values_mut() {
             if neighbour.endpoint.zone == endpoint.zone && neighbour.key.is_some() {
-                neighbour.due = now;
+                neighbour.next_probe = now;
             }
         }
     }
 
-    /// Logs what follows from a death for the work that ran there.
-    fn tell_suspicion(&self, endpoint: &Endpoint, fingerprint: Option<Fingerprint>) {
+    /// Logs the quarantine's verdict on the request that ran at a dead endpoint.
+    fn log_verdict(&self, endpoint: &Endpoint, fingerprint: Option<Fingerprint>) {
         let Some(fingerprint) = fingerprint else { return };
         let logger = &self.shared.settings.logger;
         let work = format!("{:032x}", fingerprint.get());
--- a/bergamotshift-entry/src/control/faults.rs
+++ b/bergamotshift-entry/src/control/faults.rs
@@ -1,55 +1,61 @@
-//! An endpoint's record of broken attempts, and for how long it is suspended because of them.
+//! Suspension of endpoints that fail too many attempts.
 
 use core::time::Duration;
 
 use bergamotshift_core::prelude::*;
 
-/// Broken attempts count together when they lie within this time.
+/// Time within which failed attempts are counted together.
 const WINDOW: Duration = Duration::from_secs(10);
 
-/// This many broken attempts suspend, when they are at least half of what ended in the window.
-const BROKEN: u32 = 3;
+/// Number of failed attempts that suspend an endpoint, if they are at least half of those that ended in the window.
+const MIN_FAILURES: u32 = 3;
 
-/// The first suspension; each further one is twice as long.
-const FIRST: Duration = Duration::from_secs(1);
+/// Duration of the first suspension; each further one is twice as long.
+const MIN_SUSPENSION: Duration = Duration::from_secs(1);
 
-/// The longest suspension.
-const LONGEST: Duration = Duration::from_secs(30);
+/// Maximum duration of a suspension.
+const MAX_SUSPENSION: Duration = Duration::from_secs(30);
 
-/// A record of broken attempts.
+/// Failed attempts and suspensions of one endpoint.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Faults {
-    since: Instant,
-    finished: u32,
-    broken: u32,
+    /// Time of the first failure in the current window.
+    window_start: Instant,
+    /// Number of ended attempts, as reported with the window's first failure.
+    finished_before: u32,
+    /// Number of failed attempts in the current window.
+    failed: u32,
+    /// Number of suspensions so far.
     suspensions: u32,
-    until: Instant,
+    suspended_until: Instant,
 }
 
 impl Faults {
-    /// Notes a broken attempt, given how many attempts have ended so far; returns whether they are too many.
-    pub(super) const fn note(&mut self, finished: u32, now: Instant) -> bool {
-        if self.broken == 0 || now.since(self.since).as_millis() > WINDOW.as_millis() {
-            self.since = now;
-            self.finished = finished;
-            self.broken = 0;
+    /// Records a failed attempt and returns whether the endpoint is to be suspended.
+    ///
+    /// `finished` is the number of attempts that have ended at the endpoint so far.
+    pub(super) const fn record(&mut self, finished: u32, now: Instant) -> bool {
+        if self.failed == 0 || now.since(self.window_start).as_millis() > WINDOW.as_millis() {
+            self.window_start = now;
+            self.finished_before = finished;
+            self.failed = 0;
         }
-        self.broken += 1;
-        let ended = finished.wrapping_sub(self.finished);
-        self.broken >= BROKEN && self.broken * 2 >= ended
+        self.failed += 1;
+        let ended = finished.wrapping_sub(self.finished_before);
+        self.failed >= MIN_FAILURES && self.failed * 2 >= ended
     }
 
-    /// Begins a suspension.
+    /// Starts a suspension.
     pub(super) fn suspend(&mut self, now: Instant) {
         const MAX_DOUBLINGS: u32 = 5;
-        let span = FIRST.saturating_mul(1 << self.suspensions.min(MAX_DOUBLINGS));
-        self.until = now + span.min(LONGEST);
+        let duration = MIN_SUSPENSION.saturating_mul(1 << self.suspensions.min(MAX_DOUBLINGS));
+        self.suspended_until = now + duration.min(MAX_SUSPENSION);
         self.suspensions += 1;
-        self.broken = 0;
+        self.failed = 0;
     }
 
-    /// Returns whether no suspension is in force.
-    pub(super) fn is_over(&self, now: Instant) -> bool {
-        now >= self.until
+    /// Returns whether the endpoint is not suspended.
+    pub(super) fn allows_requests(&self, now: Instant) -> bool {
+        now >= self.suspended_until
     }
 }
--- a/bergamotshift-entry/src/control/fleet.rs
+++ b/bergamotshift-entry/src/control/fleet.rs
@@ -1,4 +1,4 @@
-//! The endpoints that the control thread knows, and what each of them is to routing.
+//! Endpoints known to the control thread, and their state in routing.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -17,43 +17,44 @@
 use crate::sharing;
 use crate::snapshot::Endpoint;
 
-/// One life of an endpoint.
+/// State of one incarnation of an endpoint.
 #[derive(Debug)]
-pub(super) struct Known {
+pub(super) struct Record {
     pub(super) endpoint: Arc<Endpoint>,
     class: name::Class,
     market: Market,
-    /// Its place in routing; missing while it cannot be reached.
+    /// Key in the routing registry; `None` while the endpoint is unreachable or suspended.
     pub(super) key: Option<key::Endpoint>,
-    /// Set once and for good: a lagging list or report cannot bring a leaving endpoint back.
+    /// Whether the endpoint is leaving; never reset, so that a lagging list or report cannot bring it back.
     pub(super) leaving: bool,
-    /// When it is asked for its load again.
-    pub(super) due: Instant,
-    /// Whether it is being asked.
-    pub(super) asked: bool,
-    /// Its record of broken attempts.
+    /// Time from which the endpoint's load is probed again.
+    pub(super) next_probe: Instant,
+    /// Whether a periodic load probe is in flight.
+    pub(super) is_probing: bool,
+    /// Failed attempts and suspensions.
     pub(super) faults: Faults,
 }
 
-impl Known {
-    pub(super) fn victim(&self) -> Instance {
+impl Record {
+    /// Returns the instance under which the quarantine counts the endpoint's death.
+    pub(super) fn instance(&self) -> Instance {
         Instance::new(self.endpoint.vm.clone(), self.endpoint.incarnation)
     }
 }
 
-/// All endpoints.
+/// Known endpoints and the routing registry.
 #[derive(Debug, Default)]
 pub(super) struct Fleet {
     pub(super) registry: Registry,
-    pub(super) known: BTreeMap<name::Vm, Known>,
+    pub(super) records: BTreeMap<name::Vm, Record>,
 }
 
 impl Fleet {
-    /// Takes the endpoints that the configuration lists itself, spoken to over TLS or in clear text.
-    pub(super) fn configure(&mut self, config: &Config, tls: bool) {
+    /// Adds the endpoints that are listed in the configuration; `tls` selects TLS instead of clear text.
+    pub(super) fn add_configured(&mut self, config: &Config, tls: bool) {
         for listed in &config.endpoints {
-            // What the platform lists goes before what the configuration says of the same VM.
-            if self.known.contains_key(&listed.name) {
+            // The platform's list takes precedence over the configuration for the same VM.
+            if self.records.contains_key(&listed.name) {
                 continue;
             }
             let endpoint = Endpoint {
@@ -68,129 +69,134 @@
         }
     }
 
-    /// Adds one life of an endpoint.
+    /// Adds an incarnation of an endpoint, replacing the previous one of the same VM.
     pub(super) fn insert(&mut self, config: &Config, endpoint: Endpoint, class: name::Class, market: Market) {
-        self.forget(&endpoint.vm);
+        self.remove(&endpoint.vm);
         let vm = endpoint.vm.clone();
-        let mut known = Known {
+        let mut record = Record {
             endpoint: Arc::new(endpoint),
             class,
             market,
             key: None,
             leaving: false,
-            due: Instant::ZERO,
-            asked: false,
+            next_probe: Instant::ZERO,
+            is_probing: false,
             faults: Faults::default(),
         };
-        known.key = enter(&mut self.registry, config, &known);
-        self.known.insert(vm, known);
+        record.key = register(&mut self.registry, config, &record);
+        self.records.insert(vm, record);
     }
 
-    /// Finds the life of an endpoint that a message speaks of.
-    pub(super) fn find(&mut self, endpoint: &Endpoint) -> Option<&mut Known> {
-        self.known
+    /// Returns the record of an endpoint if the incarnation matches.
+    pub(super) fn find(&mut self, endpoint: &Endpoint) -> Option<&mut Record> {
+        self.records
             .get_mut(&endpoint.vm)
-            .filter(|known| known.endpoint.incarnation == endpoint.incarnation)
+            .filter(|record| record.endpoint.incarnation == endpoint.incarnation)
     }
 
-    /// Marks an endpoint as leaving, for good; returns whether that is news.
-    pub(super) fn leave(&mut self, endpoint: &Endpoint) -> bool {
-        let Some(known) = self.find(endpoint) else { return false };
-        let news = !core::mem::replace(&mut known.leaving, true);
-        let key = known.key;
-        if let Some(key) = key.filter(|_| news) {
+    /// Marks an endpoint as leaving permanently; returns whether it was not marked before.
+    pub(super) fn mark_leaving(&mut self, endpoint: &Endpoint) -> bool {
+        let Some(record) = self.find(endpoint) else {
+            return false;
+        };
+        let is_new = !core::mem::replace(&mut record.leaving, true);
+        let key = record.key;
+        if let Some(key) = key.filter(|_| is_new) {
             let _ = self.registry.mark_leaving(key);
         }
-        news
+        is_new
     }
 
-    /// Takes an endpoint out of routing until it is reached again; returns whether that is news.
-    pub(super) fn lose(&mut self, endpoint: &Endpoint) -> bool {
-        let key = self.find(endpoint).and_then(|known| known.key.take());
+    /// Removes an endpoint from routing until it is reachable again; returns whether it was in routing.
+    pub(super) fn mark_unreachable(&mut self, endpoint: &Endpoint) -> bool {
+        let key = self.find(endpoint).and_then(|record| record.key.take());
         if let Some(key) = key {
             self.registry.remove(key);
         }
         key.is_some()
     }
 
-    /// Brings an endpoint that was reached back into routing; returns whether that is news.
-    pub(super) fn regain(&mut self, config: &Config, endpoint: &Endpoint, now: Instant) -> bool {
-        let Some(known) = self
-            .known
+    /// Returns a reachable endpoint to routing unless it is suspended; returns whether it was added.
+    pub(super) fn mark_reachable(&mut self, config: &Config, endpoint: &Endpoint, now: Instant) -> bool {
+        let Some(record) = self
+            .records
             .get_mut(&endpoint.vm)
-            .filter(|known| known.endpoint.incarnation == endpoint.incarnation && known.key.is_none())
-            .filter(|known| known.faults.is_over(now))
+            .filter(|record| record.endpoint.incarnation == endpoint.incarnation && record.key.is_none())
+            .filter(|record| record.faults.allows_requests(now))
         else {
             return false;
         };
-        known.key = enter(&mut self.registry, config, known);
-        known.key.is_some()
+        record.key = register(&mut self.registry, config, record);
+        record.key.is_some()
     }
 
-    /// Suspends an endpoint that breaks too many attempts; returns whether that is news.
+    /// Records a failed attempt and suspends the endpoint after too many; returns whether that removed it from routing.
     ///
-    /// Failure: an endpoint answers its load reports and breaks what it is asked to do, at once. Symptom: it always
-    /// looks idle, so routing prefers it and it eats the retry budget. It gets no work for a while that doubles; at
-    /// most half of a service's endpoints are suspended, so that a fault of ours cannot take a service down.
-    pub(super) fn fault(&mut self, endpoint: &Endpoint, finished: u32, now: Instant) -> bool {
-        let of_service = |known: &&Known| known.endpoint.service == endpoint.service;
-        let all = self.known.values().filter(of_service).count();
-        let suspended = self.known.values().filter(of_service);
-        let suspended = suspended.filter(|known| !known.faults.is_over(now)).count();
-        let Some(known) = self.find(endpoint) else { return false };
-        if !known.faults.note(finished, now) || (suspended + 1) * 2 > all {
+    /// An endpoint that answers load probes but fails its requests immediately always looks idle, so routing would
+    /// prefer it and its failures would use up the retry budget. Each suspension is twice as long as the one before.
+    /// At most half of a service's endpoints are suspended, so that a fault of the entry cannot take a service down.
+    pub(super) fn record_failure(&mut self, endpoint: &Endpoint, finished: u32, now: Instant) -> bool {
+        let of_service = |record: &&Record| record.endpoint.service == endpoint.service;
+        let all = self.records.values().filter(of_service).count();
+        let suspended = self.records.values().filter(of_service);
+        let suspended = suspended.filter(|record| !record.faults.allows_requests(now)).count();
+        let Some(record) = self.find(endpoint) else {
+            return false;
+        };
+        if !record.faults.record(finished, now) || (suspended + 1) * 2 > all {
             return false;
         }
-        known.faults.suspend(now);
-        self.lose(endpoint)
+        record.faults.suspend(now);
+        self.mark_unreachable(endpoint)
     }
 
-    /// Returns how each endpoint in routing is reached.
+    /// Returns the endpoints in routing by their keys.
     pub(super) fn endpoints(&self) -> SecondaryMap<key::Endpoint, Arc<Endpoint>> {
-        self.known
+        self.records
             .values()
-            .filter_map(|known| Some((known.key?, Arc::clone(&known.endpoint))))
+            .filter_map(|record| Some((record.key?, Arc::clone(&record.endpoint))))
             .collect()
     }
 
-    /// Counts the endpoints by service, zone and state.
+    /// Returns the number of endpoints by service, zone and state.
     pub(super) fn census(&self) -> Census {
         let mut census = Census::new();
-        for known in self.known.values() {
-            let state = match known {
-                Known { leaving: true, .. } => metrics::State::Leaving,
-                Known { key: None, .. } => metrics::State::Unreachable,
-                Known { .. } => metrics::State::Live,
+        for record in self.records.values() {
+            let state = match record {
+                Record { leaving: true, .. } => metrics::State::Leaving,
+                Record { key: None, .. } => metrics::State::Unreachable,
+                Record { .. } => metrics::State::Live,
             };
-            let endpoint = &known.endpoint;
+            let endpoint = &record.endpoint;
             let place = (endpoint.service.clone(), endpoint.zone.clone(), state);
             *census.entry(place).or_default() += 1;
         }
         census
     }
 
-    fn forget(&mut self, vm: &name::Vm) {
-        if let Some(key) = self.known.remove(vm).and_then(|known| known.key) {
+    /// Removes the endpoint on a VM, from routing too.
+    fn remove(&mut self, vm: &name::Vm) {
+        if let Some(key) = self.records.remove(vm).and_then(|record| record.key) {
             self.registry.remove(key);
         }
     }
 }
 
-/// Gives an endpoint its place in routing.
-fn enter(registry: &mut Registry, config: &Config, known: &Known) -> Option<key::Endpoint> {
-    let endpoint = &known.endpoint;
-    let entered = view::Endpoint {
+/// Adds an endpoint to the routing registry; returns `None` if the registry is full.
+fn register(registry: &mut Registry, config: &Config, record: &Record) -> Option<key::Endpoint> {
+    let endpoint = &record.endpoint;
+    let row = view::Endpoint {
         service: registry.service(&endpoint.service).ok()?,
         zone: registry.zone(&endpoint.zone).ok()?,
-        class: registry.class(&known.class).ok()?,
-        market: known.market,
+        class: registry.class(&record.class).ok()?,
+        market: record.market,
         price: config
-            .price(&endpoint.zone, &known.class, known.market)
+            .price(&endpoint.zone, &record.class, record.market)
             .unwrap_or_default(),
         ..view::Endpoint::default()
     };
-    let key = registry.insert(entered).ok()?;
-    if known.leaving {
+    let key = registry.insert(row).ok()?;
+    if record.leaving {
         let _ = registry.mark_leaving(key);
     }
     Some(key)
--- a/bergamotshift-entry/src/control/listing.rs
+++ b/bergamotshift-entry/src/control/listing.rs
@@ -1,4 +1,4 @@
-//! Takes in what the platform's list says of VMs.
+//! Handling of the platform's VM listings.
 
 use core::sync::atomic::Ordering;
 
@@ -14,8 +14,8 @@
 use crate::snapshot::Endpoint;
 
 impl State {
-    /// Takes what the platform says of one VM.
-    pub(super) fn listed(&mut self, vm: &Listing) {
+    /// Handles the platform's listing of one VM.
+    pub(super) fn handle_listing(&mut self, vm: &Listing) {
         match &vm.role {
             Role::Endpoint(service) => {
                 let endpoint = Endpoint {
@@ -26,31 +26,32 @@
                     target: Target::new(vm.address, self.shared.settings.endpoints.tls.is_some()),
                     seat: sharing::Seat::default(),
                 };
-                self.listed_endpoint(vm, &endpoint);
+                self.handle_endpoint(vm, &endpoint);
             }
-            Role::Entry => self.listed_entry(vm),
+            Role::Entry => self.handle_entry(vm),
         }
     }
 
-    fn listed_endpoint(&mut self, vm: &Listing, endpoint: &Endpoint) {
+    /// Adds an endpoint's new incarnation, and marks the endpoint as leaving unless its VM is live.
+    fn handle_endpoint(&mut self, vm: &Listing, endpoint: &Endpoint) {
         if !self.config.services.contains_key(&endpoint.service) {
             return;
         }
-        let known = self.fleet.known.get(&vm.name).map(|known| known.endpoint.incarnation);
+        let known = self.fleet.records.get(&vm.name).map(|known| known.endpoint.incarnation);
         if known.is_none_or(|known| known < vm.incarnation) {
             let listed = endpoint.clone();
             self.fleet.insert(&self.config, listed, vm.class.clone(), vm.market);
-            self.due(Due::Now);
+            self.schedule(Due::Now);
         }
-        if vm.state != vm::State::Live && self.fleet.leave(endpoint) {
+        if vm.state != vm::State::Live && self.fleet.mark_leaving(endpoint) {
             info!(self.shared.settings.logger, "endpoint is leaving"; endpoint);
-            self.announced(endpoint);
-            self.due(Due::Now);
+            self.record_announcement(endpoint);
+            self.schedule(Due::Now);
         }
     }
 
-    /// Drains this entry when its own VM is leaving: the balancer sends no new callers then.
-    fn listed_entry(&self, vm: &Listing) {
+    /// Drains this entry if its own VM is leaving, so that the load balancer sends it no new callers.
+    fn handle_entry(&self, vm: &Listing) {
         let own = vm.name.as_str() == self.shared.settings.name.as_str();
         if own && vm.state != vm::State::Live && !self.shared.draining.swap(true, Ordering::AcqRel) {
             info!(self.shared.settings.logger, "this entry's VM is leaving");
--- a/bergamotshift-entry/src/control/mod.rs
+++ b/bergamotshift-entry/src/control/mod.rs
@@ -1,7 +1,7 @@
-//! The control thread: folds what is reported and publishes snapshots.
+//! The control thread: processes events and publishes snapshots for the worker threads.
 //!
-//! Worker threads talk to it over a channel, and only when an attempt failed. Everything it knows lives in one
-//! [`State`]; tasks that wait for the network report back over the same channel.
+//! Worker threads send it a message only if an attempt failed. Its whole state is one [`State`]; tasks that wait for
+//! the network report their results over the same channel.
 
 mod death;
 mod faults;
@@ -23,65 +23,65 @@
 use crate::snapshot::Endpoint;
 use crate::watch;
 
-/// What the control thread found out about an endpoint whose attempt failed.
+/// State of an endpoint after a failed attempt, as determined by the control thread.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Verdict {
-    /// Whether the endpoint's end had been announced.
+    /// Whether the endpoint had been announced as leaving.
     pub announced: bool,
-    /// Whether nothing listens there any more.
+    /// Whether nothing listens at the endpoint's address any more.
     pub dead: bool,
 }
 
-/// What a worker thread asks of the control thread.
+/// Request to the control thread from another thread.
 #[derive(Debug)]
 pub enum Request {
-    /// An attempt brought no whole answer.
+    /// An attempt ended without a complete answer; the endpoint's state is to be determined.
     AttemptFailed {
-        /// Where it ran.
+        /// Endpoint of the attempt.
         endpoint: Arc<Endpoint>,
-        /// Whether it ran at all, or no connection came about.
+        /// Whether the connection was established.
         connected: bool,
-        /// What ran.
+        /// Fingerprint of the request.
         fingerprint: Fingerprint,
-        /// Gets the verdict.
+        /// Receiver of the verdict.
         answer: oneshot::Sender<Verdict>,
     },
-    /// An operator wants to know how things stand.
+    /// An operator asks for the entry's status.
     Status(oneshot::Sender<Status>),
-    /// The entry ends.
+    /// The control thread is to stop.
     Stop,
 }
 
-/// Everything that reaches the control thread.
+/// Message to the control thread.
 #[derive(Debug)]
 pub enum Message {
-    /// A request of another thread.
+    /// Request from another thread.
     Request(Request),
-    /// Something that a watching task saw.
-    Seen(watch::Event),
-    /// Something that another entry said.
-    Told(crate::peers::Event),
+    /// Event from a watch task.
+    Watch(watch::Event),
+    /// Event from another entry or from the fleet task.
+    Peer(crate::peers::Event),
 }
 
 impl From<crate::peers::Event> for Message {
     fn from(event: crate::peers::Event) -> Self {
-        Self::Told(event)
+        Self::Peer(event)
     }
 }
 
 impl Message {
-    /// Returns what kind of message it is, for the metrics.
+    /// Returns the message's label in the metrics.
     pub(crate) const fn kind(&self) -> &'static str {
         match self {
             Self::Request(Request::AttemptFailed { .. }) => "broken",
             Self::Request(Request::Status(_)) => "status",
             Self::Request(Request::Stop) => "stop",
-            Self::Seen(watch::Event::Tick) => "tick",
-            Self::Seen(watch::Event::Configured { .. }) => "configured",
-            Self::Seen(watch::Event::Listed(_)) => "listed",
-            Self::Seen(watch::Event::Noticed(_)) => "noticed",
-            Self::Seen(watch::Event::Probed { .. }) => "probed",
-            Self::Told(_) => "told",
+            Self::Watch(watch::Event::Tick) => "tick",
+            Self::Watch(watch::Event::Configured { .. }) => "configured",
+            Self::Watch(watch::Event::Listed(_)) => "listed",
+            Self::Watch(watch::Event::Noticed(_)) => "noticed",
+            Self::Watch(watch::Event::Probed { .. }) => "probed",
+            Self::Peer(_) => "told",
         }
     }
 }
@@ -94,41 +94,41 @@
 
 impl From<watch::Event> for Message {
     fn from(event: watch::Event) -> Self {
-        Self::Seen(event)
+        Self::Watch(event)
     }
 }
 
-/// Sends messages to the control thread.
+/// Sender of messages to the control thread.
 #[derive(Clone, Debug)]
 pub struct Sender(mpsc::UnboundedSender<Message>);
 
 impl Sender {
-    /// Makes a channel to a control thread.
+    /// Creates a channel to a control thread.
     pub fn channel() -> (Self, mpsc::UnboundedReceiver<Message>) {
         let (sender, receiver) = mpsc::unbounded_channel();
         (Self(sender), receiver)
     }
 
-    /// Sends a message; when the control thread has ended it goes nowhere, and answers are never sent.
+    /// Sends a message; after the control thread has ended, the message is dropped and not answered.
     pub fn send(&self, message: impl Into<Message>) {
         drop(self.0.send(message.into()));
     }
 }
 
-/// Serves messages until the entry ends.
+/// Handles messages until [`Request::Stop`] arrives or all senders are dropped.
 pub async fn run(mut state: State, mut messages: mpsc::UnboundedReceiver<Message>) {
     while let Some(message) = messages.recv().await {
         let started = time::Instant::now();
-        if !state.take(message) {
+        if !state.handle(message) {
             return;
         }
-        // Messages that wait already are folded into the same snapshot.
+        // All queued messages are handled before one snapshot is published for them.
         while let Ok(message) = messages.try_recv() {
-            if !state.take(message) {
+            if !state.handle(message) {
                 return;
             }
         }
         state.publish();
-        state.turned(started.elapsed());
+        state.record_turn(started.elapsed());
     }
 }
--- a/bergamotshift-entry/src/control/peers.rs
+++ b/bergamotshift-entry/src/control/peers.rs
@@ -1,4 +1,4 @@
-//! What other entries tell the control thread, and what it tells them.
+//! Exchange with other entries: handles their events and announces this entry's observations.
 
 use std::collections::BTreeSet;
 
@@ -18,17 +18,17 @@
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 use super::State;
-use super::fleet::Known;
+use super::fleet::Record;
 use super::state::Due;
 use crate::peers::Event;
 use crate::peers::Request;
 use crate::snapshot::Endpoint;
 
 impl State {
-    /// Folds what another entry said.
-    pub(super) fn told(&mut self, event: Event) {
+    /// Handles an event from the fleet task.
+    pub(super) fn handle_peer_event(&mut self, event: Event) {
         match event {
-            Event::Marked(mark) => self.marked(&mark),
+            Event::Marked(mark) => self.handle_mark(&mark),
             Event::Watching(endpoint, true) => {
                 self.watched.insert(endpoint);
             }
@@ -37,13 +37,13 @@
             }
             Event::Loaded { endpoint, report, age } => {
                 let at = self.shared.now() - age;
-                let key = self.by_id(&endpoint).and_then(|known| known.key);
+                let key = self.find_by_id(&endpoint).and_then(|record| record.key);
                 if let Some(key) = key {
                     let _ = self.fleet.registry.record_report(key, report, at);
-                    self.due(Due::Tick);
+                    self.schedule(Due::Tick);
                 }
             }
-            Event::Noted { note, .. } => self.noted(&note),
+            Event::Noted { note, .. } => self.handle_note(&note),
             Event::Paused(gap) => {
                 warn!(self.shared.settings.logger, "this entry was paused"; "gap_ms" => gap.as_millis());
             }
@@ -57,20 +57,22 @@
         }
     }
 
-    fn marked(&mut self, mark: &mark::Mark) {
-        let Some(known) = self.by_id(&mark.endpoint) else {
+    /// Marks an endpoint as leaving that another entry announced.
+    fn handle_mark(&mut self, mark: &mark::Mark) {
+        let Some(record) = self.find_by_id(&mark.endpoint) else {
             return;
         };
-        let endpoint = std::sync::Arc::clone(&known.endpoint);
-        if self.fleet.leave(&endpoint) {
+        let endpoint = std::sync::Arc::clone(&record.endpoint);
+        if self.fleet.mark_leaving(&endpoint) {
             info!(self.shared.settings.logger, "another entry says that an endpoint leaves";
                 "vm" => endpoint.vm.as_str());
-            self.announced(&endpoint);
-            self.due(Due::Now);
+            self.record_announcement(&endpoint);
+            self.schedule(Due::Now);
         }
     }
 
-    fn noted(&mut self, note: &note::Note) {
+    /// Merges another entry's suspicions; notes on other topics are ignored.
+    fn handle_note(&mut self, note: &note::Note) {
         if note.topic != note::Topic::QUARANTINE {
             return;
         }
@@ -81,27 +83,29 @@
             *age += core::time::Duration::from_secs(u64::from(note.age_s));
         }
         self.quarantine.merge(self.shared.now(), &[suspicion]);
-        self.due(Due::Now);
+        self.schedule(Due::Now);
     }
 
-    /// Tells the others what this entry suspects; what they were told before costs nothing.
+    /// Announces this entry's suspicions to the other entries.
+    ///
+    /// A suspicion that is unchanged has the same key and version, so its announcement is not repeated.
     pub(super) fn share_suspicions(&self) {
         let Some(peers) = self.shared.peers.get() else { return };
         for suspicion in self.quarantine.suspicions(self.shared.now()) {
             for death in suspicion.deaths {
-                let (victim, _, standing) = &death;
-                let hash = xxh3_64_with_seed(victim.vm.as_str().as_bytes(), victim.incarnation.get());
-                let version = match standing {
+                let (instance, _, attribution) = &death;
+                let hash = xxh3_64_with_seed(instance.vm.as_str().as_bytes(), instance.incarnation.get());
+                let version = match attribution {
                     Attribution::Counted => 1,
                     Attribution::Forgiven => 2,
                     Attribution::Announced => 3,
                 };
                 let key = suspicion.fingerprint.get() ^ u128::from(hash);
-                let alone = Suspicion {
+                let single = Suspicion {
                     fingerprint: suspicion.fingerprint,
                     deaths: vec![death],
                 };
-                let Ok(body) = postcard::to_stdvec(&alone) else {
+                let Ok(body) = postcard::to_stdvec(&single) else {
                     continue;
                 };
                 peers.send(Request::Announce {
@@ -114,8 +118,8 @@
         }
     }
 
-    /// Tells the others that an endpoint leaves.
-    pub(super) fn tell_leaving(&self, endpoint: &Endpoint, source: mark::Source, notice_ms: Option<u64>) {
+    /// Announces to the other entries that an endpoint is leaving.
+    pub(super) fn announce_leaving(&self, endpoint: &Endpoint, source: mark::Source, notice_ms: Option<u64>) {
         let Some(peers) = self.shared.peers.get() else { return };
         peers.send(Request::Leaving {
             endpoint: id(endpoint),
@@ -124,24 +128,24 @@
         });
     }
 
-    /// Takes the platform's list in and tells the others.
-    pub(super) fn all_listed(&mut self, listings: &[Listing]) {
-        self.tell_list(listings);
+    /// Handles the platform's VM list and announces it to the other entries.
+    pub(super) fn handle_list(&mut self, listings: &[Listing]) {
+        self.announce_list(listings);
         for vm in listings {
-            self.listed(vm);
+            self.handle_listing(vm);
         }
     }
 
-    /// Takes the platform's notices in and tells the others.
-    pub(super) fn all_noticed(&mut self, notices: &[Notice]) {
+    /// Handles the platform's notices and announces them to the other entries.
+    pub(super) fn handle_notices(&mut self, notices: &[Notice]) {
         for notice in notices {
-            self.tell_notice(&notice.vm);
-            self.listed(&notice.vm);
+            self.announce_notice(&notice.vm);
+            self.handle_listing(&notice.vm);
         }
     }
 
-    /// Tells the others of an endpoint whose notice this entry read.
-    fn tell_notice(&self, listing: &Listing) {
+    /// Announces an endpoint that is leaving according to a notice.
+    fn announce_notice(&self, listing: &Listing) {
         let Some(peers) = self.shared.peers.get() else { return };
         let (vm::State::Leaving { notice_ms }, Role::Endpoint(_)) = (listing.state, &listing.role) else {
             return;
@@ -156,42 +160,42 @@
         });
     }
 
-    /// Tells the others what the VM list shows.
-    fn tell_list(&self, listings: &[Listing]) {
+    /// Announces the VM list.
+    fn announce_list(&self, listings: &[Listing]) {
         if let Some(peers) = self.shared.peers.get() {
             peers.send(Request::Listed(listings.to_vec()));
         }
     }
 
-    /// Tells the others an endpoint's load.
-    pub(super) fn tell_load(&self, endpoint: &Endpoint, report: Report) {
+    /// Announces the load of an endpoint, if this entry watches it for the others.
+    pub(super) fn announce_load(&self, endpoint: &Endpoint, report: Report) {
         let endpoint = id(endpoint);
         if let Some(peers) = self.shared.peers.get().filter(|_| self.watched.contains(&endpoint)) {
             peers.send(Request::Loaded { endpoint, report });
         }
     }
 
-    /// Returns the endpoints that other entries ask for their load, so that this one need not.
-    pub(super) fn left_to_others(&self) -> BTreeSet<name::Vm> {
-        let known = self.fleet.known.values();
-        let left = known.filter(|known| self.is_left_to_others(known));
-        left.map(|known| known.endpoint.vm.clone()).collect()
+    /// Returns the endpoints that other entries probe, so that this entry does not have to.
+    pub(super) fn probed_by_others(&self) -> BTreeSet<name::Vm> {
+        let records = self.fleet.records.values();
+        let probed = records.filter(|record| self.is_probed_by_others(record));
+        probed.map(|record| record.endpoint.vm.clone()).collect()
     }
 
-    /// Returns whether other entries ask an endpoint for its load, so that this one need not.
+    /// Returns whether other entries probe an endpoint, so that this entry does not have to.
     ///
-    /// One that cannot be reached is asked by everybody who lost it, and so are those that no VM list shows.
-    fn is_left_to_others(&self, known: &Known) -> bool {
-        let is_listed = known.endpoint.incarnation != Incarnation::default();
+    /// An unreachable endpoint is probed by every entry that lost it, and one that no VM list contains by all entries.
+    fn is_probed_by_others(&self, record: &Record) -> bool {
+        let is_listed = record.endpoint.incarnation != Incarnation::default();
         is_listed
-            && known.key.is_some()
+            && record.key.is_some()
             && self.shared.peers.get().is_some()
-            && !self.watched.contains(&id(&known.endpoint))
+            && !self.watched.contains(&id(&record.endpoint))
     }
 
-    fn by_id(&self, endpoint: &endpoint::Id) -> Option<&Known> {
-        let known = self.fleet.known.get(&endpoint.vm);
-        known.filter(|known| known.endpoint.incarnation == endpoint.incarnation)
+    fn find_by_id(&self, endpoint: &endpoint::Id) -> Option<&Record> {
+        let record = self.fleet.records.get(&endpoint.vm);
+        record.filter(|record| record.endpoint.incarnation == endpoint.incarnation)
     }
 }
 
--- a/bergamotshift-entry/src/control/publish.rs
+++ b/bergamotshift-entry/src/control/publish.rs
@@ -1,4 +1,4 @@
-//! Publishes the snapshot that requests are served from, and counts what it holds.
+//! Publication of snapshots for the worker threads, and the metrics of their contents.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -15,14 +15,14 @@
 use crate::snapshot::Snapshot;
 
 impl State {
-    /// Publishes a snapshot when one is due.
+    /// Publishes a snapshot if one is due immediately.
     pub(super) fn publish(&mut self) {
         if self.due == Due::Now {
             self.publish_now();
         }
     }
 
-    /// Publishes a snapshot.
+    /// Publishes a snapshot unconditionally.
     pub(crate) fn publish_now(&mut self) {
         self.due = Due::Never;
         self.number += 1;
@@ -41,11 +41,11 @@
         };
         self.shared.publisher.publish(snapshot);
         self.shared.metrics.snapshots.inc();
-        self.count();
+        self.update_metrics();
     }
 
-    /// Brings the metrics in line with what was published.
-    fn count(&mut self) {
+    /// Updates the metrics to match the published snapshot.
+    fn update_metrics(&mut self) {
         let metrics = &self.shared.metrics;
         let quarantined = self.shared.publisher.current().quarantine.len();
         metrics.quarantined.set(quarantined as i64);
@@ -55,6 +55,7 @@
         self.census = census;
     }
 
+    /// Returns the services of the configuration in force.
     fn services(&mut self) -> BTreeMap<name::Service, snapshot::Service> {
         let config = Arc::clone(&self.config);
         let zones: Vec<_> = config.zones.keys().collect();
@@ -91,10 +92,10 @@
         services
     }
 
-    /// Returns a service's budget, which stays the same until its rule changes.
+    /// Returns a service's retry budget, which is kept across snapshots until its rule changes.
     fn budget(&mut self, name: &name::Service, rule: Retry) -> Arc<retry::Budget> {
-        if let Some((known, budget)) = self.budgets.get(name)
-            && *known == rule
+        if let Some((previous, budget)) = self.budgets.get(name)
+            && *previous == rule
         {
             return Arc::clone(budget);
         }
@@ -107,6 +108,7 @@
         budget
     }
 
+    /// Returns the allowed zones of each organisation that is restricted to some.
     fn organisation_zones(&mut self) -> BTreeMap<name::Organisation, Set> {
         let config = Arc::clone(&self.config);
         let registry = &mut self.fleet.registry;
--- a/bergamotshift-entry/src/control/state.rs
+++ b/bergamotshift-entry/src/control/state.rs
@@ -1,4 +1,4 @@
-//! What the control thread knows and how it folds messages.
+//! State of the control thread, and dispatch of its messages.
 
 use core::time::Duration;
 use std::collections::BTreeMap;
@@ -30,42 +30,45 @@
 use crate::watch::Waiting;
 use crate::worker::Shared;
 
-/// How soon the next snapshot is due.
+/// Urgency of the next snapshot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Due {
     /// Nothing changed.
     Never,
-    /// Readings changed; the next tick will do.
+    /// Only load reports changed; the snapshot is published at the next tick.
     Tick,
-    /// Callers would be sent to the wrong place.
+    /// Requests would be routed to the wrong endpoints; the snapshot is published after the queued messages.
     Now,
 }
 
-/// Everything the control thread knows.
+/// State of the control thread.
 #[derive(Debug)]
 pub struct State {
     pub(super) shared: Arc<Shared>,
     sender: Sender,
     adapters: BTreeMap<SmolStr, Rc<dyn Adapter>>,
     pub(super) config: Arc<Config>,
-    /// The accepted version in force; none when the configuration was given to the process.
+    /// Accepted configuration version in force; `None` before the first one, and if the configuration was given at the
+    /// start of the process.
     pub(super) version: Option<Version>,
     pub(super) fleet: Fleet,
     pub(super) quarantine: Quarantine,
-    /// The endpoints that this entry watches for the others.
+    /// Endpoints whose load this entry probes for the other entries.
     pub(super) watched: BTreeSet<bergamotshift_fleet::endpoint::Id>,
     pub(super) sharing: sharing::Control,
     pub(super) budgets: BTreeMap<name::Service, (Retry, Arc<retry::Budget>)>,
+    /// Endpoint counts that the metrics show.
     pub(super) census: Census,
+    /// Number of the last published snapshot.
     pub(super) number: u64,
     pub(super) due: Due,
 }
 
 impl State {
-    /// Makes the state of an entry that has published `first`, and knows no endpoints yet.
+    /// Creates a state that knows only the endpoints listed in the configuration.
     pub fn new(shared: Arc<Shared>, adapters: BTreeMap<SmolStr, Rc<dyn Adapter>>, config: Arc<Config>) -> Self {
         let mut fleet = Fleet::default();
-        fleet.configure(&config, shared.settings.endpoints.tls.is_some());
+        fleet.add_configured(&config, shared.settings.endpoints.tls.is_some());
         let quarantine = Quarantine::new(shared.settings.quarantine);
         let sender = shared.control.clone();
         Self {
@@ -85,8 +88,8 @@
         }
     }
 
-    /// Folds one message; returns whether the entry goes on.
-    pub(super) fn take(&mut self, message: Message) -> bool {
+    /// Handles a message; returns whether the control thread continues.
+    pub(super) fn handle(&mut self, message: Message) -> bool {
         self.shared.metrics.message(message.kind());
         match message {
             Message::Request(Request::AttemptFailed {
@@ -94,67 +97,69 @@
                 connected,
                 fingerprint,
                 answer,
-            }) => self.broken(endpoint, connected, Waiting { fingerprint, answer }),
+            }) => self.handle_failed_attempt(endpoint, connected, Waiting { fingerprint, answer }),
             Message::Request(Request::Status(answer)) => {
-                // A status tells what is published; messages of the same turn may have changed more than that.
+                // The status shows the published snapshot, so urgent changes by earlier messages are published first.
                 self.publish();
                 drop(answer.send(self.status()));
             }
             Message::Request(Request::Stop) => return false,
-            Message::Seen(Event::Tick) => self.tick(),
-            Message::Seen(Event::Configured { mark, config }) => self.configure(mark, config),
-            Message::Seen(Event::Listed(listings)) => self.all_listed(&listings),
-            Message::Seen(Event::Noticed(notices)) => self.all_noticed(&notices),
-            Message::Told(event) => self.told(event),
-            Message::Seen(Event::Probed {
+            Message::Watch(Event::Tick) => self.tick(),
+            Message::Watch(Event::Configured { mark, config }) => self.configure(mark, config),
+            Message::Watch(Event::Listed(listings)) => self.handle_list(&listings),
+            Message::Watch(Event::Noticed(notices)) => self.handle_notices(&notices),
+            Message::Peer(event) => self.handle_peer_event(event),
+            Message::Watch(Event::Probed {
                 endpoint,
                 report,
                 waiting,
-            }) => self.probed(&endpoint, &report, waiting),
+            }) => self.handle_probe(&endpoint, &report, waiting),
         }
         true
     }
 
-    /// Counts the time that the messages of one turn took.
-    pub(super) fn turned(&self, time: Duration) {
+    /// Records the time spent on one batch of messages.
+    pub(super) fn record_turn(&self, time: Duration) {
         self.shared.metrics.turn.observe(time);
     }
 
-    /// Puts a configuration version in force; requests under way keep the one they began with.
+    /// Applies a configuration version; requests in flight keep the version they started with.
     fn configure(&mut self, mark: Revision, config: Arc<Config>) {
         self.config = config;
         self.version = Some(mark.version);
         let tls = self.shared.settings.endpoints.tls.is_some();
-        self.fleet.configure(&self.config, tls);
-        self.due(Due::Now);
+        self.fleet.add_configured(&self.config, tls);
+        self.schedule(Due::Now);
     }
 
-    /// Returns whether there is a configuration to serve by.
+    /// Returns whether the entry has a configuration.
     ///
-    /// Failure: a fresh entry is sent callers before it knows any organisation. Symptom: 401 for everybody. It is not
-    /// ready until it was given a configuration or has learnt the accepted one.
+    /// A new entry that knows no organisation yet would answer every caller with 401. It is not ready until it has been
+    /// started with a configuration or has received the accepted one.
     pub(super) fn is_configured(&self) -> bool {
         self.version.is_some() || !self.shared.settings.follows()
     }
 
-    pub(super) fn due(&mut self, due: Due) {
+    /// Schedules a snapshot; the more urgent request wins.
+    pub(super) fn schedule(&mut self, due: Due) {
         self.due = self.due.max(due);
     }
 
+    /// Probes the endpoints whose probes are due, and publishes changed load reports.
     fn tick(&mut self) {
         let now = self.shared.now();
         let interval = self.shared.settings.watch.reports;
-        let mut asked = Vec::new();
-        let others = self.left_to_others();
-        for known in self.fleet.known.values_mut() {
-            if !known.asked && known.due <= now && !others.contains(&known.endpoint.vm) {
-                known.asked = true;
-                known.due = now + interval;
-                asked.push(Arc::clone(&known.endpoint));
+        let mut endpoints = Vec::new();
+        let others = self.probed_by_others();
+        for record in self.fleet.records.values_mut() {
+            if !record.is_probing && record.next_probe <= now && !others.contains(&record.endpoint.vm) {
+                record.is_probing = true;
+                record.next_probe = now + interval;
+                endpoints.push(Arc::clone(&record.endpoint));
             }
         }
-        for endpoint in asked {
-            self.ask(endpoint, None);
+        for endpoint in endpoints {
+            self.probe(endpoint, None);
         }
         if self.due == Due::Tick {
             self.publish_now();
@@ -162,8 +167,8 @@
         self.sharing.tick(now, &self.shared.publisher.current());
     }
 
-    /// Asks an endpoint for its load.
-    pub(super) fn ask(&self, endpoint: Arc<Endpoint>, waiting: Option<Waiting>) {
+    /// Starts a load probe of an endpoint; `waiting` receives the verdict.
+    pub(super) fn probe(&self, endpoint: Arc<Endpoint>, waiting: Option<Waiting>) {
         let adapter = self
             .config
             .services
@@ -173,20 +178,21 @@
         ntex::rt::spawn(watch::probe(Rc::clone(adapter), endpoint, waiting, self.sender.clone())).detach();
     }
 
+    /// Returns the status of the entry, with the published counts of requests in flight.
     fn status(&self) -> Status {
         let snapshot = self.shared.publisher.current();
         let in_flight = |key: Option<key::Endpoint>| {
             key.and_then(|key| snapshot.view.find(key))
                 .map_or(0, |row| row.counter().in_flight())
         };
-        let endpoints = self.fleet.known.values().map(|known| status::Endpoint {
-            vm: known.endpoint.vm.clone(),
-            incarnation: known.endpoint.incarnation,
-            service: known.endpoint.service.clone(),
-            zone: known.endpoint.zone.clone(),
-            leaving: known.leaving,
-            reachable: known.key.is_some(),
-            in_flight: in_flight(known.key),
+        let endpoints = self.fleet.records.values().map(|record| status::Endpoint {
+            vm: record.endpoint.vm.clone(),
+            incarnation: record.endpoint.incarnation,
+            service: record.endpoint.service.clone(),
+            zone: record.endpoint.zone.clone(),
+            leaving: record.leaving,
+            reachable: record.key.is_some(),
+            in_flight: in_flight(record.key),
         });
         Status::of(&self.shared, self.version, endpoints.collect())
     }
