--- a/bergamotshift-entry/src/claims/convert.rs
+++ b/bergamotshift-entry/src/claims/convert.rs
@@ -1,4 +1,4 @@
-//! Answers of endpoints as they are kept, and back.
+//! Conversion between answers of endpoints and their stored form.
 
 use bergamotshift_claim::answer;
 use bergamotshift_claim::answer::Answer;
@@ -13,7 +13,7 @@
 use super::Store;
 use crate::exchange::whole::Whole;
 
-/// Returns an answer as it is kept.
+/// Converts an answer to its stored form.
 pub fn from_whole(whole: &Whole) -> Answer {
     Answer {
         status: whole.status.as_u16(),
@@ -22,11 +22,11 @@
     }
 }
 
-/// Returns a kept answer as the caller gets it.
+/// Converts a stored answer to the one that the caller receives; fetches its body if it is in the object store.
 ///
 /// # Errors
 ///
-/// Returns an error when its body was not kept or cannot be fetched.
+/// Returns [`Error::AnswerUnavailable`] if the body was not stored or cannot be fetched.
 pub async fn to_whole(answer: Answer, store: &Store) -> Result<Whole, Error> {
     let body = match answer.body {
         Body::Inline(bytes) => Bytes::from(bytes),
@@ -40,7 +40,7 @@
     })
 }
 
-/// Returns headers as they are kept.
+/// Converts headers to their stored form.
 pub fn from_headers(headers: &HeaderMap) -> Vec<answer::Header> {
     let header = |(name, value): (&HeaderName, &HeaderValue)| answer::Header {
         name: name.as_str().into(),
@@ -49,10 +49,10 @@
     headers.iter().map(header).collect()
 }
 
-/// Returns kept headers as they go out.
-pub fn to_headers(kept: &[answer::Header]) -> HeaderMap {
+/// Converts stored headers back; headers that are not valid are left out.
+pub fn to_headers(stored: &[answer::Header]) -> HeaderMap {
     let mut headers = HeaderMap::new();
-    for header in kept {
+    for header in stored {
         let name = HeaderName::from_bytes(header.name.as_bytes());
         let value = HeaderValue::from_bytes(&header.value);
         if let (Ok(name), Ok(value)) = (name, value) {
--- a/bergamotshift-entry/src/claims/drive.rs
+++ b/bergamotshift-entry/src/claims/drive.rs
@@ -1,4 +1,4 @@
-//! Drives the claim of one request that must not be repeated.
+//! Execution of a non-repeatable request under a claim.
 
 use std::rc::Rc;
 use std::time::SystemTime;
@@ -34,38 +34,39 @@
 use crate::worker::Recording;
 use crate::worker::Worker;
 
-/// What the caller is told, and what the endpoints said when they brought no answer.
+/// Result of a claim.
 #[derive(Debug)]
 pub struct Conclusion {
-    /// What the claim came to.
+    /// Reply to the caller.
     pub reply: Reply,
-    /// What the endpoints said.
+    /// Failure of the attempts, if they brought no answer.
     pub failure: Option<api::error::Error>,
 }
 
-/// Sends a request at most once, whatever its caller, the table or the endpoints do.
+/// Claims a request's key and sends the request at most once, even if the caller, the table or the endpoints fail.
 ///
-/// The claim goes on when the future is dropped: what was sent has to be recorded for the next who asks.
+/// The claim continues if the future is dropped: once the request is sent, its outcome has to be recorded for later
+/// requests with the key.
 pub async fn claim(worker: &Rc<Worker>, call: Rc<Call>, ticket: Ticket, key: SmolStr, trace: &Trace) -> Conclusion {
     let scope = Scope {
         organisation: call.organisation.clone(),
         service: call.service.clone(),
         key,
     };
-    let (told, telling) = oneshot::channel();
-    let claim = Claim::new(Rc::clone(worker), call, scope, trace.clone(), ticket, told);
+    let (sender, receiver) = oneshot::channel();
+    let claim = Claim::new(Rc::clone(worker), call, scope, trace.clone(), ticket, sender);
     ntex::rt::spawn(claim.run()).detach();
-    telling.await.unwrap_or(Conclusion {
+    receiver.await.unwrap_or(Conclusion {
         reply: Reply::Unknown,
         failure: None,
     })
 }
 
-/// Sends a caller's request at most once.
+/// Sends a caller's request at most once and returns the response.
 ///
 /// # Errors
 ///
-/// Returns the failure that the caller is told of.
+/// Returns the error to report to the caller.
 pub async fn send_once(
     worker: &Rc<Worker>,
     call: Rc<Call>,
@@ -89,34 +90,38 @@
     let whole = convert::to_whole(answer, &worker.shared.store).await;
     let whole = whole.map_err(api::error::Error::from_claim)?;
     let response = reply::whole(whole, id);
-    Ok(if replayed { join::replayed(response) } else { response })
+    Ok(if replayed {
+        join::mark_replayed(response)
+    } else {
+        response
+    })
 }
 
-/// One claim on its way.
+/// Claim in progress.
 struct Claim {
     worker: Rc<Worker>,
     call: Rc<Call>,
     driver: Driver,
-    told: Option<oneshot::Sender<Conclusion>>,
+    reply_sender: Option<oneshot::Sender<Conclusion>>,
     failure: Option<api::error::Error>,
-    events: mpsc::UnboundedSender<Happened>,
-    happened: mpsc::UnboundedReceiver<Happened>,
+    input_sender: mpsc::UnboundedSender<Input>,
+    inputs: mpsc::UnboundedReceiver<Input>,
     trace: Trace,
-    /// Counts what is used, until the request is sent.
+    /// Admission of the request; `None` once the request is sent.
     ticket: Option<Ticket>,
-    /// Lasts until the claim stands or is given up.
+    /// Trace span of the claim; ends when the request is sent or answered without being sent.
     span: Option<Span>,
-    /// Keeps the entry from ending before the answer is recorded.
+    /// Keeps the entry running until the answer is recorded.
     _recording: Recording,
 }
 
-/// An event, with what the endpoints said if they brought no answer.
-struct Happened {
+/// Event for the driver, with the failure of the attempts if they brought no answer.
+struct Input {
     event: Event,
     failure: Option<api::error::Error>,
 }
 
-impl From<Event> for Happened {
+impl From<Event> for Input {
     fn from(event: Event) -> Self {
         Self { event, failure: None }
     }
@@ -129,7 +134,7 @@
         scope: Scope,
         trace: Trace,
         ticket: Ticket,
-        told: oneshot::Sender<Conclusion>,
+        reply_sender: oneshot::Sender<Conclusion>,
     ) -> Self {
         trace.admitted();
         let now = worker.shared.now();
@@ -141,43 +146,43 @@
             deadline: call.times.deadline,
             wall_clock: WallClock::new(now, unix_millis()),
         };
-        let (events, happened) = mpsc::unbounded_channel();
+        let (input_sender, inputs) = mpsc::unbounded_channel();
         Self {
             driver: Driver::new(request, driver::Settings::default()),
             _recording: Recording::start(&worker.shared),
             call,
             ticket: Some(ticket),
             worker,
-            told: Some(told),
+            reply_sender: Some(reply_sender),
             span: Some(trace.span(Hop::Claim)),
             trace,
             failure: None,
-            events,
-            happened,
+            input_sender,
+            inputs,
         }
     }
 
     async fn run(mut self) {
-        self.take(Event::Ask.into());
+        self.handle(Event::Ask.into());
         while !self.driver.is_closed() {
             let due = self.driver.due().map(|due| due.since(self.worker.shared.now()));
-            let happened = tokio::select! {
-                Some(happened) = self.happened.recv() => happened,
+            let input = tokio::select! {
+                Some(input) = self.inputs.recv() => input,
                 () = tokio::time::sleep(due.unwrap_or_default()), if due.is_some() => Event::Woke.into(),
             };
-            self.take(happened);
+            self.handle(input);
         }
     }
 
-    fn take(&mut self, happened: Happened) {
-        self.failure = happened.failure.or(self.failure.take());
+    fn handle(&mut self, input: Input) {
+        self.failure = input.failure.or(self.failure.take());
         let now = self.worker.shared.now();
-        for action in self.driver.on(now, happened.event) {
-            self.carry_out(action);
+        for action in self.driver.on(now, input.event) {
+            self.execute(action);
         }
     }
 
-    fn carry_out(&mut self, action: Action) {
+    fn execute(&mut self, action: Action) {
         let store = self.worker.shared.store.clone();
         match action {
             Action::Write { op, write } => self.spawn(async move {
@@ -194,28 +199,30 @@
             }),
             Action::Send => {
                 self.span = None;
-                let ticket = self.ticket.take().expect("a driver sends once");
+                let ticket = self.ticket.take().expect("a driver sends at most once");
                 let attempts = Attempts::new(Rc::clone(&self.worker), Rc::clone(&self.call), ticket);
                 self.spawn(send(attempts.traced(&self.trace)));
             }
             Action::Reply(reply) => self.reply(reply),
-            // The loop asks the driver itself when it wants to be woken.
+            // `run` reads the time from `Driver::due`.
             Action::Wake(_) => {}
         }
     }
 
+    /// Sends the reply to the caller; only the first one is sent.
     fn reply(&mut self, reply: Reply) {
         self.span = None;
-        if let Some(told) = self.told.take() {
+        if let Some(sender) = self.reply_sender.take() {
             let failure = self.failure.take();
-            let _ = told.send(Conclusion { reply, failure });
+            let _ = sender.send(Conclusion { reply, failure });
         }
     }
 
-    fn spawn(&self, work: impl Future<Output = Happened> + 'static) {
-        let events = self.events.clone();
+    /// Runs an operation in the background and feeds its result back.
+    fn spawn(&self, work: impl Future<Output = Input> + 'static) {
+        let sender = self.input_sender.clone();
         let work = async move {
-            drop(events.send(work.await));
+            drop(sender.send(work.await));
         };
         ntex::rt::spawn(work).detach();
     }
@@ -223,32 +230,33 @@
 
 impl Drop for Claim {
     fn drop(&mut self) {
-        // What was not sent, because it is replayed or refused, used nothing.
+        // A request that was not sent, because it was replayed or refused, used nothing.
         if let Some(ticket) = self.ticket.take() {
             ticket.settle(self.worker.shared.now(), Outcome::NotRun);
         }
     }
 }
 
-/// Sends the request; a second endpoint is tried only as long as none got a byte.
-async fn send(mut attempts: Attempts) -> Happened {
-    let (verdict, failure) = match whole::fetch(&mut attempts).await {
+/// Sends the request. Another endpoint is tried only while no endpoint can have executed it.
+async fn send(mut attempts: Attempts) -> Input {
+    let (completion, failure) = match whole::fetch(&mut attempts).await {
         Ok(whole) => {
             attempts.count_whole(&whole.body);
             (Completion::Answered(convert::from_whole(&whole)), None)
         }
         Err(error) => {
             let refused = attempts.outcome() == Outcome::NotRun;
-            let verdict = if refused { Completion::Refused } else { Completion::Lost };
-            (verdict, Some(attempts.fail(&error)))
+            let completion = if refused { Completion::Refused } else { Completion::Lost };
+            (completion, Some(attempts.fail(&error)))
         }
     };
-    Happened {
-        event: Event::Completed(verdict),
+    Input {
+        event: Event::Completed(completion),
         failure,
     }
 }
 
+/// Returns the time since the Unix epoch, in milliseconds.
 fn unix_millis() -> u64 {
     let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     u64::try_from(since.as_millis()).unwrap_or(u64::MAX)
--- a/bergamotshift-entry/src/claims/error.rs
+++ b/bergamotshift-entry/src/claims/error.rs
@@ -1,4 +1,4 @@
-//! Why a request under an idempotency key brought no answer.
+//! Errors of requests with an idempotency key.
 
 use core::time::Duration;
 
@@ -8,38 +8,38 @@
 use ntex::http::StatusCode;
 use thiserror::Error as ThisError;
 
-/// When a caller should come back for something that passes.
-const SOON: Duration = Duration::from_secs(1);
+/// Time after which a caller may retry a temporary error.
+const RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Why a request under an idempotency key brought no answer.
+/// Reason why a request with an idempotency key got no answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(ThisError)]
 pub enum Error {
-    /// The table service did not take the claim.
+    /// The table service did not accept the claim.
     #[error("this request was not recorded, so it was not sent; ask again with the same key")]
     Unrecorded,
-    /// The deadline passed before the claim stood.
+    /// The deadline passed before the request could be sent.
     #[error("the deadline passed before the request could be sent")]
     Deadline,
-    /// No endpoint took the request.
+    /// No endpoint accepted the request.
     #[error("no endpoint took the request")]
     Endpoint,
-    /// The answer was lost.
+    /// The request was sent and its answer was lost.
     #[error("the request was sent and its answer is lost; it is not sent again")]
     Lost,
-    /// Another request under the key is under way.
+    /// Another request with the key is in progress.
     #[error("a request with this key is under way")]
     InProgress,
-    /// The key belongs to another request.
+    /// The key was used for a different request.
     #[error("the key was used for another request")]
     Mismatch,
-    /// The request ran, but its answer cannot be had.
+    /// The request was executed, but its answer was not stored or cannot be fetched.
     #[error("the request ran, but its answer is not at hand")]
     AnswerUnavailable,
 }
 
 impl Error {
-    /// Returns what a claim's reply means, if it is no answer.
+    /// Returns the error for a claim's reply; `None` if the reply is an answer.
     pub const fn from_reply(reply: &Reply) -> Option<Self> {
         match reply {
             Reply::Answer(_) | Reply::Replay(_) => None,
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Returns whether the request ran.
+    /// Returns whether the request was executed, as far as is known.
     pub const fn outcome(self) -> Outcome {
         match self {
             Self::Unrecorded | Self::Deadline | Self::Endpoint | Self::Mismatch => Outcome::NotRun,
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Returns the HTTP status and the API's code.
+    /// Returns the HTTP status and the API's error code.
     pub const fn status_and_code(self) -> (StatusCode, &'static str) {
         match self {
             Self::Unrecorded => (StatusCode::SERVICE_UNAVAILABLE, "not_recorded"),
@@ -76,10 +76,10 @@
         }
     }
 
-    /// Returns when the caller should ask again, where that helps.
+    /// Returns the time after which the caller may retry; `None` if a retry does not help.
     pub const fn retry_after(self) -> Option<Duration> {
         match self {
-            Self::Unrecorded | Self::Endpoint | Self::InProgress | Self::AnswerUnavailable => Some(SOON),
+            Self::Unrecorded | Self::Endpoint | Self::InProgress | Self::AnswerUnavailable => Some(RETRY_AFTER),
             Self::Deadline | Self::Lost | Self::Mismatch => None,
         }
     }
--- a/bergamotshift-entry/src/claims/join.rs
+++ b/bergamotshift-entry/src/claims/join.rs
@@ -1,4 +1,4 @@
-//! Lets a keyed request that may be repeated join or replay an earlier one.
+//! Deduplication of repeatable requests with an idempotency key.
 
 use std::rc::Rc;
 
@@ -20,21 +20,21 @@
 use crate::exchange::whole::Whole;
 use crate::worker::Worker;
 
-/// What a request that carries a key does next.
+/// Result of the search for an earlier request with the same key.
 #[derive(Debug)]
 pub enum Lookup {
-    /// It runs; with a key, it leaves its answer to others.
+    /// No answer was found. The request is to be executed; with a key, it shares its answer through the [`Leader`].
     Run(Option<Leader>),
-    /// An earlier one has answered it.
+    /// An earlier request provided the answer.
     Answered(Response),
 }
 
 impl Lookup {
-    /// Looks for an earlier request under the same key, and waits for its answer if it is still running.
+    /// Looks for an earlier request with the same key, and waits for its answer if it is still running.
     ///
     /// # Errors
     ///
-    /// Returns an error when the key belongs to another request, or too many wait already.
+    /// Returns an error if the key was used for a different request, or if too many requests wait for the answer.
     pub async fn find_answer(worker: &Rc<Worker>, call: &Call) -> Result<Self, api::error::Error> {
         let Some(key) = &call.key else {
             return Ok(Self::Run(None));
@@ -47,34 +47,34 @@
         let digest = Digest::of(call.method.as_str(), call.path.as_str(), &call.body);
         loop {
             let answer = match Windows::enter(&worker.shared, scope.clone(), digest) {
-                Decision::Start(started) => return Ok(Self::Run(Some(started))),
+                Decision::Start(leader) => return Ok(Self::Run(Some(leader))),
                 Decision::Mismatch => return Err(api::error::Error::from_claim(Error::Mismatch)),
                 Decision::Full => return Err(api::error::Error::from_claim(Error::InProgress)),
                 Decision::Replay(answer) => answer,
-                Decision::Join(left) => match left.await {
+                Decision::Join(receiver) => match receiver.await {
                     Ok(Some(answer)) => answer,
-                    // The one it waited for brought no answer, so this one may be the first now.
+                    // The earlier request got no answer, so this one may become the leader.
                     Ok(None) | Err(_) => continue,
                 },
             };
             let whole = convert::to_whole(answer, &worker.shared.store).await;
             let whole = whole.map_err(api::error::Error::from_claim)?;
-            return Ok(Self::Answered(replayed(reply::whole(whole, call.id))));
+            return Ok(Self::Answered(mark_replayed(reply::whole(whole, call.id))));
         }
     }
 }
 
-/// Leaves an answer to those who joined; a failure of the endpoint's is not worth replaying.
-pub fn share_answer(started: Option<Leader>, whole: &Whole) {
-    if let Some(started) = started
+/// Shares an answer with the requests that joined and later ones. Server errors (5xx) are not worth replaying.
+pub fn share_answer(leader: Option<Leader>, whole: &Whole) {
+    if let Some(leader) = leader
         && !whole.status.is_server_error()
     {
-        started.finish(&convert::from_whole(whole));
+        leader.finish(&convert::from_whole(whole));
     }
 }
 
-/// Marks an answer as that of an earlier request.
-pub(super) fn replayed(mut response: Response) -> Response {
+/// Adds the header that marks a response as the answer of an earlier request.
+pub(super) fn mark_replayed(mut response: Response) -> Response {
     response
         .headers_mut()
         .insert(HeaderName::from_static(REPLAYED), HeaderValue::from_static("true"));
--- a/bergamotshift-entry/src/claims/mod.rs
+++ b/bergamotshift-entry/src/claims/mod.rs
@@ -1,8 +1,8 @@
-//! Idempotency keys: at most one run of what must not be repeated, one answer to what is sent again.
+//! Idempotency keys: a non-repeatable request is executed at most once, and duplicates get the same answer.
 //!
-//! A worker thread drives each claim ([`send_once`]); the rows it writes and reads go through one [`Committer`] on the
-//! control thread, which puts the writes of all requests into few transactions. Requests that may be repeated join
-//! and replay inside the process alone ([`Windows`]) and never wait for the platform.
+//! A worker thread drives each claim ([`send_once`]). The rows that it writes and reads go through one [`Committer`] on
+//! the control thread, which batches the writes of all requests into few transactions. Repeatable requests are
+//! deduplicated only within the process ([`Windows`]) and never wait for the platform.
 
 mod committer;
 mod convert;
--- a/bergamotshift-entry/src/claims/store.rs
+++ b/bergamotshift-entry/src/claims/store.rs
@@ -1,4 +1,4 @@
-//! The worker threads' way to the platform's table and object store.
+//! Access from the worker threads to the platform's table and object store, through the committer.
 
 use bergamotshift_claim::driver::Reading;
 use bergamotshift_claim::driver::Unreachable;
@@ -11,49 +11,49 @@
 use tokio::sync::mpsc;
 use tokio::sync::oneshot;
 
-/// What the committer is asked.
+/// Message to the committer, with the sender of its result.
 #[derive(Debug)]
 pub(super) enum Message {
-    /// Carry out a write.
+    /// Write to the table, batched with others.
     Write(Write, oneshot::Sender<Ending>),
-    /// Carry out a transaction as it is.
+    /// Transaction that is neither split nor batched with others.
     Transact(Vec<Write>, oneshot::Sender<Ending>),
-    /// Read a row.
+    /// Read of a row.
     Read(Key, oneshot::Sender<Reading>),
-    /// List a partition.
+    /// List of a partition's rows.
     List(SmolStr, oneshot::Sender<Option<Vec<(SmolStr, Row)>>>),
-    /// Keep an object.
+    /// Write of an object.
     PutObject(SmolStr, Vec<u8>, oneshot::Sender<bool>),
-    /// Fetch an object.
+    /// Read of an object.
     GetObject(SmolStr, oneshot::Sender<Option<Bytes>>),
 }
 
-/// Reaches the committer from any thread.
+/// Handle to the committer, for any thread.
 #[derive(Clone, Debug)]
 pub struct Store(mpsc::UnboundedSender<Message>);
 
-/// Where the committer gets its messages from.
+/// Receiver of the committer's messages.
 #[derive(Debug)]
 pub struct Inbox(pub(super) mpsc::UnboundedReceiver<Message>);
 
 impl Store {
-    /// Makes a way to a committer.
+    /// Creates a channel to a committer.
     pub fn channel() -> (Self, Inbox) {
         let (sender, receiver) = mpsc::unbounded_channel();
         (Self(sender), Inbox(receiver))
     }
 
-    /// Carries out a write.
+    /// Writes to the table.
     pub async fn write(&self, write: Write) -> Ending {
         let (answer, ending) = oneshot::channel();
         if self.0.send(Message::Write(write, answer)).is_err() {
             return Ending::Refused;
         }
-        // The committer ended with the write somewhere on its way.
+        // The committer ended, so the write may or may not have taken effect.
         ending.await.unwrap_or(Ending::Unknown)
     }
 
-    /// Carries out a transaction that must not be split or joined with others.
+    /// Executes a transaction without splitting it or batching it with others.
     pub async fn transact(&self, writes: Vec<Write>) -> Ending {
         let (answer, ending) = oneshot::channel();
         if self.0.send(Message::Transact(writes, answer)).is_err() {
@@ -62,32 +62,32 @@
         ending.await.unwrap_or(Ending::Unknown)
     }
 
-    /// Lists all rows of a partition, if that can be had.
+    /// Lists all rows of a partition; returns `None` if they could not all be read.
     pub async fn list(&self, partition: SmolStr) -> Option<Vec<(SmolStr, Row)>> {
         let (answer, rows) = oneshot::channel();
         drop(self.0.send(Message::List(partition, answer)));
         rows.await.unwrap_or(None)
     }
 
-    /// Reads a row consistently.
+    /// Reads a row as of its last write.
     ///
     /// # Errors
     ///
-    /// Returns an error when the platform did not answer.
+    /// Returns [`Unreachable`] if the row could not be read.
     pub async fn read(&self, key: Key) -> Reading {
         let (answer, row) = oneshot::channel();
         drop(self.0.send(Message::Read(key, answer)));
         row.await.unwrap_or(Err(Unreachable))
     }
 
-    /// Keeps an object; returns whether it is known to be kept.
+    /// Writes an object; returns whether it was certainly written.
     pub async fn put_object(&self, key: SmolStr, body: Vec<u8>) -> bool {
-        let (answer, kept) = oneshot::channel();
+        let (answer, stored) = oneshot::channel();
         drop(self.0.send(Message::PutObject(key, body, answer)));
-        kept.await.unwrap_or(false)
+        stored.await.unwrap_or(false)
     }
 
-    /// Fetches an object, if it can be had.
+    /// Returns the body of an object; `None` if it does not exist or could not be read.
     pub async fn get_object(&self, key: SmolStr) -> Option<Bytes> {
         let (answer, body) = oneshot::channel();
         drop(self.0.send(Message::GetObject(key, answer)));
--- a/bergamotshift-entry/src/claims/windows.rs
+++ b/bergamotshift-entry/src/claims/windows.rs
@@ -1,4 +1,4 @@
-//! Joins and replays keyed requests inside one process.
+//! Deduplication of requests with an idempotency key within one process.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -15,32 +15,32 @@
 
 use crate::worker::Shared;
 
-/// Requests with a key are spread over so many locks; requests without one take none.
-const PARTS: usize = 16;
+/// Number of locks over which requests with a key are spread; requests without a key take none.
+const SHARDS: usize = 16;
 
-/// What the first request under a key leaves to those who joined it: nothing when it brought no answer.
-type Left = Option<Answer>;
+/// Answer that the first request with a key hands to the requests that joined it; `None` if it got none.
+type Joined = Option<Answer>;
 
-/// The keyed requests of one process.
+/// Deduplication windows of one process, sharded by organisation and key.
 #[derive(Debug)]
-pub struct Windows([Mutex<Window<oneshot::Sender<Left>>>; PARTS]);
+pub struct Windows([Mutex<Window<oneshot::Sender<Joined>>>; SHARDS]);
 
-/// What becomes of a keyed request.
+/// Decision on a request with a key.
 #[derive(Debug)]
 pub enum Decision {
-    /// It is the first: it runs, and tells how it ended.
+    /// The request is the first one with its key and is to be executed.
     Start(Leader),
-    /// Another one is running; this brings its answer.
-    Join(oneshot::Receiver<Left>),
-    /// Another one has run.
+    /// A request with the same key is running; its answer arrives here.
+    Join(oneshot::Receiver<Joined>),
+    /// A request with the same key was executed, with this answer.
     Replay(Answer),
-    /// The key belongs to another request.
+    /// The key was used for a different request.
     Mismatch,
-    /// Too many wait already.
+    /// Too many requests wait for the running request's answer.
     Full,
 }
 
-/// A request that is the first under its key; dropping it lets the next one start.
+/// Guard of the first request with a key; dropping it without an answer lets the next request with the key start.
 #[derive(Debug)]
 pub struct Leader {
     shared: Arc<Shared>,
@@ -48,36 +48,37 @@
 }
 
 impl Windows {
-    /// Makes windows that remember nothing yet.
+    /// Creates empty windows.
     pub fn new() -> Self {
-        let whole = window::Settings::default();
+        let defaults = window::Settings::default();
         let settings = window::Settings {
-            max_bytes: whole.max_bytes / PARTS,
-            ..whole
+            max_bytes: defaults.max_bytes / SHARDS,
+            ..defaults
         };
         Self(core::array::from_fn(|_| Mutex::new(Window::new(settings))))
     }
 
-    /// Takes a request in.
+    /// Decides on a request.
     pub fn enter(shared: &Arc<Shared>, scope: Scope, digest: Digest) -> Decision {
-        let (ticket, left) = oneshot::channel();
-        let entered = shared.windows.part(&scope).enter(shared.now(), &scope, digest, ticket);
+        let (sender, receiver) = oneshot::channel();
+        let entered = shared.windows.lock(&scope).enter(shared.now(), &scope, digest, sender);
         match entered {
             window::Decision::Start => Decision::Start(Leader {
                 shared: Arc::clone(shared),
                 scope: Some(scope),
             }),
-            window::Decision::Join => Decision::Join(left),
+            window::Decision::Join => Decision::Join(receiver),
             window::Decision::Replay(answer) => Decision::Replay(answer),
             window::Decision::Mismatch => Decision::Mismatch,
             window::Decision::Full => Decision::Full,
         }
     }
 
-    fn part(&self, scope: &Scope) -> MutexGuard<'_, Window<oneshot::Sender<Left>>> {
+    /// Locks the window that is responsible for a scope.
+    fn lock(&self, scope: &Scope) -> MutexGuard<'_, Window<oneshot::Sender<Joined>>> {
         let hash = Fingerprint::of(scope.organisation.as_str(), "", &scope.key, b"").get();
-        let part = &self.0[hash as usize % PARTS];
-        part.lock().unwrap_or_else(PoisonError::into_inner)
+        let shard = &self.0[hash as usize % SHARDS];
+        shard.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
@@ -88,26 +89,26 @@
 }
 
 impl Leader {
-    /// Leaves an answer to those who joined and those who come later.
+    /// Shares an answer with the requests that joined and with later ones.
     pub fn finish(mut self, answer: &Answer) {
-        self.leave(Some(answer));
+        self.complete(Some(answer));
     }
 
-    fn leave(&mut self, answer: Option<&Answer>) {
+    fn complete(&mut self, answer: Option<&Answer>) {
         let Some(scope) = self.scope.take() else { return };
         let waiting = self
             .shared
             .windows
-            .part(&scope)
+            .lock(&scope)
             .finish(self.shared.now(), &scope, answer.cloned());
-        for ticket in waiting {
-            let _ = ticket.send(answer.cloned());
+        for sender in waiting {
+            let _ = sender.send(answer.cloned());
         }
     }
 }
 
 impl Drop for Leader {
     fn drop(&mut self) {
-        self.leave(None);
+        self.complete(None);
     }
 }
