--- a/bergamotshift-entry/src/api/openai/answer.rs
+++ b/bergamotshift-entry/src/api/openai/answer.rs
@@ -49,10 +49,10 @@
             Ok(Whole { status, headers, body })
         }
         Err(error) => {
-            let begun = events.is_begun();
+            let begun = events.has_started();
             let attempts = events.attempts();
             if begun {
-                attempts.ran();
+                attempts.mark_ran();
             }
             Err(attempts.fail(&error))
         }
@@ -97,7 +97,7 @@
 /// Sends a body that asks for a stream, until the head of one is there.
 async fn open(mut attempts: Attempts, adapter: Rc<dyn Adapter>, body: Bytes) -> Result<Opened, Error> {
     loop {
-        let held = Outgoing::Held(body.clone());
+        let held = Outgoing::Buffered(body.clone());
         let open = match attempts.open(held).await {
             Ok(open) => open,
             Err(error) => return Err(attempts.fail(&error)),
--- a/bergamotshift-entry/src/api/openai/complete.rs
+++ b/bergamotshift-entry/src/api/openai/complete.rs
@@ -105,7 +105,7 @@
     if !call.repeatable && call.key.is_none() {
         return Err(Error::not_run(Reason::MissingKey));
     }
-    if service.deferrable && !streams && jobs::is_wanted(request.headers()) {
+    if service.deferrable && !streams && jobs::prefers_async(request.headers()) {
         return jobs::accept(worker, &call).await;
     }
     let joined = if call.repeatable && !streams {
@@ -117,11 +117,15 @@
         Joined::Run(started) => started,
         Joined::Answered(response) => return Ok(response),
     };
-    let streamed = if streams { None } else { assemble::streaming(&call.body) };
+    let streamed = if streams {
+        None
+    } else {
+        assemble::streaming_body(&call.body)
+    };
     if !streams && streamed.is_none() {
         // The head of such an answer comes only when all of it is generated.
-        let generated = call.times.between.saturating_mul(call.work.answer_tokens);
-        call.times.head += generated.saturating_mul(SLOWDOWN);
+        let generated = call.times.between_tokens.saturating_mul(call.work.answer_tokens);
+        call.times.head_timeout += generated.saturating_mul(SLOWDOWN);
     }
     let call = Rc::new(call);
     let ticket = sharing::admit(worker, snapshot, &call).map_err(|refusal| Error::not_run(refusal.into()))?;
@@ -132,7 +136,7 @@
     if let (false, Some(key)) = (call.repeatable, call.key.clone()) {
         return claims::once(worker, call, ticket, key, active.trace()).await;
     }
-    let attempts = Attempts::new(Rc::clone(worker), call, ticket).traced(active.trace());
+    let attempts = Attempts::new(Rc::clone(worker), call, ticket).with_trace(active.trace());
     if streams {
         answer::stream(attempts, &service.adapter, active).await
     } else {
--- a/bergamotshift-entry/src/api/plain.rs
+++ b/bergamotshift-entry/src/api/plain.rs
@@ -28,7 +28,7 @@
 use crate::exchange::Open;
 use crate::exchange::Outgoing;
 use crate::exchange::Work;
-use crate::exchange::copy::Copy;
+use crate::exchange::copy::Relay;
 use crate::exchange::whole;
 use crate::jobs;
 use crate::sharing;
@@ -81,23 +81,25 @@
         outgoing(worker, service, request).await?
     } else {
         // The claim holds a digest of the whole body, so none of it may leave before all of it is here.
-        Outgoing::Held(body::read(worker, request, service.max_body).await?)
+        Outgoing::Buffered(body::read(worker, request, service.max_body).await?)
     };
-    if let Outgoing::Held(held) = &outgoing {
+    if let Outgoing::Buffered(held) = &outgoing {
         call.body = held.clone();
     }
     call.fingerprint = match &outgoing {
-        Outgoing::Held(body) => Fingerprint::of(service.name.as_str(), call.method.as_str(), call.path.as_str(), body),
+        Outgoing::Buffered(body) => {
+            Fingerprint::of(service.name.as_str(), call.method.as_str(), call.path.as_str(), body)
+        }
         // What streams through cannot be recognised again, and must not be taken for another upload to the path.
-        Outgoing::Once(_) => Fingerprint::new(id.get()),
+        Outgoing::Streamed(_) => Fingerprint::new(id.get()),
     };
     if !call.repeatable {
         let key = call.key.take();
         let key = key.or_else(|| claims::from_fields(&handling.key_fields, &call.body));
         call.key = Some(key.ok_or_else(|| Error::not_run(Reason::MissingKey))?);
     }
-    let held = matches!(outgoing, Outgoing::Held(_));
-    if held && service.deferrable && jobs::is_wanted(request.headers()) {
+    let held = matches!(outgoing, Outgoing::Buffered(_));
+    if held && service.deferrable && jobs::prefers_async(request.headers()) {
         return jobs::accept(worker, &call).await;
     }
     // A body that streams through has no digest to compare, so it neither joins nor replays.
@@ -119,7 +121,7 @@
     if let (false, Some(key)) = (call.repeatable, call.key.clone()) {
         return claims::once(worker, call, ticket, key, active.trace()).await;
     }
-    let mut attempts = Attempts::new(Rc::clone(worker), call, ticket).traced(active.trace());
+    let mut attempts = Attempts::new(Rc::clone(worker), call, ticket).with_trace(active.trace());
     match pass(&mut attempts, outgoing).await {
         Ok(Passed::Whole(whole)) => {
             claims::leave(started, &whole);
@@ -139,10 +141,10 @@
     }
     if declared.is_some_and(|length| length > held) {
         let payload = request.take_payload();
-        return Ok(Outgoing::Once(body::pass(worker, payload, service.max_body)));
+        return Ok(Outgoing::Streamed(body::pass(worker, payload, service.max_body)));
     }
     let body = body::read(worker, request, service.max_body).await?;
-    Ok(Outgoing::Held(body))
+    Ok(Outgoing::Buffered(body))
 }
 
 enum Passed {
@@ -157,7 +159,7 @@
     loop {
         let body = outgoing
             .take()
-            .unwrap_or_else(|| Outgoing::Held(attempts.call().body.clone()));
+            .unwrap_or_else(|| Outgoing::Buffered(attempts.call().body.clone()));
         let open = attempts.open(body).await?;
         if !is_small(attempts.call(), &open, bound) {
             return Ok(Passed::Large(open));
@@ -179,6 +181,6 @@
 fn large(attempts: Attempts, open: Open, id: attempt::Id, active: Active) -> Response {
     let Open { answer, running } = open;
     let length = whole::length(&answer.headers).map(|length| length as u64);
-    let stream = Copy::new(attempts, answer.body, running).into_stream();
+    let stream = Relay::new(attempts, answer.body, running).into_stream();
     reply::streaming(answer.status, &answer.headers, length, id, stream, active)
 }
--- a/bergamotshift-entry/src/api/request.rs
+++ b/bergamotshift-entry/src/api/request.rs
@@ -145,10 +145,10 @@
         }
     };
     Ok(Times {
-        first,
-        between,
-        head: first.saturating_mul(HEAD_FACTOR).max(HEAD_FLOOR),
-        stall: between.saturating_mul(STALL_FACTOR).max(STALL_FLOOR),
+        first_token: first,
+        between_tokens: between,
+        head_timeout: first.saturating_mul(HEAD_FACTOR).max(HEAD_FLOOR),
+        stall_timeout: between.saturating_mul(STALL_FACTOR).max(STALL_FLOOR),
         deadline: now + allowed,
     })
 }
--- a/bergamotshift-entry/src/claims/drive.rs
+++ b/bergamotshift-entry/src/claims/drive.rs
@@ -196,7 +196,7 @@
                 self.span = None;
                 let ticket = self.ticket.take().expect("a driver sends once");
                 let attempts = Attempts::new(Rc::clone(&self.worker), Rc::clone(&self.call), ticket);
-                self.spawn(send(attempts.traced(&self.trace)));
+                self.spawn(send(attempts.with_trace(&self.trace)));
             }
             Action::Reply(reply) => self.reply(reply),
             // The loop asks the driver itself when it wants to be woken.
--- a/bergamotshift-entry/src/control/peers.rs
+++ b/bergamotshift-entry/src/control/peers.rs
@@ -35,7 +35,7 @@
             Event::Watching(endpoint, false) => {
                 self.watched.remove(&endpoint);
             }
-            Event::Loaded { endpoint, report, age } => {
+            Event::LoadReceived { endpoint, report, age } => {
                 let at = self.shared.now() - age;
                 let key = self.by_id(&endpoint).and_then(|known| known.key);
                 if let Some(key) = key {
@@ -43,7 +43,7 @@
                     self.due(Due::Tick);
                 }
             }
-            Event::Noted { note, .. } => self.noted(&note),
+            Event::NoteReceived { note, .. } => self.noted(&note),
             Event::Paused(gap) => {
                 warn!(self.shared.settings.logger, "this entry was paused"; "gap_ms" => gap.as_millis());
             }
@@ -104,7 +104,7 @@
                 let Ok(body) = postcard::to_stdvec(&alone) else {
                     continue;
                 };
-                peers.send(Request::Announce {
+                peers.send(Request::NotePublished {
                     topic: note::Topic::QUARANTINE,
                     key,
                     version,
@@ -117,7 +117,7 @@
     /// Tells the others that an endpoint leaves.
     pub(super) fn tell_leaving(&self, endpoint: &Endpoint, source: mark::Source, notice_ms: Option<u64>) {
         let Some(peers) = self.shared.peers.get() else { return };
-        peers.send(Request::Leaving {
+        peers.send(Request::EndpointLeaving {
             endpoint: id(endpoint),
             source,
             notice_ms: notice_ms.and_then(|notice| u32::try_from(notice).ok()),
@@ -146,7 +146,7 @@
         let (vm::State::Leaving { notice_ms }, Role::Endpoint(_)) = (listing.state, &listing.role) else {
             return;
         };
-        peers.send(Request::Leaving {
+        peers.send(Request::EndpointLeaving {
             endpoint: endpoint::Id {
                 vm: listing.name.clone(),
                 incarnation: listing.incarnation,
@@ -159,7 +159,7 @@
     /// Tells the others what the VM list shows.
     fn tell_list(&self, listings: &[Listing]) {
         if let Some(peers) = self.shared.peers.get() {
-            peers.send(Request::Listed(listings.to_vec()));
+            peers.send(Request::VmsListed(listings.to_vec()));
         }
     }
 
@@ -167,7 +167,7 @@
     pub(super) fn tell_load(&self, endpoint: &Endpoint, report: Report) {
         let endpoint = id(endpoint);
         if let Some(peers) = self.shared.peers.get().filter(|_| self.watched.contains(&endpoint)) {
-            peers.send(Request::Loaded { endpoint, report });
+            peers.send(Request::LoadReported { endpoint, report });
         }
     }
 
--- a/bergamotshift-entry/src/daemon/mod.rs
+++ b/bergamotshift-entry/src/daemon/mod.rs
@@ -245,7 +245,7 @@
         store: configuration::Store::new(Rc::clone(objects)),
         peers: shared.peers.get().map_or_else(
             || Rc::new(configuration::peers::Alone) as Rc<dyn configuration::Peers>,
-            |sender| Rc::new(peers::Others::new(sender.clone(), Rc::clone(content))),
+            |sender| Rc::new(peers::Gossip::new(sender.clone(), Rc::clone(content))),
         ),
         control: shared.control.clone(),
         logger: shared.settings.logger.clone(),
@@ -257,7 +257,7 @@
     };
     let member = Member::new(settings, shared.now());
     let (sender, events) = tokio::sync::mpsc::unbounded_channel();
-    content.listen(sender.clone());
+    content.subscribe(sender.clone());
     let generator = worker::generator();
     let clock = {
         let shared = Arc::clone(shared);
--- a/bergamotshift-entry/src/exchange/assemble.rs
+++ b/bergamotshift-entry/src/exchange/assemble.rs
@@ -25,7 +25,7 @@
 ];
 
 /// Returns the body that asks for the same completion as a stream; nothing when its pieces would not add up to it.
-pub fn streaming(body: &Bytes) -> Option<Bytes> {
+pub fn streaming_body(body: &Bytes) -> Option<Bytes> {
     let Ok(Value::Object(mut fields)) = serde_json::from_slice(body) else {
         return None;
     };
--- a/bergamotshift-entry/src/exchange/attempts.rs
+++ b/bergamotshift-entry/src/exchange/attempts.rs
@@ -106,7 +106,7 @@
 
     /// Makes them within a trace, and notes in it that the request is let in.
     #[must_use]
-    pub fn traced(mut self, trace: &Trace) -> Self {
+    pub fn with_trace(mut self, trace: &Trace) -> Self {
         trace.admitted();
         trace.note("service", &self.call.service);
         trace.note("organisation", &self.call.organisation);
@@ -135,12 +135,12 @@
     }
 
     /// Notes that the request ran, whatever becomes of its answer.
-    pub const fn ran(&mut self) {
+    pub const fn mark_ran(&mut self) {
         self.outcome = Outcome::Ran;
     }
 
     /// Counts tokens of the answer as they arrive.
-    pub fn count(&mut self, tokens: u64) {
+    pub fn count_tokens(&mut self, tokens: u64) {
         let now = self.worker.shared.now();
         if let Some(ticket) = &mut self.ticket {
             ticket.count(now, tokens);
@@ -171,16 +171,16 @@
                 continue;
             };
             let outgoing = match &mut body {
-                Outgoing::Held(bytes) if bytes.is_empty() => call::Body::Empty,
-                Outgoing::Held(bytes) => call::Body::Whole(bytes.clone()),
-                Outgoing::Once(payload) => call::Body::Stream(payload.take()),
+                Outgoing::Buffered(bytes) if bytes.is_empty() => call::Body::Empty,
+                Outgoing::Buffered(bytes) => call::Body::Whole(bytes.clone()),
+                Outgoing::Streamed(payload) => call::Body::Stream(payload.take()),
             };
             self.made += 1;
             queue = None;
             running.span = self.span(&running);
             service.metrics.attempts.inc();
             match self.send(service, &running, outgoing).await {
-                Ok(answer) if self.refuses(service, &answer) && matches!(body, Outgoing::Held(_)) => {
+                Ok(answer) if self.refuses(service, &answer) && matches!(body, Outgoing::Buffered(_)) => {
                     drop(answer);
                     running.span.failed(&"refused");
                     service.metrics.refused.inc();
@@ -196,7 +196,7 @@
                 }
                 Err(failure) => {
                     self.failed(running, failure).await?;
-                    if matches!(body, Outgoing::Once(_)) {
+                    if matches!(body, Outgoing::Streamed(_)) {
                         return Err(Error::NoEndpoint);
                     }
                 }
--- a/bergamotshift-entry/src/exchange/copy.rs
+++ b/bergamotshift-entry/src/exchange/copy.rs
@@ -26,7 +26,7 @@
 /// skipped has the hash of what the caller holds does the rest follow. Else the connection is cut, which no caller
 /// takes for a whole answer.
 #[derive(Debug)]
-pub struct Copy {
+pub struct Relay {
     attempts: Attempts,
     body: Payload,
     running: Option<Running>,
@@ -43,7 +43,7 @@
     }
 }
 
-impl Copy {
+impl Relay {
     /// Takes up an answer whose head has been passed on.
     pub fn new(attempts: Attempts, body: Payload, running: Running) -> Self {
         Self {
@@ -67,7 +67,7 @@
     }
 
     async fn next(&mut self) -> Result<Option<Bytes>, Error> {
-        let patience = self.attempts.call().times.stall;
+        let patience = self.attempts.call().times.stall_timeout;
         loop {
             match whole::next(&self.attempts, &mut self.body, patience).await {
                 Ok(Some(chunk)) => {
@@ -90,7 +90,7 @@
 
     /// Opens another answer and skips what the caller has.
     async fn again(&mut self, mut failure: Failure) -> Result<(), Error> {
-        self.attempts.ran();
+        self.attempts.mark_ran();
         let _handover = self.attempts.trace().span(Hop::Handover);
         loop {
             drop(mem::take(&mut self.body));
@@ -98,7 +98,7 @@
                 return Err(Error::Diverged);
             };
             self.attempts.failed(running, failure).await?;
-            let held = Outgoing::Held(self.attempts.call().body.clone());
+            let held = Outgoing::Buffered(self.attempts.call().body.clone());
             let Open { answer, running } = self.attempts.open(held).await?;
             if !answer.status.is_success() {
                 return Err(Error::Diverged);
@@ -116,7 +116,7 @@
     async fn skip(&mut self) -> Result<Result<(), Error>, Failure> {
         let mut skipped = 0;
         let mut hash = Xxh3::new();
-        let patience = self.attempts.call().times.stall;
+        let patience = self.attempts.call().times.stall_timeout;
         while skipped < self.delivered {
             let Some(chunk) = whole::next(&self.attempts, &mut self.body, patience).await? else {
                 return Ok(Err(Error::Diverged));
--- a/bergamotshift-entry/src/exchange/events.rs
+++ b/bergamotshift-entry/src/exchange/events.rs
@@ -69,7 +69,7 @@
     }
 
     /// Returns whether any event was read.
-    pub const fn is_begun(&self) -> bool {
+    pub const fn has_started(&self) -> bool {
         self.progress.events() > 0
     }
 
@@ -82,10 +82,10 @@
         while events.is_empty() && !self.done {
             let times = self.attempts.call().times;
             // Before its first token a request may wait for a slot, which is no standstill.
-            let patience = if self.is_begun() {
-                times.stall
+            let patience = if self.has_started() {
+                times.stall_timeout
             } else {
-                times.head.max(times.stall)
+                times.head_timeout.max(times.stall_timeout)
             };
             let broken = match whole::next(&self.attempts, &mut self.body, patience).await {
                 Ok(Some(chunk)) => match self.splitter.push(&chunk) {
@@ -100,7 +100,7 @@
             };
             self.resume(broken, events).await?;
         }
-        if self.is_begun() {
+        if self.has_started() {
             self.attempts.record().first();
         }
         Ok(())
@@ -127,13 +127,13 @@
     fn note(&mut self, event: Event, events: &mut Vec<Event>) {
         self.progress.note(&event);
         // Engines send a token per event, but for the first and the last.
-        self.attempts.count(1);
+        self.attempts.count_tokens(1);
         events.push(event);
     }
 
     fn finish(&mut self) {
         self.done = true;
-        self.attempts.ran();
+        self.attempts.mark_ran();
         self.attempts.record().answered();
         self.running = None;
         self.body = Payload::None;
@@ -150,14 +150,14 @@
             let Some(body) = self.continuation(events)? else {
                 return Ok(());
             };
-            let open = self.attempts.open(Outgoing::Held(body)).await?;
+            let open = self.attempts.open(Outgoing::Buffered(body)).await?;
             self.running = Some(open.running);
             if !open.answer.status.is_success() {
                 failure = Failure::Malformed(format!("status {}", open.answer.status.as_u16()));
                 continue;
             }
             self.body = open.answer.body;
-            if self.is_begun() {
+            if self.has_started() {
                 self.resumed = true;
                 self.carried = self.progress.tokens();
                 self.count_resumed();
@@ -168,7 +168,7 @@
 
     /// Returns the body that asks for what is missing; nothing when only the end is.
     fn continuation(&mut self, events: &mut Vec<Event>) -> Result<Option<Bytes>, Error> {
-        if !self.is_begun() {
+        if !self.has_started() {
             return Ok(Some(self.sent.clone()));
         }
         self.progress.fold();
--- a/bergamotshift-entry/src/exchange/mod.rs
+++ b/bergamotshift-entry/src/exchange/mod.rs
@@ -45,13 +45,13 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Times {
     /// Target for the first token or the whole plain answer.
-    pub first: Duration,
+    pub first_token: Duration,
     /// Target for the time between tokens.
-    pub between: Duration,
+    pub between_tokens: Duration,
     /// How long the head of one attempt's answer may take.
-    pub head: Duration,
+    pub head_timeout: Duration,
     /// How long an answer under way may stand still.
-    pub stall: Duration,
+    pub stall_timeout: Duration,
     /// When the caller has no use for the answer any more.
     pub deadline: Instant,
 }
@@ -91,9 +91,9 @@
 #[derive(Debug)]
 pub enum Outgoing {
     /// A held body; it can go out again.
-    Held(Bytes),
+    Buffered(Bytes),
     /// A body that streams through once.
-    Once(Payload),
+    Streamed(Payload),
 }
 
 /// Why a request brought no answer.
--- a/bergamotshift-entry/src/exchange/send.rs
+++ b/bergamotshift-entry/src/exchange/send.rs
@@ -52,7 +52,7 @@
             path: call.path.clone(),
             headers,
             body,
-            timeout: call.times.head.min(left),
+            timeout: call.times.head_timeout.min(left),
         };
         adapter.send(attempt).await
     }
--- a/bergamotshift-entry/src/exchange/stream.rs
+++ b/bergamotshift-entry/src/exchange/stream.rs
@@ -93,10 +93,10 @@
 
     /// Returns the event that tells the caller of a failure.
     fn fail(&mut self, error: Error) -> Bytes {
-        let begun = self.source.is_begun();
+        let begun = self.source.has_started();
         let attempts = self.source.attempts();
         if begun {
-            attempts.ran();
+            attempts.mark_ran();
         }
         let told = attempts.fail(&error);
         attempts.worker().shared.metrics.failed(told.code(), told.outcome);
--- a/bergamotshift-entry/src/exchange/whole.rs
+++ b/bergamotshift-entry/src/exchange/whole.rs
@@ -43,7 +43,7 @@
 /// Returns why no attempt brought a complete one.
 pub async fn fetch(attempts: &mut Attempts) -> Result<Whole, Error> {
     loop {
-        let held = Outgoing::Held(attempts.call().body.clone());
+        let held = Outgoing::Buffered(attempts.call().body.clone());
         let Open { answer, running } = attempts.open(held).await?;
         if let Some(whole) = finish(attempts, answer, running).await? {
             return Ok(whole);
@@ -62,7 +62,7 @@
         headers,
         mut body,
     } = answer;
-    let patience = attempts.call().times.stall;
+    let patience = attempts.call().times.stall_timeout;
     let size = length(&headers).unwrap_or_default().min(LARGEST);
     let mut collected = BytesMut::with_capacity(size);
     loop {
@@ -81,7 +81,7 @@
                 return Ok(Some(whole(status, headers, chunk)));
             }
             Ok(Some(chunk)) if collected.len() + chunk.len() > LARGEST => {
-                attempts.ran();
+                attempts.mark_ran();
                 return Err(Error::TooLarge);
             }
             Ok(Some(chunk)) => collected.extend_from_slice(&chunk),
--- a/bergamotshift-entry/src/jobs/accept.rs
+++ b/bergamotshift-entry/src/jobs/accept.rs
@@ -32,7 +32,7 @@
 const TRIES: u32 = 3;
 
 /// Returns whether the caller prefers a deferred answer.
-pub fn is_wanted(headers: &HeaderMap) -> bool {
+pub fn prefers_async(headers: &HeaderMap) -> bool {
     let preferences = headers.get_all("prefer").filter_map(|value| value.to_str().ok());
     preferences
         .flat_map(|value| value.split(','))
--- a/bergamotshift-entry/src/jobs/error.rs
+++ b/bergamotshift-entry/src/jobs/error.rs
@@ -27,7 +27,7 @@
     NotFound,
     /// The platform cannot be asked about the job.
     #[error("the platform cannot be reached")]
-    Away,
+    Unreachable,
     /// The job has ended already.
     #[error("the job has ended")]
     Ended,
@@ -47,7 +47,7 @@
     pub const fn outcome(self) -> Outcome {
         match self {
             Self::NotKept | Self::Mismatch | Self::NotFound | Self::Method => Outcome::NotRun,
-            Self::Unsure | Self::Away | Self::Cancelled => Outcome::Unknown,
+            Self::Unsure | Self::Unreachable | Self::Cancelled => Outcome::Unknown,
             Self::Ended => Outcome::Ran,
             Self::Failed(outcome) => outcome,
         }
@@ -60,7 +60,7 @@
             Self::Unsure => (StatusCode::SERVICE_UNAVAILABLE, "job_unsure"),
             Self::Mismatch => (StatusCode::UNPROCESSABLE_ENTITY, "idempotency_key_reused"),
             Self::NotFound => (StatusCode::NOT_FOUND, "job_not_found"),
-            Self::Away => (StatusCode::SERVICE_UNAVAILABLE, "platform_away"),
+            Self::Unreachable => (StatusCode::SERVICE_UNAVAILABLE, "platform_away"),
             Self::Ended => (StatusCode::CONFLICT, "job_ended"),
             Self::Cancelled => (StatusCode::GONE, "job_cancelled"),
             Self::Failed(_) => (StatusCode::BAD_GATEWAY, "job_failed"),
@@ -71,7 +71,7 @@
     /// Returns when the caller should ask again, where that helps.
     pub const fn retry_after(self) -> Option<Duration> {
         match self {
-            Self::NotKept | Self::Unsure | Self::Away => Some(SOON),
+            Self::NotKept | Self::Unsure | Self::Unreachable => Some(SOON),
             _ => None,
         }
     }
--- a/bergamotshift-entry/src/jobs/mod.rs
+++ b/bergamotshift-entry/src/jobs/mod.rs
@@ -14,7 +14,7 @@
 use bergamotshift_claim::job;
 
 pub use self::accept::accept;
-pub use self::accept::is_wanted;
+pub use self::accept::prefers_async;
 pub use self::error::Error;
 pub use self::scan::scan;
 pub use self::serve::serve;
@@ -26,9 +26,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Settings {
     /// The time between two looks for open jobs.
-    pub look: Duration,
+    pub scan_interval: Duration,
     /// The most jobs that one entry runs at a time; an entry with 0 looks for none.
-    pub slots: usize,
+    pub max_running: usize,
     /// How a job is leased.
     pub runner: job::Settings,
 }
@@ -36,8 +36,8 @@
 impl Default for Settings {
     fn default() -> Self {
         Self {
-            look: Duration::from_secs(5),
-            slots: 16,
+            scan_interval: Duration::from_secs(5),
+            max_running: 16,
             runner: job::Settings::default(),
         }
     }
--- a/bergamotshift-entry/src/jobs/scan.rs
+++ b/bergamotshift-entry/src/jobs/scan.rs
@@ -15,7 +15,7 @@
 /// Looks for open jobs until the entry ends.
 pub async fn scan(worker: Rc<Worker>) {
     let settings = worker.shared.settings.jobs;
-    if settings.slots == 0 {
+    if settings.max_running == 0 {
         return;
     }
     let running = Running::default();
@@ -27,7 +27,7 @@
         for shard in &shards {
             look(&worker, &running, &mut watch, *shard).await;
         }
-        tokio::time::sleep(settings.look).await;
+        tokio::time::sleep(settings.scan_interval).await;
     }
 }
 
@@ -40,7 +40,7 @@
         .filter_map(|(sort, row)| Some((sort.parse().ok()?, row)));
     let rows = rows.collect::<Vec<_>>();
     for candidate in watch.update(worker.shared.now(), shard, &rows) {
-        let full = running.borrow().len() >= worker.shared.settings.jobs.slots;
+        let full = running.borrow().len() >= worker.shared.settings.jobs.max_running;
         if full || worker.shared.is_draining() {
             return;
         }
--- a/bergamotshift-entry/src/jobs/serve.rs
+++ b/bergamotshift-entry/src/jobs/serve.rs
@@ -72,9 +72,12 @@
 
 /// Finds a job of the organisation; the jobs of others look as if they were not there.
 async fn find(store: &Store, organisation: &name::Organisation, job: job::Id) -> Result<job::Record, Error> {
-    let row = store.read(job.record_row()).await.map_err(|_unreachable| Error::Away)?;
+    let row = store
+        .read(job.record_row())
+        .await
+        .map_err(|_unreachable| Error::Unreachable)?;
     let row = row.ok_or(Error::NotFound)?;
-    let record = job::Record::decode(&row.body).map_err(|_newer| Error::Away)?;
+    let record = job::Record::decode(&row.body).map_err(|_newer| Error::Unreachable)?;
     if record.organisation != *organisation {
         return Err(Error::NotFound);
     }
@@ -97,5 +100,5 @@
             return Ok(());
         }
     }
-    Err(Error::Away)
+    Err(Error::Unreachable)
 }
--- a/bergamotshift-entry/src/peers/content.rs
+++ b/bergamotshift-entry/src/peers/content.rs
@@ -37,7 +37,7 @@
 
 impl Content {
     /// Has heads and ranks told to the member from now on, and first those that came before.
-    pub fn listen(&self, listener: follow::Sender) {
+    pub fn subscribe(&self, listener: follow::Sender) {
         let earlier = self.latest.borrow_mut().take();
         let rank = self.rank.borrow().map(member::Event::Ranked);
         for event in rank.into_iter().chain(earlier) {
@@ -99,26 +99,26 @@
 
 /// Reaches the other entries for the configuration's member.
 #[derive(Clone, Debug)]
-pub struct Others {
+pub struct Gossip {
     sender: Sender,
     content: Rc<Content>,
 }
 
-impl Others {
+impl Gossip {
     /// Makes the member's way to the others.
     pub const fn new(sender: Sender, content: Rc<Content>) -> Self {
         Self { sender, content }
     }
 }
 
-impl Peers for Others {
+impl Peers for Gossip {
     fn announce(&self, announcement: Announcement) {
         let Ok(body) = postcard::to_stdvec(&announcement) else {
             return;
         };
         // An announcer that holds the content can be asked for it, so it goes before one that does not.
         let version = announcement.view.row * 2 + u64::from(announcement.holds);
-        self.sender.send(Request::Announce {
+        self.sender.send(Request::NotePublished {
             topic: note::Topic::CONFIG,
             key: HEAD,
             version,
--- a/bergamotshift-entry/src/peers/driver.rs
+++ b/bergamotshift-entry/src/peers/driver.rs
@@ -142,16 +142,16 @@
             Action::NoteReceived { note, origin } if note.topic == note::Topic::CONFIG => {
                 return self.content.heard(&note, origin);
             }
-            Action::NoteReceived { note, origin } => Event::Noted { note, origin },
-            Action::LoadReceived { endpoint, report, age } => Event::Loaded { endpoint, report, age },
+            Action::NoteReceived { note, origin } => Event::NoteReceived { note, origin },
+            Action::LoadReceived { endpoint, report, age } => Event::LoadReceived { endpoint, report, age },
         };
         self.shared.control.send(event);
     }
 
     fn take(&mut self, request: Request) {
         match request {
-            Request::Listed(list) => self.feed(Input::VmsListed(list)),
-            Request::Leaving {
+            Request::VmsListed(list) => self.feed(Input::VmsListed(list)),
+            Request::EndpointLeaving {
                 endpoint,
                 source,
                 notice_ms,
@@ -160,9 +160,9 @@
                 source,
                 notice_ms,
             }),
-            Request::Loaded { endpoint, report } => self.feed(Input::LoadReported { endpoint, report }),
-            Request::Used { organisation, rate } => self.feed(Input::UsageMeasured { organisation, rate }),
-            Request::Announce {
+            Request::LoadReported { endpoint, report } => self.feed(Input::LoadReported { endpoint, report }),
+            Request::UsageMeasured { organisation, rate } => self.feed(Input::UsageMeasured { organisation, rate }),
+            Request::NotePublished {
                 topic,
                 key,
                 version,
--- a/bergamotshift-entry/src/peers/handover.rs
+++ b/bergamotshift-entry/src/peers/handover.rs
@@ -24,13 +24,13 @@
 
 /// What became of the search for a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Found {
+pub enum Lookup {
     /// It is here, to go on with.
     Parcel(Box<Parcel>),
     /// Another entry goes on with it.
     Elsewhere(name::Entry),
     /// None of those that could keep it does.
-    Nowhere,
+    Missing,
 }
 
 impl Driver {
@@ -57,11 +57,11 @@
     }
 
     /// Looks here and then asks the candidates one after the other.
-    pub(super) fn find(&mut self, key: Key, answer: oneshot::Sender<Found>) {
+    pub(super) fn find(&mut self, key: Key, answer: oneshot::Sender<Lookup>) {
         let me = self.kernel.me().name.clone();
         match self.keeper.take(self.shared.now(), &key, &me) {
-            Retrieval::Parcel(parcel) => return drop(answer.send(Found::Parcel(parcel))),
-            Retrieval::Elsewhere(entry) => return drop(answer.send(Found::Elsewhere(entry))),
+            Retrieval::Parcel(parcel) => return drop(answer.send(Lookup::Parcel(parcel))),
+            Retrieval::Elsewhere(entry) => return drop(answer.send(Lookup::Elsewhere(entry))),
             Retrieval::Missing => {}
         }
         let addresses = self.candidates(&key);
@@ -119,17 +119,17 @@
     drop(node.deliver(to, &bytes, PATIENCE).await);
 }
 
-async fn search(node: &Node, addresses: Vec<SocketAddr>, key: Key, by: name::Entry) -> Found {
+async fn search(node: &Node, addresses: Vec<SocketAddr>, key: Key, by: name::Entry) -> Lookup {
     for address in addresses {
         let question = Question::Take {
             key: key.clone(),
             by: by.clone(),
         };
         match ask(node, address, question).await {
-            Some(Answer::Parcel(parcel)) => return Found::Parcel(parcel),
-            Some(Answer::Elsewhere(entry)) => return Found::Elsewhere(entry),
+            Some(Answer::Parcel(parcel)) => return Lookup::Parcel(parcel),
+            Some(Answer::Elsewhere(entry)) => return Lookup::Elsewhere(entry),
             _ => {}
         }
     }
-    Found::Nowhere
+    Lookup::Missing
 }
--- a/bergamotshift-entry/src/peers/mod.rs
+++ b/bergamotshift-entry/src/peers/mod.rs
@@ -26,8 +26,8 @@
 use tokio::sync::oneshot;
 
 pub use self::content::Content;
-pub use self::content::Others;
-pub use self::handover::Found;
+pub use self::content::Gossip;
+pub use self::handover::Lookup;
 pub use self::settings::Credentials;
 pub use self::settings::Settings;
 use crate::worker::Shared;
@@ -36,9 +36,9 @@
 #[derive(Debug)]
 pub enum Request {
     /// The platform listed its VMs.
-    Listed(Vec<Listing>),
+    VmsListed(Vec<Listing>),
     /// An endpoint is known to leave.
-    Leaving {
+    EndpointLeaving {
         /// The endpoint.
         endpoint: endpoint::Id,
         /// How that is known.
@@ -47,21 +47,21 @@
         notice_ms: Option<u32>,
     },
     /// A watched endpoint reported its load.
-    Loaded {
+    LoadReported {
         /// The endpoint.
         endpoint: endpoint::Id,
         /// The report.
         report: load::Report,
     },
     /// This entry serves an organisation at this rate.
-    Used {
+    UsageMeasured {
         /// The organisation.
         organisation: name::Organisation,
         /// The rate.
         rate: u32,
     },
     /// Another part of the entry has news for all entries.
-    Announce {
+    NotePublished {
         /// What it is about.
         topic: note::Topic,
         /// What it is about within the topic.
@@ -85,7 +85,7 @@
         /// What the caller came back with.
         key: Key,
         /// Gets what was found.
-        answer: oneshot::Sender<Found>,
+        answer: oneshot::Sender<Lookup>,
     },
     /// A request that was found is finished: its keepers forget it.
     Finish(Key),
@@ -110,7 +110,7 @@
     /// This entry watches an endpoint for the others from now on, or no longer.
     Watching(endpoint::Id, bool),
     /// Another entry heard an endpoint's load.
-    Loaded {
+    LoadReceived {
         /// The endpoint.
         endpoint: endpoint::Id,
         /// The report.
@@ -119,7 +119,7 @@
         age: Duration,
     },
     /// Another entry has news for a part of this one.
-    Noted {
+    NoteReceived {
         /// The news.
         note: note::Note,
         /// Who told it first, when known.
--- a/bergamotshift-entry/src/sharing/ticket.rs
+++ b/bergamotshift-entry/src/sharing/ticket.rs
@@ -39,7 +39,7 @@
     let expected = size.cost(&call.work);
     let request = Request {
         urgency: call.urgency,
-        target: call.times.first,
+        target: call.times.first_token,
         deadline: call.times.deadline,
         deferrable,
         work,
@@ -80,7 +80,7 @@
         // Only what is deferrable is kept for later; were it not so, the service would be too busy.
         Admission::Later => Err(Refusal {
             reason: Reason::Target,
-            retry_after: call.times.first,
+            retry_after: call.times.first_token,
         }),
     }
 }
--- a/bergamotshift-entry/tests/entry/jobs.rs
+++ b/bergamotshift-entry/tests/entry/jobs.rs
@@ -36,7 +36,7 @@
         ..Layout::default()
     };
     layout.settings.jobs = Settings {
-        look: Duration::from_millis(10),
+        scan_interval: Duration::from_millis(10),
         runner: job::Settings {
             lease,
             backoff: Duration::from_millis(20),
@@ -62,7 +62,7 @@
         layout.settings.platform.table = Some(first.table.address());
         layout.settings.platform.objects = Some(first.objects.address());
         // The second entry finds jobs only when the first has had time to.
-        layout.settings.jobs.look = Duration::from_millis(200);
+        layout.settings.jobs.scan_interval = Duration::from_millis(200);
         let second = Site::start(layout).await;
         Self { first, second }
     }
--- a/bergamotshift-entry/tests/entry/site.rs
+++ b/bergamotshift-entry/tests/entry/site.rs
@@ -65,7 +65,7 @@
                 settle: core::time::Duration::from_millis(50),
                 // Tests that order faults of the table mean them for their own requests, not for a look for jobs.
                 jobs: jobs::Settings {
-                    slots: 0,
+                    max_running: 0,
                     ..jobs::Settings::default()
                 },
                 ..Settings::default()
--- a/bergamotshift-entry/tests/peers.rs
+++ b/bergamotshift-entry/tests/peers.rs
@@ -20,7 +20,7 @@
 use bergamotshift_entry::configuration;
 use bergamotshift_entry::peers;
 use bergamotshift_entry::peers::Credentials;
-use bergamotshift_entry::peers::Found;
+use bergamotshift_entry::peers::Lookup;
 use bergamotshift_entry::peers::Request;
 use bergamotshift_entry::settings::Platform;
 use bergamotshift_entry::settings::Watch;
@@ -153,7 +153,7 @@
     status.endpoints.into_iter().find(|endpoint| endpoint.vm.as_str() == vm)
 }
 
-async fn find(entry: &Handle, key: &Key) -> Found {
+async fn find(entry: &Handle, key: &Key) -> Lookup {
     let (answer, found) = oneshot::channel();
     let key = key.clone();
     entry.peers().unwrap().send(Request::Find { key, answer });
@@ -263,18 +263,18 @@
     }
 
     let key = parcel().key;
-    let Found::Parcel(found) = find(&others[2], &key).await else {
+    let Lookup::Parcel(found) = find(&others[2], &key).await else {
         panic!("the request is lost");
     };
     assert_eq!(found.progress, Progress::Sent);
     assert!(!found.may_send());
     let again = find(&others[2], &key).await;
-    assert!(matches!(again, Found::Parcel(_)), "{again:?}");
+    assert!(matches!(again, Lookup::Parcel(_)), "{again:?}");
     let missing = Key {
         organisation: "other".into(),
         ..key
     };
-    assert_eq!(find(&others[0], &missing).await, Found::Nowhere);
+    assert_eq!(find(&others[0], &missing).await, Lookup::Missing);
 }
 
 #[ntex::test]
@@ -302,7 +302,7 @@
         drop(drain(entries.remove(0)).await);
     }
     let found = find(&entries[0], &parcel().key).await;
-    assert!(matches!(found, Found::Parcel(_)), "{found:?}");
+    assert!(matches!(found, Lookup::Parcel(_)), "{found:?}");
 }
 
 /// Starts an entry that learns its configuration, in zone a.
