--- a/bergamotshift-entry/src/jobs/accept.rs
+++ b/bergamotshift-entry/src/jobs/accept.rs
@@ -1,4 +1,4 @@
-//! Takes a request as a job.
+//! Accepts requests as deferred jobs.
 
 use std::rc::Rc;
 use std::time::SystemTime;
@@ -25,13 +25,13 @@
 use crate::exchange::Call;
 use crate::worker::Worker;
 
-/// The longest request body that is kept in the table's row, in bytes.
-const INLINE: usize = 16 << 10;
+/// Maximum length of a request body stored in the table row, in bytes; a longer body goes to the object store.
+const MAX_INLINE_BODY: usize = 16 << 10;
 
-/// How often the job's rows are written before the caller is told that it may have been accepted.
-const TRIES: u32 = 3;
+/// Maximum number of tries to write the job's rows before the caller is told that the job may have been accepted.
+const MAX_TRIES: u32 = 3;
 
-/// Returns whether the caller prefers a deferred answer.
+/// Returns whether the caller prefers a deferred answer (`Prefer: respond-async`).
 pub fn prefers_async(headers: &HeaderMap) -> bool {
     let preferences = headers.get_all("prefer").filter_map(|value| value.to_str().ok());
     preferences
@@ -39,20 +39,20 @@
         .any(|preference| preference.trim().eq_ignore_ascii_case("respond-async"))
 }
 
-/// Accepts a request as a job; it is durable once the caller hears of it.
+/// Accepts a request as a job and returns the 202 response. The job is durable by then.
 ///
 /// # Errors
 ///
-/// Returns why it was not, or may not have been, accepted.
+/// Returns an error if the job was not accepted or if it is unknown whether it was.
 pub async fn accept(worker: &Rc<Worker>, call: &Call) -> Result<Response, api::error::Error> {
-    let record = record(worker, call).await.map_err(api::error::Error::from_job)?;
+    let record = build_record(worker, call).await.map_err(api::error::Error::from_job)?;
     let open = job::Open {
         urgency: call.urgency,
         deadline: unix_millis(SystemTime::now()),
         fence: 0,
         lease: None,
     };
-    let id = keep(worker, &record, &open)
+    let id = store(worker, &record, &open)
         .await
         .map_err(api::error::Error::from_job)?;
     let mut response = Response::build(StatusCode::ACCEPTED);
@@ -62,14 +62,15 @@
     Ok(response.json(&json!({ "id": id.to_string(), "object": "job", "status": "open" })))
 }
 
-async fn record(worker: &Rc<Worker>, call: &Call) -> Result<job::Record, Error> {
+/// Builds the job's record and stores a long body in the object store.
+async fn build_record(worker: &Rc<Worker>, call: &Call) -> Result<job::Record, Error> {
     let scope = call.key.as_ref().map(|key| Scope {
         organisation: call.organisation.clone(),
         service: call.service.clone(),
         key: key.clone(),
     });
     let id = scope.map_or(job::Id::new(call.id.get()), |scope| job::Id::of(&scope));
-    let body = if call.body.len() <= INLINE {
+    let body = if call.body.len() <= MAX_INLINE_BODY {
         Body::Inline(call.body.to_vec())
     } else {
         let key = format_smolstr!("job/{id}/{}", call.id);
@@ -97,18 +98,18 @@
     })
 }
 
-/// Writes the job's rows, or finds those that an earlier sending of the same key left.
-async fn keep(worker: &Rc<Worker>, record: &job::Record, open: &job::Open) -> Result<job::Id, Error> {
+/// Writes the job's rows, or finds the rows of an earlier request with the same key.
+async fn store(worker: &Rc<Worker>, record: &job::Record, open: &job::Open) -> Result<job::Id, Error> {
     let store = &worker.shared.store;
-    let mut doubt = false;
-    for _ in 0..TRIES {
+    let mut is_uncertain = false;
+    for _ in 0..MAX_TRIES {
         match store.transact(record.accept(open)).await {
             Ending::Applied => return Ok(record.id),
-            Ending::Refused if !doubt => return Err(Error::NotKept),
+            Ending::Refused if !is_uncertain => return Err(Error::NotKept),
             Ending::Refused => continue,
-            Ending::Conflict(_) | Ending::Unknown => doubt = true,
+            Ending::Conflict(_) | Ending::Unknown => is_uncertain = true,
         }
-        // The rows may be there: of this sending, whose answer was lost, or of an earlier one.
+        // The rows may exist: from this call if the table's reply was lost, or from an earlier request.
         let Ok(Some(row)) = store.read(record.id.record_row()).await else {
             continue;
         };
--- a/bergamotshift-entry/src/jobs/error.rs
+++ b/bergamotshift-entry/src/jobs/error.rs
@@ -1,4 +1,4 @@
-//! Why a job was not accepted, fetched or cancelled.
+//! Failures to accept, fetch or cancel a job.
 
 use core::time::Duration;
 
@@ -6,44 +6,44 @@
 use ntex::http::StatusCode;
 use thiserror::Error as ThisError;
 
-/// When a caller should come back for something that passes.
-const SOON: Duration = Duration::from_secs(1);
+/// Time after which a caller should retry a transient failure.
+const RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Why a job was not accepted, fetched or cancelled.
+/// Reason why a job was not accepted, fetched or cancelled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(ThisError)]
 pub enum Error {
-    /// The platform did not take the job.
-    #[error("the job could not be kept, so it was not accepted")]
+    /// The job was not stored on the platform.
+    #[error("the job could not be stored, so it was not accepted")]
     NotKept,
-    /// The platform may have taken the job.
-    #[error("the job may have been accepted; ask again with the same `Idempotency-Key`")]
+    /// The job may have been stored on the platform.
+    #[error("the job may have been accepted; send the request again with the same `Idempotency-Key`")]
     Unsure,
-    /// The key belongs to another job.
-    #[error("the key was used for another job")]
+    /// The idempotency key belongs to another job.
+    #[error("the idempotency key was used for another job")]
     Mismatch,
-    /// The caller's organisation has no such job.
-    #[error("there is no such job")]
+    /// The caller's organisation has no job with this identifier.
+    #[error("the job does not exist")]
     NotFound,
-    /// The platform cannot be asked about the job.
+    /// The job's rows cannot be read or written.
     #[error("the platform cannot be reached")]
     Unreachable,
-    /// The job has ended already.
-    #[error("the job has ended")]
+    /// The job has already ended and cannot be cancelled.
+    #[error("the job has already ended")]
     Ended,
     /// The job was cancelled.
     #[error("the job was cancelled")]
     Cancelled,
-    /// The job was given up.
+    /// The job was given up; the outcome tells whether its request may have run.
     #[error("the job was given up")]
     Failed(Outcome),
-    /// The method is not offered for jobs.
+    /// The HTTP method is not supported for jobs.
     #[error("jobs are fetched with GET and cancelled with DELETE")]
     Method,
 }
 
 impl Error {
-    /// Returns whether the job ran.
+    /// Returns what is known about whether the job's request ran.
     pub const fn outcome(self) -> Outcome {
         match self {
             Self::NotKept | Self::Mismatch | Self::NotFound | Self::Method => Outcome::NotRun,
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Returns the HTTP status and the API's code.
+    /// Returns the HTTP status and the error code of the API.
     pub const fn row(self) -> (StatusCode, &'static str) {
         match self {
             Self::NotKept => (StatusCode::SERVICE_UNAVAILABLE, "job_not_kept"),
@@ -68,10 +68,10 @@
         }
     }
 
-    /// Returns when the caller should ask again, where that helps.
+    /// Returns the time after which the caller should retry, if the failure is transient.
     pub const fn retry_after(self) -> Option<Duration> {
         match self {
-            Self::NotKept | Self::Unsure | Self::Unreachable => Some(SOON),
+            Self::NotKept | Self::Unsure | Self::Unreachable => Some(RETRY_AFTER),
             _ => None,
         }
     }
--- a/bergamotshift-entry/src/jobs/mod.rs
+++ b/bergamotshift-entry/src/jobs/mod.rs
@@ -1,7 +1,7 @@
-//! Deferred jobs: accepted durably, run by any entry, fetched and cancelled through any entry.
+//! Deferred jobs: accepted durably, run by any entry, and fetched or cancelled through any entry.
 //!
-//! A caller asks with `Prefer: respond-async` and gets 202 with the job's address once the job is in the table. Every
-//! entry looks for open jobs on its control thread and runs some of them.
+//! A caller that sends `Prefer: respond-async` gets 202 with the job's path once the job is stored in the table. Every
+//! entry scans the table for open jobs on its control thread and runs some of them.
 
 mod accept;
 mod error;
@@ -19,17 +19,17 @@
 pub use self::scan::scan;
 pub use self::serve::serve;
 
-/// Where jobs are fetched and cancelled; the job's identifier follows.
+/// Path prefix under which jobs are fetched and cancelled; the job's identifier follows.
 pub const PATH: &str = "/v1/jobs/";
 
-/// How deferred jobs are found and run.
+/// Settings of the scan for deferred jobs and of their runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Settings {
-    /// The time between two looks for open jobs.
+    /// Time between two scans for open jobs.
     pub scan_interval: Duration,
-    /// The most jobs that one entry runs at a time; an entry with 0 looks for none.
+    /// Maximum number of jobs that the entry runs at a time; with 0 it does not scan for jobs.
     pub max_running: usize,
-    /// How a job is leased.
+    /// Settings of a job's lease and retries.
     pub runner: job::Settings,
 }
 
--- a/bergamotshift-entry/src/jobs/run.rs
+++ b/bergamotshift-entry/src/jobs/run.rs
@@ -1,4 +1,4 @@
-//! Runs one job under its lease.
+//! Runs a job under its lease.
 
 use core::time::Duration;
 use std::rc::Rc;
@@ -34,65 +34,69 @@
 use crate::worker::Recording;
 use crate::worker::Worker;
 
-/// The wait before a job that found no room asks for it again.
-const ROOM: Duration = Duration::from_secs(1);
+/// Maximum wait for the runner's next event, and the delay before a job that was not admitted or is in progress
+/// elsewhere tries again.
+const RETRY_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Runs a job, from taking its lease to its recorded result.
+/// Runs a job from the acquisition of its lease to the recorded result.
 pub(super) async fn run(worker: Rc<Worker>, candidate: job::Candidate, running: Running) {
     let settings = worker.shared.settings.jobs.runner;
     let holder = worker.shared.settings.name.clone();
     let job::Candidate { id, open, version } = candidate;
     let runner = Runner::new(settings, id, &open, version, holder, worker.draw());
-    let (events, happened) = mpsc::unbounded_channel();
+    let (events, received) = mpsc::unbounded_channel();
     let _recording = Recording::start(&worker.shared);
     let job = Job {
         worker,
         runner,
         events,
-        happened,
-        work: None,
+        received,
+        task: None,
         due: None,
     };
     job.drive().await;
     running.borrow_mut().remove(&id);
 }
 
+/// One job with its runner and the task that sends its request.
 struct Job {
     worker: Rc<Worker>,
     runner: Runner,
     events: mpsc::UnboundedSender<Event>,
-    happened: mpsc::UnboundedReceiver<Event>,
-    work: Option<JoinHandle<()>>,
+    received: mpsc::UnboundedReceiver<Event>,
+    task: Option<JoinHandle<()>>,
     due: Option<Instant>,
 }
 
 impl Job {
     async fn drive(mut self) {
-        self.take(Event::Take);
-        let mut leaving = false;
+        self.handle(Event::Take);
+        let mut is_leaving = false;
         while !self.runner.is_closed() {
             let now = self.worker.shared.now();
-            let wait = self.due.map_or(ROOM, |due| due.since(now).min(ROOM));
+            let wait = self
+                .due
+                .map_or(RETRY_INTERVAL, |due| due.since(now).min(RETRY_INTERVAL));
             let event = tokio::select! {
-                Some(event) = self.happened.recv() => event,
+                Some(event) = self.received.recv() => event,
                 () = tokio::time::sleep(wait) => Event::Woke,
             };
-            self.take(event);
-            if self.worker.shared.is_draining() && !leaving {
-                leaving = true;
-                self.take(Event::Leave);
+            self.handle(event);
+            if self.worker.shared.is_draining() && !is_leaving {
+                is_leaving = true;
+                self.handle(Event::Leave);
             }
         }
     }
 
-    fn take(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         let now = self.worker.shared.now();
         for action in self.runner.on(now, event) {
-            self.carry_out(action);
+            self.execute(action);
         }
     }
 
-    fn carry_out(&mut self, action: Action) {
+    fn execute(&mut self, action: Action) {
         let store = self.worker.shared.store.clone();
         match action {
             Action::Transact(writes) => {
@@ -100,85 +104,86 @@
                     .detach();
             }
             Action::Read(keys) => self
-                .spawn(async move { Event::Rows(rows(&store, keys).await) })
+                .spawn(async move { Event::Rows(read_rows(&store, keys).await) })
                 .detach(),
             Action::Start(record) => {
                 let worker = Rc::clone(&self.worker);
-                let work = self.spawn(async move { Event::Completed(send(&worker, *record).await) });
-                self.work = Some(work);
+                let task = self.spawn(async move { Event::Completed(send(&worker, *record).await) });
+                self.task = Some(task);
             }
             Action::Stop => {
-                if let Some(work) = self.work.take() {
-                    work.cancel();
+                if let Some(task) = self.task.take() {
+                    task.cancel();
                 }
             }
             Action::Wake(at) => self.due = Some(at),
         }
     }
 
-    fn spawn(&self, work: impl Future<Output = Event> + 'static) -> JoinHandle<()> {
+    fn spawn(&self, future: impl Future<Output = Event> + 'static) -> JoinHandle<()> {
         let events = self.events.clone();
         ntex::rt::spawn(async move {
-            drop(events.send(work.await));
+            drop(events.send(future.await));
         })
     }
 }
 
-async fn rows(
+async fn read_rows(
     store: &Store,
     [record, open]: [Key; 2],
 ) -> Result<[Option<bergamotshift_core::table::Row>; 2], bergamotshift_claim::driver::Unreachable> {
-    // The open row goes first: a job that is closed in between shows an open row that the closing write conflicts with.
+    // The open row is read first: if the job is closed between the two reads, a write based on this open row conflicts.
     let open = store.read(open).await?;
     let record = store.read(record).await?;
     Ok([record, open])
 }
 
-/// Sends a job's request; through a claim under the job's own id when it must not be repeated.
+/// Sends a job's request. A request that must not be repeated is sent through a claim under the caller's idempotency
+/// key, or under the job's identifier if there is none.
 async fn send(worker: &Rc<Worker>, record: job::Record) -> Completion {
     loop {
-        let Some(call) = call(worker, &record).await else {
+        let Some(call) = build_call(worker, &record).await else {
             return Completion::Unsendable;
         };
         let snapshot = worker.snapshot();
         let Admission::Now(ticket) = sharing::weigh(worker, &snapshot, &call, true) else {
-            tokio::time::sleep(ROOM).await;
+            tokio::time::sleep(RETRY_INTERVAL).await;
             continue;
         };
         if record.repeatable {
             let mut attempts = Attempts::new(Rc::clone(worker), call, ticket);
             return match whole::fetch(&mut attempts).await {
-                Ok(whole) => answered(worker, record.id, &whole).await,
+                Ok(whole) => store_answer(worker, record.id, &whole).await,
                 Err(_) if attempts.outcome() == Outcome::NotRun => Completion::NotRun,
                 Err(_) => Completion::Unknown,
             };
         }
-        // Under the caller's own key the job and a sending of the same request that is not deferred share one run.
+        // With the caller's own key, the job and the same request sent without deferral share one run.
         let key = record
             .key
             .clone()
             .unwrap_or_else(|| format_smolstr!("\u{1f}job/{}", record.id));
-        let told = claims::claim(worker, call, ticket, key, &Trace::default()).await;
-        match told.reply {
+        let response = claims::claim(worker, call, ticket, key, &Trace::default()).await;
+        match response.reply {
             Reply::Answer(answer) | Reply::Replay(answer) => return Completion::Answered(answer),
             Reply::NotRun { .. } => return Completion::NotRun,
-            // An earlier holder of the job sent it and may still be waiting for its answer.
-            Reply::InProgress { .. } => tokio::time::sleep(ROOM).await,
+            // An earlier holder of the job's lease sent the request and may still be waiting for the answer.
+            Reply::InProgress { .. } => tokio::time::sleep(RETRY_INTERVAL).await,
             Reply::Unknown | Reply::Mismatch => return Completion::Unknown,
         }
     }
 }
 
-/// Keeps a long answer in the object store.
-async fn answered(worker: &Rc<Worker>, id: job::Id, whole: &whole::Whole) -> Completion {
-    const INLINE: usize = 16 << 10;
+/// Stores a long answer in the object store and returns the job's completion.
+async fn store_answer(worker: &Rc<Worker>, id: job::Id, whole: &whole::Whole) -> Completion {
+    const MAX_INLINE_BODY: usize = 16 << 10;
     let mut answer = claims::from_whole(whole);
-    if whole.body.len() > INLINE {
+    if whole.body.len() > MAX_INLINE_BODY {
         let key = format_smolstr!("job/{id}/answer/{}", worker.draw());
-        let kept = worker.shared.store.keep(key.clone(), whole.body.to_vec()).await;
+        let is_stored = worker.shared.store.keep(key.clone(), whole.body.to_vec()).await;
         let length = whole.body.len() as u64;
-        // A job whose answer cannot be kept has to run again, or its caller would never get it.
-        if !kept {
+        // A job whose answer cannot be stored has to run again, or its caller would never get the answer.
+        if !is_stored {
             return Completion::Unknown;
         }
         answer.body = Body::Object { key, length };
@@ -186,7 +191,10 @@
     Completion::Answered(answer)
 }
 
-async fn call(worker: &Rc<Worker>, record: &job::Record) -> Option<Rc<Call>> {
+/// Rebuilds the call from the job's record.
+///
+/// Returns `None` if the service is not configured or the request cannot be restored.
+async fn build_call(worker: &Rc<Worker>, record: &job::Record) -> Option<Rc<Call>> {
     let snapshot = worker.snapshot();
     let service = snapshot.config.services.get(&record.service)?;
     let body = match &record.request.body {
--- a/bergamotshift-entry/src/jobs/serve.rs
+++ b/bergamotshift-entry/src/jobs/serve.rs
@@ -1,4 +1,4 @@
-//! Fetches and cancels jobs.
+//! Serves requests that fetch or cancel jobs.
 
 use std::rc::Rc;
 
@@ -19,14 +19,15 @@
 use crate::claims::Store;
 use crate::worker::Worker;
 
-/// How often a job is read and its end written before the caller is told to ask again.
-const TRIES: u32 = 5;
+/// Maximum number of tries to cancel a job before the caller is told to retry.
+const MAX_TRIES: u32 = 5;
 
-/// Answers a request about the job that `text` names.
+/// Answers a request for the job whose identifier is `text`.
 ///
 /// # Errors
 ///
-/// Returns the failure that the caller is told of.
+/// Returns an error if the job does not exist, cannot be read, failed, was cancelled, or has already ended when it is
+/// to be cancelled, and if the method is not supported.
 pub async fn serve(
     worker: &Rc<Worker>,
     organisation: &name::Organisation,
@@ -35,13 +36,13 @@
     id: attempt::Id,
 ) -> Result<Response, api::error::Error> {
     let store = &worker.shared.store;
-    let answered = match (text.parse(), method) {
+    let result = match (text.parse(), method) {
         (Err(_), _) => Err(Error::NotFound),
         (Ok(job), &Method::GET) => return fetch(store, organisation, job, id).await,
         (Ok(job), &Method::DELETE) => cancel(store, organisation, job).await,
         (Ok(_), _) => Err(Error::Method),
     };
-    answered
+    result
         .map(|()| Response::new(StatusCode::NO_CONTENT))
         .map_err(api::error::Error::from_job)
 }
@@ -70,7 +71,7 @@
     Err(api::error::Error::from_job(error))
 }
 
-/// Finds a job of the organisation; the jobs of others look as if they were not there.
+/// Reads a job of the organisation; jobs of other organisations are reported as not found.
 async fn find(store: &Store, organisation: &name::Organisation, job: job::Id) -> Result<job::Record, Error> {
     let row = store
         .read(job.record_row())
@@ -84,9 +85,9 @@
     Ok(record)
 }
 
-/// Closes a job at the version that its open row has, so that its holder's result conflicts.
+/// Closes a job at the version of its open row, so that the result of the lease's holder conflicts.
 async fn cancel(store: &Store, organisation: &name::Organisation, job: job::Id) -> Result<(), Error> {
-    for _ in 0..TRIES {
+    for _ in 0..MAX_TRIES {
         let record = find(store, organisation, job).await?;
         match record.state {
             job::State::Open => {}
