--- a/bergamotshift-entry/src/peers/content.rs
+++ b/bergamotshift-entry/src/peers/content.rs
@@ -1,4 +1,5 @@
-//! The configuration's part of the gossip: heads are told as notes, and content is fetched from whoever holds it.
+//! Exchange of the configuration between entries: the head is gossiped as a note, and content is fetched from an entry
+//! that holds it.
 
 use core::cell::RefCell;
 use core::time::Duration;
@@ -20,73 +21,75 @@
 use crate::configuration::Peers;
 use crate::configuration::follow;
 
-/// How long a peer may take over a configuration's content.
-pub(super) const PATIENCE: Duration = Duration::from_secs(2);
+/// Timeout for a peer's answer with configuration content.
+pub(super) const FETCH_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The configuration's head is one note.
-const HEAD: u128 = 0;
+/// Key of the note that carries the configuration's head.
+const HEAD_KEY: u128 = 0;
 
-/// What the control thread's tasks share of the configuration.
+/// Configuration state shared by the tasks of the control thread.
 #[derive(Debug, Default)]
 pub struct Content {
-    listener: RefCell<Option<follow::Sender>>,
+    subscriber: RefCell<Option<follow::Sender>>,
     held: RefCell<BTreeMap<Vec<u8>, Vec<u8>>>,
     latest: RefCell<Option<member::Event>>,
     rank: RefCell<Option<u16>>,
 }
 
 impl Content {
-    /// Has heads and ranks told to the member from now on, and first those that came before.
-    pub fn subscribe(&self, listener: follow::Sender) {
-        let earlier = self.latest.borrow_mut().take();
+    /// Forwards heads and ranks to the member from now on, beginning with the latest rank and head received so far.
+    pub fn subscribe(&self, subscriber: follow::Sender) {
+        let latest = self.latest.borrow_mut().take();
         let rank = self.rank.borrow().map(member::Event::Ranked);
-        for event in rank.into_iter().chain(earlier) {
-            drop(listener.send(event));
+        for event in rank.into_iter().chain(latest) {
+            drop(subscriber.send(event));
         }
-        *self.listener.borrow_mut() = Some(listener);
+        *self.subscriber.borrow_mut() = Some(subscriber);
     }
 
-    /// Tells the member a head that another entry announced. Who is not known yet cannot be asked for content; the note
-    /// comes again once it is.
-    pub(super) fn heard(&self, note: &note::Note, from: Option<name::Entry>) {
+    /// Forwards a head that another entry announced to the member.
+    ///
+    /// An entry that is not a known member yet cannot be asked for content, so its head counts as announced without
+    /// content. The note is reported again once the entry is known.
+    pub(super) fn receive_head(&self, note: &note::Note, from: Option<name::Entry>) {
         let Ok(mut announcement) = postcard::from_bytes::<Announcement>(&note.body) else {
             return;
         };
         announcement.holds &= from.is_some();
         let from = from.unwrap_or_default();
         let event = member::Event::Announced { from, announcement };
-        match &*self.listener.borrow() {
-            Some(listener) => drop(listener.send(event)),
+        match &*self.subscriber.borrow() {
+            Some(subscriber) => drop(subscriber.send(event)),
             None => *self.latest.borrow_mut() = Some(event),
         }
     }
 
-    /// Tells the member its entry's place among the live entries of its zone.
-    pub(super) fn ranked(&self, rank: u16) {
+    /// Forwards this entry's rank among the live entries of its zone to the member, if it changed.
+    pub(super) fn set_rank(&self, rank: u16) {
         if self.rank.replace(Some(rank)) == Some(rank) {
             return;
         }
-        if let Some(listener) = &*self.listener.borrow() {
-            drop(listener.send(member::Event::Ranked(rank)));
+        if let Some(subscriber) = &*self.subscriber.borrow() {
+            drop(subscriber.send(member::Event::Ranked(rank)));
         }
     }
 
-    /// Returns the content with this digest, for another entry.
+    /// Returns the content with this digest, to answer another entry.
     pub(super) fn get(&self, digest: &[u8]) -> Option<Vec<u8>> {
         self.held.borrow().get(digest).cloned()
     }
 
-    /// Keeps what the member holds ready for others.
+    /// Keeps the encoded content of the member's current revisions (in force, accepted and proposed) and drops the rest.
     fn hold(&self, member: &Member) {
-        let known = member.view().head;
-        let named = [
+        let latest = member.view().head;
+        let revisions = [
             member.in_force(),
-            known.accepted,
-            known.proposed.map(|proposal| proposal.revision),
+            latest.accepted,
+            latest.proposed.map(|proposal| proposal.revision),
         ];
         let mut held = self.held.borrow_mut();
         let mut kept = BTreeMap::new();
-        for digest in named.into_iter().flatten().map(|mark| mark.digest) {
+        for digest in revisions.into_iter().flatten().map(|revision| revision.digest) {
             let Some(key) = encode_digest(digest) else { continue };
             let content = held.remove(&key).or_else(|| member.content(&digest).and_then(encode));
             if let Some(content) = content {
@@ -97,7 +100,7 @@
     }
 }
 
-/// Reaches the other entries for the configuration's member.
+/// Connection of the configuration's member to the other entries, by gossip.
 #[derive(Clone, Debug)]
 pub struct Gossip {
     sender: Sender,
@@ -105,7 +108,7 @@
 }
 
 impl Gossip {
-    /// Makes the member's way to the others.
+    /// Creates the connection from the sender of requests and the shared content.
     pub const fn new(sender: Sender, content: Rc<Content>) -> Self {
         Self { sender, content }
     }
@@ -116,18 +119,18 @@
         let Ok(body) = postcard::to_stdvec(&announcement) else {
             return;
         };
-        // An announcer that holds the content can be asked for it, so it goes before one that does not.
+        // The content can be fetched from an announcer that holds it, so its note supersedes one without content.
         let version = announcement.view.row * 2 + u64::from(announcement.holds);
         self.sender.send(Request::NotePublished {
             topic: note::Topic::CONFIG,
-            key: HEAD,
+            key: HEAD_KEY,
             version,
             body,
         });
     }
 
     fn tell(&self, _to: &name::Entry, announcement: Announcement) {
-        // Digests of notes go along with probes: an entry that is behind is found and told by its neighbours.
+        // Probes carry digests of the notes, so the neighbours of an entry that is behind detect it and send the note.
         self.announce(announcement);
     }
 
@@ -142,7 +145,7 @@
             let content = content?;
             let files: Vec<(String, String)> = postcard::from_bytes(&content).ok()?;
             let manifest = Manifest::new(&files).ok()?;
-            // Content under a wrong digest would come into force as a version that nobody accepted.
+            // Content with another digest would come into force as a version that was never accepted.
             (manifest.digest() == digest).then_some(manifest)
         })
     }
--- a/bergamotshift-entry/src/peers/driver.rs
+++ b/bergamotshift-entry/src/peers/driver.rs
@@ -1,4 +1,4 @@
-//! Carries the fleet kernel's actions out.
+//! Runs the fleet kernel: feeds it events and executes its actions.
 
 use core::net::SocketAddr;
 use std::rc::Rc;
@@ -37,10 +37,10 @@
 use crate::admin::status;
 use crate::worker::Shared;
 
-/// The topic of configuration content in questions.
-const CONFIG: u8 = 1;
+/// Topic of configuration content in [`Question::Fetch`].
+const CONFIG_TOPIC: u8 = 1;
 
-/// Drives one kernel over one link.
+/// Task that runs a fleet kernel over a link.
 #[derive(Debug)]
 pub(super) struct Driver {
     pub(super) shared: Arc<Shared>,
@@ -68,7 +68,7 @@
         let (node, incoming) = Node::bind(&link, &identity, shared.settings.logger.clone())?;
         let me = member::Record {
             name: shared.settings.name.clone(),
-            incarnation: settings.incarnation.unwrap_or_else(started),
+            incarnation: settings.incarnation.unwrap_or_else(new_incarnation),
             version: 0,
             state: member::State::Alive,
             address: node.address()?,
@@ -94,17 +94,17 @@
         self.kernel.me().address
     }
 
-    /// Runs until the entry ends. Nothing in it waits for another entry, so that no probe goes unanswered meanwhile.
+    /// Runs until the entry ends. The loop never waits for another entry, so that probes are always answered.
     pub(super) async fn run(mut self) {
         loop {
             let wait = self.kernel.due().since(self.shared.now());
             tokio::select! {
                 request = self.requests.recv() => match request {
-                    Some(request) => self.take(request),
+                    Some(request) => self.handle(request),
                     None => break,
                 },
                 incoming = self.incoming.recv() => match incoming {
-                    Some(incoming) => self.arrived(incoming),
+                    Some(incoming) => self.receive(incoming),
                     None => break,
                 },
                 () = tokio::time::sleep(wait) => self.feed(Input::Tick),
@@ -113,22 +113,22 @@
         self.node.close().await;
     }
 
-    /// Gives the kernel an event and carries out what follows.
+    /// Passes an event to the kernel and executes the resulting actions.
     fn feed(&mut self, event: Input) {
         let mut actions = Vec::new();
         self.kernel.handle(self.shared.now(), event, &mut actions);
         for action in actions {
-            self.act(action);
+            self.execute(action);
         }
     }
 
-    fn act(&mut self, action: Action) {
+    fn execute(&mut self, action: Action) {
         let event = match action {
             Action::Send { to, transport, bytes } => return self.node.send(to, transport, bytes),
             Action::MemberChanged(record) => {
                 let logger = &self.shared.settings.logger;
                 info!(logger, "member"; "entry" => record.name.as_str(), "state" => ?record.state);
-                return self.show_members();
+                return self.publish_members();
             }
             Action::Paused { gap } => {
                 warn!(self.shared.settings.logger, "this entry was paused"; "gap_ms" => gap.as_millis());
@@ -140,7 +140,7 @@
             Action::Unwatch(endpoint) => Event::Watching(endpoint, false),
             Action::Marked(mark) => Event::Marked(mark),
             Action::NoteReceived { note, origin } if note.topic == note::Topic::CONFIG => {
-                return self.content.heard(&note, origin);
+                return self.content.receive_head(&note, origin);
             }
             Action::NoteReceived { note, origin } => Event::NoteReceived { note, origin },
             Action::LoadReceived { endpoint, report, age } => Event::LoadReceived { endpoint, report, age },
@@ -148,7 +148,7 @@
         self.shared.control.send(event);
     }
 
-    fn take(&mut self, request: Request) {
+    fn handle(&mut self, request: Request) {
         match request {
             Request::VmsListed(list) => self.feed(Input::VmsListed(list)),
             Request::EndpointLeaving {
@@ -174,7 +174,7 @@
                 body,
             }),
             Request::Status(answer) => drop(answer.send(self.kernel.status(self.shared.now()))),
-            Request::Keep { parcel, answer } => self.keep(&parcel, answer),
+            Request::Keep { parcel, answer } => self.hand_over(&parcel, answer),
             Request::Find { key, answer } => self.find(key, answer),
             Request::Finish(key) => self.finish(&key),
             Request::Fetch { from, key, answer } => self.fetch(&from, key, answer),
@@ -182,16 +182,17 @@
         }
     }
 
-    /// Shows the members to operators, and the configuration its entry's rank among its zone's live ones.
-    fn show_members(&self) {
+    /// Publishes the members in the status for operators, and this entry's rank among the live entries of its zone to the
+    /// configuration's member.
+    fn publish_members(&self) {
         let me = self.kernel.me();
         let members = self.kernel.members();
         let live = members
             .iter()
             .filter(|(_, record)| record.is_live() && record.zone == me.zone);
         let rank = live.filter(|(_, record)| record.name < me.name).count();
-        self.content.ranked(u16::try_from(rank).unwrap_or(u16::MAX));
-        let shown = members.iter().map(|(_, record)| status::Member {
+        self.content.set_rank(u16::try_from(rank).unwrap_or(u16::MAX));
+        let rows = members.iter().map(|(_, record)| status::Member {
             name: record.name.clone(),
             zone: record.zone.clone(),
             address: record.address,
@@ -202,7 +203,7 @@
                 member::State::Left => status::Health::Left,
             },
         });
-        self.shared.reports.set_members(shown.collect());
+        self.shared.reports.set_members(rows.collect());
     }
 
     /// Asks an entry for configuration content.
@@ -211,10 +212,13 @@
         let Some(record) = members.find(from).and_then(|key| members.get(key)) else {
             return drop(answer.send(None));
         };
-        let question = Question::Fetch { topic: CONFIG, key };
-        let asking = handover::ask_within(&self.node, record.address, question, content::PATIENCE);
+        let question = Question::Fetch {
+            topic: CONFIG_TOPIC,
+            key,
+        };
+        let reply = handover::ask_with_timeout(&self.node, record.address, question, content::FETCH_TIMEOUT);
         ntex::rt::spawn(async move {
-            let content = match asking.await {
+            let content = match reply.await {
                 Some(Answer::Content(content)) => Some(content),
                 _ => None,
             };
@@ -223,43 +227,44 @@
         .detach();
     }
 
-    /// Says goodbye and hands on what is kept here; all of it has arrived when `done` hears of it.
+    /// Announces that this entry leaves and hands over the parcels it keeps. `done` is notified once each transfer is
+    /// acknowledged or has timed out.
     ///
-    /// Failure: the process ends while its goodbye still waits in a queue. Symptom: the others go on to ask it, and
-    /// where it was its zone's only entry nobody else can tell that it died. So the goodbye waits for acknowledgements.
+    /// The announcement waits for acknowledgements: if the process ended with it still queued, the other entries would
+    /// go on asking this one. If it was the only entry of its zone, no other entry could tell that it died.
     fn leave(&mut self, done: std::sync::mpsc::Sender<()>) {
         let parcels = self.keeper.drain(self.shared.now());
-        let asking: Vec<handover::Asking> = parcels.iter().flat_map(|parcel| self.put(parcel)).collect();
+        let replies: Vec<handover::Reply> = parcels.iter().flat_map(|parcel| self.put(parcel)).collect();
         let mut actions = Vec::new();
         self.kernel.handle(self.shared.now(), Input::Leave, &mut actions);
-        let mut goodbyes = Vec::new();
+        let mut deliveries = Vec::new();
         for action in actions {
             if let Action::Send { to, bytes, .. } = action {
-                goodbyes.push(handover::deliver(self.node.clone(), to, bytes));
+                deliveries.push(handover::deliver(self.node.clone(), to, bytes));
             } else {
-                self.act(action);
+                self.execute(action);
             }
         }
         ntex::rt::spawn(async move {
-            futures_util::future::join(join_all(asking), join_all(goodbyes)).await;
+            futures_util::future::join(join_all(replies), join_all(deliveries)).await;
             let _ = done.send(());
         })
         .detach();
     }
 
-    fn arrived(&mut self, incoming: Incoming) {
+    fn receive(&mut self, incoming: Incoming) {
         match incoming {
             Incoming::Frame { from, bytes } => self.feed(Input::Received { from, bytes }),
             Incoming::Question { bytes, answer, .. } => {
-                let said = self.answer(&bytes);
-                drop(answer.send(said.encode()));
+                let reply = self.answer(&bytes);
+                drop(answer.send(reply.encode()));
             }
         }
     }
 
     /// Answers another entry's question.
     fn answer(&mut self, question: &[u8]) -> Answer {
-        // The pause is noticed first: a keeper that was away must not give away what it held.
+        // The tick detects a pause first: a keeper that was paused must not hand out the parcels it held before.
         self.feed(Input::Tick);
         let now = self.shared.now();
         match Question::decode(question) {
@@ -269,7 +274,7 @@
                 self.keeper.finish(&key);
                 Answer::Done
             }
-            Ok(Question::Fetch { topic, key }) if topic == CONFIG => {
+            Ok(Question::Fetch { topic, key }) if topic == CONFIG_TOPIC => {
                 self.content.get(&key).map_or(Answer::Missing, Answer::Content)
             }
             Ok(Question::Fetch { .. }) => Answer::Missing,
@@ -278,8 +283,8 @@
     }
 }
 
-/// Returns this life's number: the time of its start, which grows from one life to the next.
-fn started() -> Incarnation {
+/// Returns an incarnation for this process: the current time in milliseconds, which grows from one start to the next.
+fn new_incarnation() -> Incarnation {
     let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     Incarnation::new(u64::try_from(since.as_millis()).unwrap_or(u64::MAX))
 }
--- a/bergamotshift-entry/src/peers/handover.rs
+++ b/bergamotshift-entry/src/peers/handover.rs
@@ -1,4 +1,4 @@
-//! Hands open requests to their keepers, and finds those whose callers came back.
+//! Hands open requests over to their keepers and retrieves those whose callers reconnect.
 
 use core::net::SocketAddr;
 use core::pin::Pin;
@@ -16,37 +16,37 @@
 
 use super::driver::Driver;
 
-/// A keeper has to answer within this: a dead one must not hold a caller up.
-const PATIENCE: Duration = Duration::from_millis(500);
+/// Timeout for a keeper's answer, short so that a dead keeper does not delay the caller.
+const KEEPER_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// An answer that is waited for.
-pub(super) type Asking = Pin<Box<dyn Future<Output = Option<Answer>>>>;
+/// Pending answer of another entry; `None` if it does not arrive in time or is invalid.
+pub(super) type Reply = Pin<Box<dyn Future<Output = Option<Answer>>>>;
 
-/// What became of the search for a request.
+/// Outcome of the lookup of a request that was handed over.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Lookup {
-    /// It is here, to go on with.
+    /// The request; this entry continues it.
     Parcel(Box<Parcel>),
-    /// Another entry goes on with it.
+    /// Another entry, which continues the request.
     Elsewhere(name::Entry),
-    /// None of those that could keep it does.
+    /// No entry that was asked keeps the request.
     Missing,
 }
 
 impl Driver {
-    /// Hands a request to its keepers and tells how many keep it.
-    pub(super) fn keep(&self, parcel: &Parcel, answer: oneshot::Sender<usize>) {
-        let asking = self.put(parcel);
+    /// Hands a request over to its keepers and sends back how many of them keep it.
+    pub(super) fn hand_over(&self, parcel: &Parcel, answer: oneshot::Sender<usize>) {
+        let replies = self.put(parcel);
         ntex::rt::spawn(async move {
-            let answers = futures_util::future::join_all(asking).await;
-            let kept = answers.iter().filter(|said| **said == Some(Answer::Kept)).count();
+            let answers = futures_util::future::join_all(replies).await;
+            let kept = answers.iter().filter(|answer| **answer == Some(Answer::Kept)).count();
             let _ = answer.send(kept);
         })
         .detach();
     }
 
     /// Asks the keepers of a request to keep it.
-    pub(super) fn put(&self, parcel: &Parcel) -> Vec<Asking> {
+    pub(super) fn put(&self, parcel: &Parcel) -> Vec<Reply> {
         let me = self.kernel.me();
         let members = self.kernel.members();
         let keepers = handover::keepers(&parcel.key, members, &me.zone, &me.name);
@@ -56,7 +56,7 @@
             .collect()
     }
 
-    /// Looks here and then asks the candidates one after the other.
+    /// Looks the request up in this entry's own keeper, then asks the candidates one after the other.
     pub(super) fn find(&mut self, key: Key, answer: oneshot::Sender<Lookup>) {
         let me = self.kernel.me().name.clone();
         match self.keeper.take(self.shared.now(), &key, &me) {
@@ -73,52 +73,55 @@
         .detach();
     }
 
-    /// Tells all that may keep a request to forget it.
+    /// Removes a finished request from this entry's keeper and asks the first candidates to remove it.
     pub(super) fn finish(&mut self, key: &Key) {
         self.keeper.finish(key);
-        let asking: Vec<Asking> = self
+        let replies: Vec<Reply> = self
             .candidates(key)
             .into_iter()
             .take(handover::CANDIDATE_COUNT)
             .map(|address| ask(&self.node, address, Question::Finish(key.clone())))
             .collect();
         ntex::rt::spawn(async move {
-            futures_util::future::join_all(asking).await;
+            futures_util::future::join_all(replies).await;
         })
         .detach();
     }
 
+    /// Returns the addresses of the other entries that may keep a request, in the order to ask them.
     fn candidates(&self, key: &Key) -> Vec<SocketAddr> {
         let members = self.kernel.members();
-        let own = self.kernel.me().address;
+        let own_address = self.kernel.me().address;
         handover::candidates(key, members)
             .into_iter()
             .filter_map(|candidate| members.get(candidate))
             .map(|record| record.address)
-            .filter(|address| *address != own)
+            .filter(|address| *address != own_address)
             .collect()
     }
 }
 
-fn ask(node: &Node, to: SocketAddr, question: Question) -> Asking {
-    ask_within(node, to, question, PATIENCE)
+/// Sends a question to a keeper.
+fn ask(node: &Node, to: SocketAddr, question: Question) -> Reply {
+    ask_with_timeout(node, to, question, KEEPER_TIMEOUT)
 }
 
-/// Asks an entry and waits for so long.
-pub(super) fn ask_within(node: &Node, to: SocketAddr, question: Question, patience: Duration) -> Asking {
+/// Sends a question to an entry and waits for the answer up to the timeout.
+pub(super) fn ask_with_timeout(node: &Node, to: SocketAddr, question: Question, timeout: Duration) -> Reply {
     let node = node.clone();
     Box::pin(async move {
-        let bytes = node.ask(to, &question.encode(), patience).await.ok()?;
+        let bytes = node.ask(to, &question.encode(), timeout).await.ok()?;
         Answer::decode(&bytes).ok()
     })
 }
 
-/// Delivers a frame, or gives up after the patience for a keeper.
+/// Delivers a frame, or gives up after the timeout for a keeper.
 pub(super) async fn deliver(node: Node, to: SocketAddr, bytes: Vec<u8>) {
-    // Whoever does not get it finds out by probing.
-    drop(node.deliver(to, &bytes, PATIENCE).await);
+    // An entry that does not receive the frame detects the departure by probing.
+    drop(node.deliver(to, &bytes, KEEPER_TIMEOUT).await);
 }
 
+/// Asks the entries one after the other until one has the request or knows which entry continues it.
 async fn search(node: &Node, addresses: Vec<SocketAddr>, key: Key, by: name::Entry) -> Lookup {
     for address in addresses {
         let question = Question::Take {
--- a/bergamotshift-entry/src/peers/mod.rs
+++ b/bergamotshift-entry/src/peers/mod.rs
@@ -1,7 +1,7 @@
-//! The entry's part in the fleet: gossip with other entries, and keeping parcels of those that leave.
+//! Membership of the entry in the fleet: gossip with other entries, and handover of open requests when entries leave.
 //!
-//! One task on the control thread drives the fleet kernel over the link. The control thread tells it what it sees and
-//! hears back what others saw.
+//! A task on the control thread runs the fleet kernel over the link. The control thread sends it [`Request`]s with local
+//! observations and receives [`Event`]s with those of other entries.
 
 mod content;
 mod driver;
@@ -32,106 +32,106 @@
 pub use self::settings::Settings;
 use crate::worker::Shared;
 
-/// What the entry tells its part in the fleet, or asks of it.
+/// Message from the rest of the entry to the fleet task.
 #[derive(Debug)]
 pub enum Request {
-    /// The platform listed its VMs.
+    /// Reports the VMs that the platform listed.
     VmsListed(Vec<Listing>),
-    /// An endpoint is known to leave.
+    /// Reports that an endpoint is leaving.
     EndpointLeaving {
-        /// The endpoint.
+        /// Endpoint that is leaving.
         endpoint: endpoint::Id,
-        /// How that is known.
+        /// Source of the information.
         source: mark::Source,
-        /// What is left of the notice, in milliseconds, where known.
+        /// Remaining time of the notice in milliseconds, if known.
         notice_ms: Option<u32>,
     },
-    /// A watched endpoint reported its load.
+    /// Reports the load of a watched endpoint.
     LoadReported {
-        /// The endpoint.
+        /// Endpoint that sent the report.
         endpoint: endpoint::Id,
-        /// The report.
+        /// Load report.
         report: load::Report,
     },
-    /// This entry serves an organisation at this rate.
+    /// Reports the rate at which this entry serves an organisation.
     UsageMeasured {
-        /// The organisation.
+        /// Organisation that is served.
         organisation: name::Organisation,
-        /// The rate.
+        /// Measured rate, in the unit of the organisations' limits.
         rate: u32,
     },
-    /// Another part of the entry has news for all entries.
+    /// Publishes a note to all entries.
     NotePublished {
-        /// What it is about.
+        /// Topic of the note.
         topic: note::Topic,
-        /// What it is about within the topic.
+        /// Key of the note within its topic.
         key: u128,
-        /// The highest wins.
+        /// Version of the note; the highest version of a key replaces the others.
         version: u64,
-        /// The content.
+        /// Encoded content of the note.
         body: Vec<u8>,
     },
-    /// How does the fleet stand?
+    /// Requests the status of the fleet.
     Status(oneshot::Sender<kernel::Status>),
-    /// Hands an open request to its keepers; answers how many keep it.
+    /// Hands an open request over to its keepers.
     Keep {
-        /// The request.
+        /// Request to hand over.
         parcel: Box<Parcel>,
-        /// Gets the number of entries that keep it.
+        /// Receives the number of entries that keep the request.
         answer: oneshot::Sender<usize>,
     },
-    /// Looks for a request whose caller came back here.
+    /// Looks up a request whose caller reconnected to this entry.
     Find {
-        /// What the caller came back with.
+        /// Key that the caller sent.
         key: Key,
-        /// Gets what was found.
+        /// Receives the outcome of the lookup.
         answer: oneshot::Sender<Lookup>,
     },
-    /// A request that was found is finished: its keepers forget it.
+    /// Removes a finished request from its keepers.
     Finish(Key),
-    /// Asks an entry for configuration content.
+    /// Fetches configuration content from an entry.
     Fetch {
-        /// The entry.
+        /// Entry that is asked.
         from: name::Entry,
-        /// The content's digest.
+        /// Encoded digest of the content.
         key: Vec<u8>,
-        /// Gets the content.
+        /// Receives the content, or `None` if the entry is unknown, cannot be reached or does not hold it.
         answer: oneshot::Sender<Option<Vec<u8>>>,
     },
-    /// This entry leaves: it says goodbye and hands on what it keeps.
+    /// Announces that this entry leaves and hands over the parcels it keeps; the sender is notified at the end.
     Leave(std::sync::mpsc::Sender<()>),
 }
 
-/// What the fleet tells the entry.
+/// Message from the fleet task to the control thread.
 #[derive(Debug)]
 pub enum Event {
-    /// Another entry knows that an endpoint leaves.
+    /// Another entry reported that an endpoint is leaving.
     Marked(mark::Mark),
-    /// This entry watches an endpoint for the others from now on, or no longer.
+    /// This entry starts (`true`) or stops (`false`) reading an endpoint's load for the fleet.
     Watching(endpoint::Id, bool),
-    /// Another entry heard an endpoint's load.
+    /// Another entry published an endpoint's load.
     LoadReceived {
-        /// The endpoint.
+        /// Endpoint that the load belongs to.
         endpoint: endpoint::Id,
-        /// The report.
+        /// Load report.
         report: load::Report,
-        /// How old it is.
+        /// Age of the report.
         age: Duration,
     },
-    /// Another entry has news for a part of this one.
+    /// Another entry published a note.
     NoteReceived {
-        /// The news.
+        /// The note.
         note: note::Note,
-        /// Who told it first, when known.
+        /// Entry that published the note first, if it is a known member.
         origin: Option<name::Entry>,
     },
-    /// This entry was paused: what it held is no longer its own.
+    /// This entry was paused for the given time, so it no longer owns the leases and parcels that it held.
     Paused(Duration),
-    /// A later life of this entry exists.
+    /// A later incarnation of this entry exists.
     Superseded,
 }
 
-/// Talks to the entry's part in the fleet.
+/// Handle for sending requests to the fleet task.
 #[derive(Clone, Debug)]
 pub struct Sender {
     requests: mpsc::UnboundedSender<Request>,
@@ -139,22 +139,22 @@
 }
 
 impl Sender {
-    /// Sends a request; when the part has ended it goes nowhere, and answers are never sent.
+    /// Sends a request. Once the task has ended, requests are dropped and no answers arrive.
     pub fn send(&self, request: Request) {
         drop(self.requests.send(request));
     }
 
-    /// Returns where other entries reach this one.
+    /// Returns the address at which other entries reach this one.
     pub const fn address(&self) -> SocketAddr {
         self.address
     }
 }
 
-/// Starts this entry's part in the fleet on the current thread, when its settings name one.
+/// Starts the fleet task on the current thread, or returns `None` if the settings have no `peers`.
 ///
 /// # Errors
 ///
-/// Returns an error when the credentials do not fit together or the address is taken.
+/// Returns an error if the credentials do not match or the address is in use.
 pub fn start(shared: &Arc<Shared>) -> Result<Option<(Sender, Rc<Content>)>, bergamotshift_link::node::Error> {
     let Some(settings) = &shared.settings.peers else {
         return Ok(None);
--- a/bergamotshift-entry/src/peers/settings.rs
+++ b/bergamotshift-entry/src/peers/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of an entry's part in the fleet.
+//! Settings of an entry's membership in the fleet.
 
 use core::fmt;
 use core::net::SocketAddr;
@@ -6,36 +6,36 @@
 
 use bergamotshift_core::vm::Incarnation;
 
-/// Who this entry is to the others, as PEM texts.
+/// Credentials of this entry towards the other entries, as PEM text.
 #[derive(Clone, Default)]
 pub struct Credentials {
-    /// The certificate chain.
+    /// Certificate chain.
     pub chain: Arc<[u8]>,
-    /// The private key.
+    /// Private key.
     pub key: Arc<[u8]>,
-    /// The private authority.
+    /// Certificate of the private authority.
     pub authority: Arc<[u8]>,
 }
 
 impl fmt::Debug for Credentials {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        // A key in a log is a key lost.
+        // The private key must not appear in logs.
         f.debug_struct("Credentials").finish_non_exhaustive()
     }
 }
 
-/// How an entry takes part in the fleet.
+/// Settings of an entry's membership in the fleet.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Where other entries reach this one; port 0 takes a free one.
+    /// Address at which other entries reach this one; port 0 picks a free port.
     pub listen: SocketAddr,
-    /// Entries that are asked first.
+    /// Addresses of the entries to contact first.
     pub seeds: Vec<SocketAddr>,
-    /// Which life of the entry's name this is; missing, the time of its start counts.
+    /// Incarnation of the entry; the start time by default.
     pub incarnation: Option<Incarnation>,
-    /// Who this entry is to the others.
+    /// Credentials towards the other entries.
     pub credentials: Credentials,
-    /// How the fleet kernel behaves.
+    /// Settings of the fleet kernel.
     pub fleet: bergamotshift_fleet::settings::Settings,
 }
 
--- a/bergamotshift-entry/tests/peers.rs
+++ b/bergamotshift-entry/tests/peers.rs
@@ -1,4 +1,4 @@
-//! Entries that form a fleet over real sockets.
+//! Tests of entries that form a fleet over real sockets.
 
 use core::time::Duration;
 use std::sync::Arc;
@@ -64,7 +64,7 @@
 classes = ["small"]
 "#;
 
-/// A private authority.
+/// Private certificate authority that issues the entries' credentials.
 struct Authority(CertifiedIssuer<'static, KeyPair>);
 
 impl Authority {
@@ -86,7 +86,7 @@
     }
 }
 
-/// Starts an entry of the fleet in its own zone.
+/// Starts an entry `entry-{letter}` in the zone `zone-{letter}`.
 fn start(letter: &str, credentials: Credentials, seed: Option<&Handle>, platform: Option<&vms::Server>) -> Handle {
     let settings = settings(letter, credentials, seed);
     let platform = Platform {
@@ -96,6 +96,7 @@
     Daemon::start(Settings { platform, ..settings }).unwrap()
 }
 
+/// Returns the settings of an entry with short probe intervals.
 fn settings(letter: &str, credentials: Credentials, seed: Option<&Handle>) -> Settings {
     let seeds = seed.and_then(Handle::peers).map(peers::Sender::address);
     let fleet = bergamotshift_fleet::settings::Settings {
@@ -131,7 +132,7 @@
     status.await.unwrap()
 }
 
-/// Looks until the entry holds so many members for alive.
+/// Waits until the entry lists exactly `count` members as alive.
 async fn until_alive(entry: &Handle, count: usize) {
     loop {
         let members = fleet(entry).await.members;
@@ -142,6 +143,7 @@
     }
 }
 
+/// Waits until each entry lists all of them as alive.
 async fn until_formed(entries: &[&Handle]) {
     for entry in entries {
         until_alive(entry, entries.len()).await;
@@ -181,16 +183,16 @@
 }
 
 #[ntex::test]
-async fn entries_find_each_other_and_a_stranger_stays_outside() {
-    // The stranger knows a seed's address and has a certificate, but of another authority. The fleet of three must
-    // form while it tries, and neither side may ever list the other.
+async fn entries_form_a_fleet_without_an_entry_of_another_authority() {
+    // Guards against admitting an entry whose certificate was issued by another authority. It knows a seed's address
+    // and keeps trying while the other three form a fleet; neither side may list the other.
     let authority = Authority::new();
     let first = start("a", authority.issue(), None, None);
-    let stranger = start("x", Authority::new().issue(), Some(&first), None);
+    let outsider = start("x", Authority::new().issue(), Some(&first), None);
     let second = start("b", authority.issue(), Some(&first), None);
     let third = start("c", authority.issue(), Some(&first), None);
     until_formed(&[&first, &second, &third]).await;
-    assert_eq!(fleet(&stranger).await.members.len(), 1);
+    assert_eq!(fleet(&outsider).await.members.len(), 1);
     for entry in [&first, &second, &third] {
         let members = fleet(entry).await.members;
         assert!(members.iter().all(|member| member.name.as_str() != "entry-x"));
@@ -198,9 +200,9 @@
 }
 
 #[ntex::test]
-async fn a_notice_that_one_entry_reads_reaches_entries_whose_list_lags() {
-    // Two entries read two copies of the VM list. Only the first copy ever gets the notice; the second shows the
-    // endpoint as live for good. The second entry must stop giving it work all the same, and never start again.
+async fn a_notice_read_by_one_entry_reaches_an_entry_with_a_stale_list() {
+    // Guards against sending work to a leaving endpoint because the entry's own VM list is stale. Two entries read two
+    // copies of the list. Only the first copy gets the notice; the second keeps showing the endpoint as live.
     let listing = Listing {
         name: "vm-1".into(),
         incarnation: Incarnation::new(5),
@@ -239,8 +241,9 @@
 
 #[ntex::test]
 async fn a_request_that_was_handed_over_is_found_from_every_entry_once() {
-    // Entry a leaves and hands a sent, non-repeatable call over. Its caller comes back to d, which never heard of it,
-    // and then to b as well. It gets the one parcel, still marked as sent, and the second asker is told who has it.
+    // Guards against losing a sent, non-repeatable request, or sending it again, when its entry leaves. Entry a hands
+    // the request over. Its caller reconnects twice to d, which did not know the request; both lookups return the
+    // parcel, which is still marked as sent. Another organisation's key finds nothing.
     let authority = Authority::new();
     let leaving = start("a", authority.issue(), None, None);
     let others: Vec<Handle> = ["b", "c", "d"]
@@ -278,9 +281,9 @@
 }
 
 #[ntex::test]
-async fn a_keeper_that_leaves_hands_on_what_it_keeps() {
-    // The request's own entry is gone. Then its keepers leave one after the other, each handing on what it keeps, until
-    // one entry is left, and the caller comes back there.
+async fn a_leaving_keeper_hands_over_its_parcels() {
+    // Guards against losing a request when its keepers leave too. After the request's own entry, the keepers leave one
+    // after the other, each handing its parcels over, until the caller reconnects to the only entry left.
     let authority = Authority::new();
     let first = start("a", authority.issue(), None, None);
     let mut entries: Vec<Handle> = ["b", "c", "d"]
@@ -305,8 +308,8 @@
     assert!(matches!(found, Lookup::Parcel(_)), "{found:?}");
 }
 
-/// Starts an entry that learns its configuration, in zone a.
-fn follow(letter: &str, credentials: Credentials, seed: Option<&Handle>, platform: Platform) -> Handle {
+/// Starts an entry in `zone-a` that has no configuration and receives it from the platform or its peers.
+fn start_unconfigured(letter: &str, credentials: Credentials, seed: Option<&Handle>, platform: Platform) -> Handle {
     let settings = Settings {
         zone: "zone-a".into(),
         config: None,
@@ -316,6 +319,7 @@
     Daemon::start(settings).unwrap()
 }
 
+/// Waits until the entry uses this version of the configuration.
 async fn until_config(entry: &Handle, version: u64) {
     while entry.status().await.and_then(|status| status.config).map(Version::get) != Some(version) {
         tokio::task::yield_now().await;
@@ -323,9 +327,9 @@
 }
 
 #[ntex::test]
-async fn a_fresh_entry_learns_the_configuration_from_its_peers_while_the_platform_is_down() {
-    // A version is accepted and in force; then the platform's table and store go down. An entry that starts now can
-    // read nothing there. It has to get head and content from the entry that it joins, else it turns callers away.
+async fn a_new_entry_receives_the_configuration_from_its_peers_while_the_platform_is_down() {
+    // Guards against an entry that refuses callers because it starts during a platform outage. A version is in force
+    // when the platform's table and object store go down; the new entry has to get head and content from a peer.
     let table = table::Server::start(table::Settings::default()).unwrap();
     let objects = objects::Server::start(objects::Settings::default()).unwrap();
     let platform = Platform {
@@ -334,7 +338,7 @@
         ..Platform::default()
     };
     let authority = Authority::new();
-    let first = follow("a", authority.issue(), None, platform);
+    let first = start_unconfigured("a", authority.issue(), None, platform);
     let kind = bergamotshift_core::plugin::find::<bergamotshift_platform::Kind>("http").unwrap();
     let clients = (kind.connect)(platform.over_http()).await.unwrap();
     let change = proposer::Request {
@@ -351,12 +355,12 @@
 
     table.fault(Fault::Down);
     objects.fault(Fault::Down);
-    let fresh = follow("b", authority.issue(), Some(&first), platform);
+    let fresh = start_unconfigured("b", authority.issue(), Some(&first), platform);
     until_config(&fresh, 1).await;
     assert!(fresh.status().await.is_some_and(|status| status.ready));
 }
 
-/// Drains an entry on a thread of its own, since draining blocks.
+/// Drains an entry on a separate thread, because draining blocks.
 async fn drain(entry: Handle) -> (Handle, bergamotshift_entry::daemon::Drained) {
     let (done, drained) = oneshot::channel();
     std::thread::spawn(move || {
