--- a/bergamotshift-entry/src/exchange/assemble.rs
+++ b/bergamotshift-entry/src/exchange/assemble.rs
@@ -1,7 +1,7 @@
-//! Whole completions, read as streams.
+//! Assembles a whole completion from an engine's event stream.
 //!
-//! A caller that wants one answer gets one. Towards the engine it is a stream all the same: an engine that stands
-//! still is noticed within the time between tokens, and one that dies costs only the tokens it had not sent.
+//! A caller that asks for a single answer gets one, but the engine is asked for a stream. A stalled engine is then
+//! detected within the time between tokens, and an engine that dies loses only the tokens that it had not sent.
 
 use bergamotshift_endpoint::engine::event::Event;
 use bergamotshift_endpoint::engine::resume::CHAT;
@@ -13,8 +13,8 @@
 use super::Error;
 use super::events::Events;
 
-/// Fields that make an answer what no stream's pieces add up to.
-const UNFIT: [&str; 7] = [
+/// Request fields whose answers cannot be assembled from the chunks of a stream.
+const UNSUPPORTED_FIELDS: [&str; 7] = [
     "tools",
     "functions",
     "logprobs",
@@ -24,15 +24,16 @@
     "audio",
 ];
 
-/// Returns the body that asks for the same completion as a stream; nothing when its pieces would not add up to it.
+/// Returns the body that requests the same completion as a stream, or `None` if the answer cannot be assembled from
+/// the chunks of a stream.
 pub fn streaming_body(body: &Bytes) -> Option<Bytes> {
     let Ok(Value::Object(mut fields)) = serde_json::from_slice(body) else {
         return None;
     };
-    let unfit = |name: &&str| fields.get(*name).is_some_and(is_set);
-    let several = fields.get("n").and_then(Value::as_u64).is_some_and(|n| n > 1);
-    let many = fields.get("prompt").is_some_and(Value::is_array);
-    if several || many || UNFIT.iter().any(unfit) {
+    let is_unsupported = |name: &&str| fields.get(*name).is_some_and(is_set);
+    let has_choices = fields.get("n").and_then(Value::as_u64).is_some_and(|n| n > 1);
+    let has_prompts = fields.get("prompt").is_some_and(Value::is_array);
+    if has_choices || has_prompts || UNSUPPORTED_FIELDS.iter().any(is_unsupported) {
         return None;
     }
     fields.insert("stream".to_owned(), json!(true));
@@ -40,6 +41,7 @@
     serde_json::to_vec(&fields).ok().map(Bytes::from)
 }
 
+/// Returns whether a field is present with a value other than null, `false` or an empty array.
 fn is_set(value: &Value) -> bool {
     match value {
         Value::Null | Value::Bool(false) => false,
@@ -48,11 +50,11 @@
     }
 }
 
-/// Reads a completion to its end and returns it as one answer.
+/// Reads a completion to its end and returns it as a single answer.
 ///
 /// # Errors
 ///
-/// Returns why it cannot be brought to its end.
+/// Returns an error if the completion cannot be finished.
 pub async fn read(source: &mut Events) -> Result<Bytes, Error> {
     let chat = source.attempts().call().path.path() == CHAT;
     let mut answer = Answer::default();
@@ -66,16 +68,16 @@
     Ok(answer.finish(chat))
 }
 
-/// An answer, as far as its pieces have come.
+/// Answer assembled from the chunks read so far.
 #[derive(Debug, Default)]
 struct Answer {
-    /// What all pieces say alike, such as the identifier and the model.
+    /// Fields that all chunks share, such as the identifier and the model.
     common: Map<String, Value>,
-    /// What the pieces of a chat's message add up to.
+    /// Message of a chat completion, joined from the deltas.
     message: Map<String, Value>,
-    /// What the pieces of a plain completion add up to.
+    /// Text of a plain completion, joined from the chunks.
     text: String,
-    /// What else is said of the choice, such as why it ended.
+    /// Other fields of the choice, such as the finish reason.
     choice: Map<String, Value>,
     usage: Option<Value>,
 }
@@ -115,7 +117,7 @@
     fn add_part(&mut self, name: String, value: Value) {
         match (self.message.get_mut(&name), value) {
             (Some(Value::String(_)), _) if name == "role" => {}
-            (Some(Value::String(text)), Value::String(more)) => text.push_str(&more),
+            (Some(Value::String(text)), Value::String(suffix)) => text.push_str(&suffix),
             (Some(_), Value::Null) => {}
             (_, value) => drop(self.message.insert(name, value)),
         }
--- a/bergamotshift-entry/src/exchange/attempts.rs
+++ b/bergamotshift-entry/src/exchange/attempts.rs
@@ -1,4 +1,4 @@
-//! The attempts of one request: choose, send, and on failure decide.
+//! Makes the attempts of a request: chooses an endpoint, sends, and decides on a retry after a failure.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -26,20 +26,21 @@
 use crate::snapshot::Snapshot;
 use crate::worker::Worker;
 
-/// Bytes of prompt per block of prefix, and tokens that makes.
+/// Size of a prompt block for prefix hashes, in bytes.
 pub(crate) const BLOCK_BYTES: usize = 1024;
+/// Estimated number of tokens in a prompt block.
 pub(crate) const BLOCK_TOKENS: u32 = 256;
 
-/// An answer whose head has arrived, and where it comes from.
+/// Answer whose head has arrived, with the attempt that brought it.
 #[derive(Debug)]
 pub struct Open {
-    /// The answer.
+    /// Head and unread body of the answer.
     pub answer: Answer,
-    /// Where it runs.
+    /// Attempt that brought the answer.
     pub running: Running,
 }
 
-/// One attempt under way; dropping it counts the attempt as ended.
+/// Attempt in flight; it counts as ended when this is dropped.
 #[derive(Debug)]
 pub struct Running {
     pub(super) endpoint: Arc<Endpoint>,
@@ -49,16 +50,18 @@
     pub(super) _seat: Option<Taken>,
 }
 
-/// Makes the attempts of one request.
+/// Attempts of a request.
 #[derive(Debug)]
 pub struct Attempts {
     pub(super) worker: Rc<Worker>,
     pub(super) call: Rc<Call>,
     pub(super) tried: Vec<key::Endpoint>,
-    pub(super) made: u32,
+    pub(super) started: u32,
     outcome: Outcome,
-    pub(super) lost: u32,
-    pub(super) crowded: u32,
+    /// Number of polls without any endpoint.
+    pub(super) endpoint_polls: u32,
+    /// Number of polls for an endpoint that runs no other suspected request.
+    pub(super) isolation_polls: u32,
     pub(super) trace: Trace,
     record: Record,
     ticket: Option<Ticket>,
@@ -73,7 +76,7 @@
 }
 
 impl Attempts {
-    /// Makes none yet, of a request that was let in.
+    /// Creates the attempts of an admitted request, with none started yet.
     pub fn new(worker: Rc<Worker>, call: Rc<Call>, ticket: Ticket) -> Self {
         let snapshot = worker.snapshot();
         let metrics = snapshot.services.get(&call.service);
@@ -82,29 +85,29 @@
             worker,
             call,
             tried: Vec::new(),
-            made: 0,
+            started: 0,
             outcome: Outcome::NotRun,
-            lost: 0,
-            crowded: 0,
+            endpoint_polls: 0,
+            isolation_polls: 0,
             trace: Trace::default(),
             record: Record::new(metrics),
             ticket: Some(ticket),
         }
     }
 
-    /// Ends the request with what its caller is told of a failure.
+    /// Records the request as failed and returns the error for its caller.
     pub fn fail(&mut self, error: &Error) -> api::error::Error {
         self.record.failed();
         self.trace.failed(error);
         api::error::Error::from_exchange(error, self.outcome)
     }
 
-    /// Returns what is counted of the request.
+    /// Returns the metrics record of the request.
     pub const fn record(&mut self) -> &mut Record {
         &mut self.record
     }
 
-    /// Makes them within a trace, and notes in it that the request is let in.
+    /// Sets the trace and records in it that the request was admitted.
     #[must_use]
     pub fn with_trace(mut self, trace: &Trace) -> Self {
         trace.admitted();
@@ -124,17 +127,17 @@
         &self.call
     }
 
-    /// Returns the thread's state.
+    /// Returns the worker thread's state.
     pub const fn worker(&self) -> &Rc<Worker> {
         &self.worker
     }
 
-    /// Returns what is known about whether the request ran so far.
+    /// Returns what is known so far about whether the request ran.
     pub const fn outcome(&self) -> Outcome {
         self.outcome
     }
 
-    /// Notes that the request ran, whatever becomes of its answer.
+    /// Records that the request ran, regardless of what happens to its answer.
     pub const fn mark_ran(&mut self) {
         self.outcome = Outcome::Ran;
     }
@@ -147,7 +150,7 @@
         }
     }
 
-    /// Counts the tokens of a model's answer that came whole.
+    /// Counts the tokens of a model's complete answer.
     pub fn count_whole(&mut self, body: &[u8]) {
         let now = self.worker.shared.now();
         if let Some(ticket) = &mut self.ticket {
@@ -155,11 +158,11 @@
         }
     }
 
-    /// Makes attempts until the head of an answer is there.
+    /// Makes attempts until the head of an answer arrives.
     ///
     /// # Errors
     ///
-    /// Returns why no attempt brought one; [`Attempts::outcome`] then tells whether the request ran.
+    /// Returns an error if no attempt brought an answer; [`Attempts::outcome`] then tells whether the request ran.
     pub async fn open(&mut self, mut body: Outgoing) -> Result<Open, Error> {
         let mut queue = None;
         loop {
@@ -175,16 +178,16 @@
                 Outgoing::Buffered(bytes) => call::Body::Whole(bytes.clone()),
                 Outgoing::Streamed(payload) => call::Body::Stream(payload.take()),
             };
-            self.made += 1;
+            self.started += 1;
             queue = None;
             running.span = self.span(&running);
             service.metrics.attempts.inc();
             match self.send(service, &running, outgoing).await {
-                Ok(answer) if self.refuses(service, &answer) && matches!(body, Outgoing::Buffered(_)) => {
+                Ok(answer) if self.is_refusal(service, &answer) && matches!(body, Outgoing::Buffered(_)) => {
                     drop(answer);
                     running.span.failed(&"refused");
                     service.metrics.refused.inc();
-                    self.after(&snapshot, &running, retry::Failure::Refused, |reason| Error::Refused {
+                    self.retry_or_stop(&snapshot, &running, retry::Failure::Refused, |reason| Error::Refused {
                         reason,
                     })
                     .await?;
@@ -195,7 +198,7 @@
                     return Ok(Open { answer, running });
                 }
                 Err(failure) => {
-                    self.failed(running, failure).await?;
+                    self.handle_failure(running, failure).await?;
                     if matches!(body, Outgoing::Streamed(_)) {
                         return Err(Error::NoEndpoint);
                     }
@@ -204,12 +207,12 @@
         }
     }
 
-    /// Decides what follows a failed attempt; returns once the next one may start.
+    /// Handles a failed attempt; returns once the next attempt may start.
     ///
     /// # Errors
     ///
-    /// Returns why none may follow.
-    pub async fn failed(&mut self, mut running: Running, failure: Failure) -> Result<(), Error> {
+    /// Returns an error if no further attempt is allowed.
+    pub async fn handle_failure(&mut self, mut running: Running, failure: Failure) -> Result<(), Error> {
         if failure.outcome() != Outcome::NotRun && self.outcome == Outcome::NotRun {
             self.outcome = Outcome::Unknown;
         }
@@ -223,7 +226,7 @@
         if let Some(service) = snapshot.services.get(&self.call.service) {
             service.metrics.broken.inc();
         }
-        let verdict = self.ask(&running, &failure).await;
+        let verdict = self.request_verdict(&running, &failure).await;
         let kind = match (&failure, verdict) {
             (Failure::Connect(_), _) => retry::Failure::Refused,
             (_, Verdict { announced: true, .. }) => retry::Failure::Moved,
@@ -231,12 +234,12 @@
             _ => retry::Failure::Broken,
         };
         let snapshot = self.worker.snapshot();
-        self.after(&snapshot, &running, kind, |reason| Error::Failed { failure, reason })
+        self.retry_or_stop(&snapshot, &running, kind, |reason| Error::Failed { failure, reason })
             .await
     }
 
-    /// Waits as the retry policy says, or gives up.
-    async fn after(
+    /// Waits for the delay of the retry policy, or returns the error if no further attempt is allowed.
+    async fn retry_or_stop(
         &mut self,
         snapshot: &Snapshot,
         running: &Running,
@@ -247,7 +250,7 @@
         let service = snapshot.services.get(&self.call.service).ok_or(Error::NoService)?;
         let request = retry::Request {
             repeatable: self.call.repeatable,
-            attempts: self.made,
+            attempts: self.started,
             deadline: self.call.times.deadline,
         };
         let now = self.worker.shared.now();
--- a/bergamotshift-entry/src/exchange/choose.rs
+++ b/bergamotshift-entry/src/exchange/choose.rs
@@ -1,4 +1,4 @@
-//! Turns a request away that must not start, and chooses the endpoint of its next attempt.
+//! Refuses requests that must not start and chooses the endpoint of an attempt.
 
 use core::time::Duration;
 use std::borrow::Cow;
@@ -19,19 +19,20 @@
 use crate::snapshot::Service;
 use crate::snapshot::Snapshot;
 
-/// How long a request that was accepted waits for an endpoint to turn up when all are gone.
-const ENDPOINT_WAIT: Duration = Duration::from_secs(5);
+/// Timeout for a request that has started an attempt to find an endpoint when none is left.
+const ENDPOINT_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// How long a suspected request waits for an endpoint that runs no other suspect.
+/// Timeout for a suspected request to find an endpoint that runs no other suspected request.
 ///
-/// A guilty one kills its endpoint soon and is refused then, so what goes on together after this time is innocent.
-const APART_WAIT: Duration = Duration::from_secs(2);
+/// A request that crashes endpoints does so soon and is refused afterwards, so the suspected requests that share an
+/// endpoint after this time are harmless.
+const ISOLATION_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The time between two looks for an endpoint while none is there.
-const ENDPOINT_LOOK: Duration = Duration::from_millis(20);
+/// Interval between two tries to choose an endpoint while none is available.
+const ENDPOINT_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 impl Attempts {
-    /// Turns away what must not start: too late, or under quarantine.
+    /// Refuses a request whose deadline has passed or that is quarantined.
     pub(super) fn admit(&self, snapshot: &Snapshot) -> Result<(), Error> {
         let now = self.worker.shared.now();
         if now >= self.call.times.deadline {
@@ -46,27 +47,27 @@
         }
     }
 
-    /// Chooses an endpoint and counts the attempt there, or waits a little when there is none.
+    /// Chooses an endpoint and counts the attempt there, or waits and returns `None` if none is available yet.
     pub(super) async fn choose(&mut self, snapshot: &Snapshot, service: &Service) -> Result<Option<Running>, Error> {
         let now = self.worker.shared.now();
-        let apart = self.is_apart(snapshot, now);
+        let isolate = self.must_isolate(snapshot, now);
         let mut exclude = Cow::Borrowed(self.tried.as_slice());
-        if apart {
-            let taken = snapshot
+        if isolate {
+            let occupied = snapshot
                 .endpoints
                 .iter()
                 .filter(|(_, endpoint)| endpoint.seat.is_taken());
-            exclude.to_mut().extend(taken.map(|(key, _)| key));
+            exclude.to_mut().extend(occupied.map(|(key, _)| key));
         }
-        let crowded = exclude.len() > self.tried.len();
+        let has_occupied = exclude.len() > self.tried.len();
         match self.try_choose(snapshot, service, now, &exclude) {
             Ok((choice, guard)) => {
                 let Some(endpoint) = snapshot.endpoints.get(choice.key) else {
                     return Ok(None);
                 };
-                let seat = if apart { endpoint.seat.take() } else { None };
-                // Another suspect may have been quicker; the next look sees it there.
-                Ok((seat.is_some() || !apart).then(|| Running {
+                let seat = if isolate { endpoint.seat.take() } else { None };
+                // Another suspected request may have taken the endpoint first; the next try excludes that endpoint.
+                Ok((seat.is_some() || !isolate).then(|| Running {
                     endpoint: Arc::clone(endpoint),
                     key: choice.key,
                     span: Span::default(),
@@ -74,40 +75,42 @@
                     _seat: seat,
                 }))
             }
-            Err(Refusal::NoEndpoint) if crowded => {
-                self.crowded += 1;
-                tokio::time::sleep(ENDPOINT_LOOK).await;
+            Err(Refusal::NoEndpoint) if has_occupied => {
+                self.isolation_polls += 1;
+                tokio::time::sleep(ENDPOINT_POLL_INTERVAL).await;
                 Ok(None)
             }
             Err(Refusal::Deferred { until }) => {
                 let until = until.min(self.call.times.deadline);
-                tokio::time::sleep(until.since(now).max(ENDPOINT_LOOK)).await;
+                tokio::time::sleep(until.since(now).max(ENDPOINT_POLL_INTERVAL)).await;
                 Ok(None)
             }
             Err(Refusal::NoEndpoint) if !self.tried.is_empty() => {
-                // All were tried. One that failed may have come back, so it is better than none.
+                // All endpoints were tried. A failed one may have recovered, so they are tried again.
                 self.tried.clear();
                 Ok(None)
             }
             Err(Refusal::NoEndpoint) => {
-                let waited = ENDPOINT_LOOK.saturating_mul(self.lost);
-                if self.made == 0 || waited >= ENDPOINT_WAIT {
+                let waited = ENDPOINT_POLL_INTERVAL.saturating_mul(self.endpoint_polls);
+                if self.started == 0 || waited >= ENDPOINT_TIMEOUT {
                     return Err(Error::NoEndpoint);
                 }
-                self.lost += 1;
-                tokio::time::sleep(ENDPOINT_LOOK).await;
+                self.endpoint_polls += 1;
+                tokio::time::sleep(ENDPOINT_POLL_INTERVAL).await;
                 Ok(None)
             }
         }
     }
 
-    /// Returns whether the request is suspected, and has not yet waited too long for an endpoint without a suspect.
-    fn is_apart(&self, snapshot: &Snapshot, now: Instant) -> bool {
+    /// Returns whether the request is suspected and has not yet waited [`ISOLATION_TIMEOUT`] for an endpoint without
+    /// another suspected request.
+    fn must_isolate(&self, snapshot: &Snapshot, now: Instant) -> bool {
         !snapshot.quarantine.is_empty()
             && snapshot.quarantine.verdict(now, self.call.fingerprint) == quarantine::Verdict::Alone
-            && ENDPOINT_LOOK.saturating_mul(self.crowded) < APART_WAIT
+            && ENDPOINT_POLL_INTERVAL.saturating_mul(self.isolation_polls) < ISOLATION_TIMEOUT
     }
 
+    /// Chooses an endpoint by the routing policy and records the attempt there.
     fn try_choose(
         &self,
         snapshot: &Snapshot,
@@ -116,7 +119,7 @@
         exclude: &[key::Endpoint],
     ) -> Result<(Choice, flight::Guard), Refusal> {
         let call = &self.call;
-        let ask = Request {
+        let request = Request {
             now,
             service: service.number,
             zones: snapshot.zones_for(service, &call.organisation),
@@ -135,8 +138,8 @@
         let policy = &self.worker.shared.policy;
         let choice = self
             .worker
-            .with_generator(|generator| policy.choose(&snapshot.view, &ask, generator))?;
-        let guard = snapshot.view.record_sent(&choice, &ask);
+            .with_generator(|generator| policy.choose(&snapshot.view, &request, generator))?;
+        let guard = snapshot.view.record_sent(&choice, &request);
         Ok((choice, guard))
     }
 }
--- a/bergamotshift-entry/src/exchange/copy.rs
+++ b/bergamotshift-entry/src/exchange/copy.rs
@@ -1,4 +1,4 @@
-//! Large plain answers, passed on while they arrive.
+//! Forwards large plain answers while they arrive.
 
 use core::error;
 use core::mem;
@@ -19,12 +19,12 @@
 use super::whole;
 use crate::observe::Hop;
 
-/// Passes an answer on and, when it breaks off, goes on with a second one that begins with the same bytes.
+/// Forwards an answer and, if it breaks off, continues with a second answer that begins with the same bytes.
 ///
-/// Failure: an endpoint dies in the middle of a large answer. Symptom: the caller gets a short body. A repeatable
-/// request is sent again; the second answer is skipped up to the place where the first broke, and only if what was
-/// skipped has the hash of what the caller holds does the rest follow. Else the connection is cut, which no caller
-/// takes for a whole answer.
+/// Otherwise an endpoint that dies in the middle of a large answer would leave the caller with a short body. A
+/// repeatable request is sent again. The second answer is skipped up to the position where the first broke off, and the
+/// rest is forwarded only if the skipped bytes have the same hash as those already delivered. If they differ, the
+/// connection is cut, which no caller takes for a complete answer.
 #[derive(Debug)]
 pub struct Relay {
     attempts: Attempts,
@@ -44,7 +44,7 @@
 }
 
 impl Relay {
-    /// Takes up an answer whose head has been passed on.
+    /// Creates a relay for an answer whose head has been forwarded.
     pub fn new(attempts: Attempts, body: Payload, running: Running) -> Self {
         Self {
             attempts,
@@ -55,11 +55,11 @@
         }
     }
 
-    /// Returns the body's pieces as the caller gets them.
+    /// Returns the stream of body chunks for the caller.
     pub fn into_stream(self) -> impl Stream<Item = Result<Bytes, Rc<dyn error::Error>>> {
-        stream::try_unfold(Box::new(self), |mut copy| async move {
-            match copy.next().await {
-                Ok(Some(chunk)) => Ok(Some((chunk, copy))),
+        stream::try_unfold(Box::new(self), |mut relay| async move {
+            match relay.next().await {
+                Ok(Some(chunk)) => Ok(Some((chunk, relay))),
                 Ok(None) => Ok(None),
                 Err(error) => Err(Rc::new(error) as Rc<dyn error::Error>),
             }
@@ -67,9 +67,9 @@
     }
 
     async fn next(&mut self) -> Result<Option<Bytes>, Error> {
-        let patience = self.attempts.call().times.stall_timeout;
+        let timeout = self.attempts.call().times.stall_timeout;
         loop {
-            match whole::next(&self.attempts, &mut self.body, patience).await {
+            match whole::next(&self.attempts, &mut self.body, timeout).await {
                 Ok(Some(chunk)) => {
                     self.attempts.record().first();
                     self.hash.0.update(&chunk);
@@ -81,15 +81,15 @@
                     return Ok(None);
                 }
                 Err(failure) => {
-                    let again = self.again(failure).await;
-                    again.inspect_err(|_| self.attempts.record().failed())?;
+                    let resumed = self.resume(failure).await;
+                    resumed.inspect_err(|_| self.attempts.record().failed())?;
                 }
             }
         }
     }
 
-    /// Opens another answer and skips what the caller has.
-    async fn again(&mut self, mut failure: Failure) -> Result<(), Error> {
+    /// Requests another answer and skips the bytes already delivered.
+    async fn resume(&mut self, mut failure: Failure) -> Result<(), Error> {
         self.attempts.mark_ran();
         let _handover = self.attempts.trace().span(Hop::Handover);
         loop {
@@ -97,9 +97,9 @@
             let Some(running) = self.running.take() else {
                 return Err(Error::Diverged);
             };
-            self.attempts.failed(running, failure).await?;
-            let held = Outgoing::Buffered(self.attempts.call().body.clone());
-            let Open { answer, running } = self.attempts.open(held).await?;
+            self.attempts.handle_failure(running, failure).await?;
+            let body = Outgoing::Buffered(self.attempts.call().body.clone());
+            let Open { answer, running } = self.attempts.open(body).await?;
             if !answer.status.is_success() {
                 return Err(Error::Diverged);
             }
@@ -112,17 +112,20 @@
         }
     }
 
-    /// Skips the bytes that the caller has and checks that they are the same.
+    /// Skips the bytes already delivered and checks that they match.
+    ///
+    /// The outer error means that this answer broke off too; the inner error means that it
+    /// differs or is shorter.
     async fn skip(&mut self) -> Result<Result<(), Error>, Failure> {
         let mut skipped = 0;
         let mut hash = Xxh3::new();
-        let patience = self.attempts.call().times.stall_timeout;
+        let timeout = self.attempts.call().times.stall_timeout;
         while skipped < self.delivered {
-            let Some(chunk) = whole::next(&self.attempts, &mut self.body, patience).await? else {
+            let Some(chunk) = whole::next(&self.attempts, &mut self.body, timeout).await? else {
                 return Ok(Err(Error::Diverged));
             };
-            let wanted = self.delivered - skipped;
-            let taken = wanted.min(chunk.len() as u64) as usize;
+            let remaining = self.delivered - skipped;
+            let taken = remaining.min(chunk.len() as u64) as usize;
             hash.update(&chunk[..taken]);
             skipped += taken as u64;
             if taken < chunk.len() {
--- a/bergamotshift-entry/src/exchange/events.rs
+++ b/bergamotshift-entry/src/exchange/events.rs
@@ -1,4 +1,4 @@
-//! The events of one completion, over as many endpoints as it takes.
+//! Reads the events of a completion, continued on other endpoints if its stream breaks.
 
 use std::rc::Rc;
 
@@ -20,29 +20,29 @@
 use super::whole;
 use crate::observe::Hop;
 
-/// Reads a completion's events and goes on elsewhere when their stream breaks.
+/// Reader of a completion's events that resumes on another endpoint if the stream breaks.
 ///
-/// Failure: an endpoint dies in the middle of a stream, or ends it without its terminal event. Symptom: a draft that
-/// stops in the middle, or tokens that come twice when it is started over. What was delivered is kept, and another
-/// endpoint is asked to go on exactly there, so that whoever reads the events sees one completion.
+/// An endpoint may die in the middle of a stream or end it without its terminal event. The caller would get a truncated
+/// text, or duplicate tokens if the request were started over. The reader keeps what was delivered and asks another
+/// endpoint to continue exactly there, so that its user sees a single completion.
 #[derive(Debug)]
 pub struct Events {
     attempts: Attempts,
     adapter: Rc<dyn Adapter>,
-    /// The body that was sent first, from which a continuation is made.
+    /// Body of the first attempt, from which continuations are built.
     sent: Bytes,
     body: Payload,
     running: Option<Running>,
     splitter: Splitter,
     progress: Progress,
-    /// Tokens that the present endpoint was given and did not generate.
-    carried: u32,
+    /// Number of tokens that the current endpoint received in its prompt and did not generate.
+    carried_tokens: u32,
     resumed: bool,
     done: bool,
 }
 
 impl Events {
-    /// Takes up a stream whose head has arrived, in answer to the body `sent`.
+    /// Creates a reader of a stream whose head has arrived; `sent` is the body that requested it.
     pub fn new(attempts: Attempts, adapter: Rc<dyn Adapter>, sent: Bytes, open: Open) -> Self {
         Self {
             attempts,
@@ -52,45 +52,45 @@
             running: Some(open.running),
             splitter: Splitter::default(),
             progress: Progress::default(),
-            carried: 0,
+            carried_tokens: 0,
             resumed: false,
             done: false,
         }
     }
 
-    /// Returns the attempts that the events come from.
+    /// Returns the attempts that deliver the events.
     pub const fn attempts(&mut self) -> &mut Attempts {
         &mut self.attempts
     }
 
-    /// Returns whether the completion is whole and no event follows.
+    /// Returns whether the end of the completion was reached, so that no event follows.
     pub const fn is_done(&self) -> bool {
         self.done
     }
 
-    /// Returns whether any event was read.
+    /// Returns whether any event has been read.
     pub const fn has_started(&self) -> bool {
         self.progress.events() > 0
     }
 
-    /// Reads the events that arrive next, at least one unless the completion is whole by now.
+    /// Reads the next events, at least one unless the completion ends first.
     ///
     /// # Errors
     ///
-    /// Returns why the completion cannot be brought to its end.
+    /// Returns an error if the completion cannot be finished.
     pub async fn read(&mut self, events: &mut Vec<Event>) -> Result<(), Error> {
         while events.is_empty() && !self.done {
             let times = self.attempts.call().times;
-            // Before its first token a request may wait for a slot, which is no standstill.
-            let patience = if self.has_started() {
+            // Before its first token a request may wait for a slot of the engine, which is not a stall.
+            let timeout = if self.has_started() {
                 times.stall_timeout
             } else {
                 times.head_timeout.max(times.stall_timeout)
             };
-            let broken = match whole::next(&self.attempts, &mut self.body, patience).await {
+            let failure = match whole::next(&self.attempts, &mut self.body, timeout).await {
                 Ok(Some(chunk)) => match self.splitter.push(&chunk) {
                     Ok(()) => {
-                        self.take(events);
+                        self.drain(events);
                         continue;
                     }
                     Err(error) => Failure::Malformed(error.to_string()),
@@ -98,7 +98,7 @@
                 Ok(None) => Failure::Broken("the stream ended without its terminal event".to_owned()),
                 Err(failure) => failure,
             };
-            self.resume(broken, events).await?;
+            self.resume(failure, events).await?;
         }
         if self.has_started() {
             self.attempts.record().first();
@@ -106,31 +106,33 @@
         Ok(())
     }
 
-    /// Takes the complete events that have arrived.
-    fn take(&mut self, events: &mut Vec<Event>) {
+    /// Moves the complete events that have arrived into `events`.
+    fn drain(&mut self, events: &mut Vec<Event>) {
         while let Some(event) = self.splitter.next() {
             if event.is_done() {
                 self.finish();
                 return;
             }
             let event = if self.resumed {
-                resume::rewrite(event, self.progress.id(), self.carried)
+                resume::rewrite(event, self.progress.id(), self.carried_tokens)
             } else {
                 Some(event)
             };
             if let Some(event) = event {
-                self.note(event, events);
+                self.deliver(event, events);
             }
         }
     }
 
-    fn note(&mut self, event: Event, events: &mut Vec<Event>) {
+    /// Records an event in the progress and adds it to `events`.
+    fn deliver(&mut self, event: Event, events: &mut Vec<Event>) {
         self.progress.note(&event);
-        // Engines send a token per event, but for the first and the last.
+        // Engines send one token per event, except in the first and the last.
         self.attempts.count_tokens(1);
         events.push(event);
     }
 
+    /// Records the end of the completion and ends the attempt.
     fn finish(&mut self) {
         self.done = true;
         self.attempts.mark_ran();
@@ -139,14 +141,14 @@
         self.body = Payload::None;
     }
 
-    /// Finds an endpoint that goes on, or adds what is left when none is needed.
+    /// Continues the completion on another endpoint, or adds the missing last events if every token was delivered.
     async fn resume(&mut self, mut failure: Failure, events: &mut Vec<Event>) -> Result<(), Error> {
         self.body = Payload::None;
         self.splitter = Splitter::default();
         let _handover = self.attempts.trace().span(Hop::Handover);
         loop {
             let running = self.running.take().ok_or(Error::NoEndpoint)?;
-            self.attempts.failed(running, failure).await?;
+            self.attempts.handle_failure(running, failure).await?;
             let Some(body) = self.continuation(events)? else {
                 return Ok(());
             };
@@ -159,14 +161,14 @@
             self.body = open.answer.body;
             if self.has_started() {
                 self.resumed = true;
-                self.carried = self.progress.tokens();
+                self.carried_tokens = self.progress.tokens();
                 self.count_resumed();
             }
             return Ok(());
         }
     }
 
-    /// Returns the body that asks for what is missing; nothing when only the end is.
+    /// Returns the body that requests the missing part, or `None` if every token was delivered and only the end is missing.
     fn continuation(&mut self, events: &mut Vec<Event>) -> Result<Option<Bytes>, Error> {
         if !self.has_started() {
             return Ok(Some(self.sent.clone()));
@@ -177,7 +179,7 @@
             Resumption::Body(body) => Ok(Some(body)),
             Resumption::Whole(rest) => {
                 for event in rest {
-                    self.note(event, events);
+                    self.deliver(event, events);
                 }
                 self.finish();
                 Ok(None)
--- a/bergamotshift-entry/src/exchange/mod.rs
+++ b/bergamotshift-entry/src/exchange/mod.rs
@@ -1,9 +1,9 @@
-//! One caller's request on its way to endpoints and back.
+//! Forwards a caller's request to endpoints and returns the answer.
 //!
-//! A [`Call`] is everything that stays the same over all attempts. An [`Attempts`] makes them: it chooses an
-//! endpoint, sends, and on failure decides whether another attempt may follow. [`whole`] fetches answers that are
-//! held until they are complete, [`stream`] passes a model's event stream on, and [`copy`] passes a large plain
-//! answer on.
+//! A [`Call`] holds everything that stays the same over all attempts. [`Attempts`] makes the attempts: it chooses an
+//! endpoint, sends the request, and after a failure decides whether another attempt may follow. [`whole`] buffers
+//! answers until they are complete, [`stream`] forwards a model's event stream, and [`copy`] forwards a large plain
+//! answer.
 
 pub mod assemble;
 pub mod attempts;
@@ -30,7 +30,7 @@
 pub use self::attempts::Attempts;
 pub use self::attempts::Open;
 
-/// What routing is told of a request's size.
+/// Estimated size of a request, for routing.
 #[derive(Clone, Debug, Default)]
 pub struct Work {
     /// Estimated tokens of the prompt.
@@ -41,110 +41,111 @@
     pub prefix: Vec<u64>,
 }
 
-/// Targets and bounds of one request.
+/// Latency targets and timeouts of a request.
 #[derive(Clone, Copy, Debug)]
 pub struct Times {
-    /// Target for the first token or the whole plain answer.
+    /// Target for the time to the first token, or to the complete plain answer.
     pub first_token: Duration,
     /// Target for the time between tokens.
     pub between_tokens: Duration,
-    /// How long the head of one attempt's answer may take.
+    /// Timeout for the head of an attempt's answer.
     pub head_timeout: Duration,
-    /// How long an answer under way may stand still.
+    /// Timeout for the next chunk of an answer that has started.
     pub stall_timeout: Duration,
-    /// When the caller has no use for the answer any more.
+    /// Time after which the caller no longer needs the answer.
     pub deadline: Instant,
 }
 
-/// Everything about a caller's request that stays the same over all attempts.
+/// Parts of a caller's request that stay the same over all attempts.
 #[derive(Debug)]
 pub struct Call {
-    /// Identifies the request towards its caller and operators.
+    /// Identifier of the request for its caller and operators.
     pub id: attempt::Id,
-    /// Whose it is.
+    /// Organisation that sent the request.
     pub organisation: name::Organisation,
-    /// Which service it asks for.
+    /// Requested service.
     pub service: name::Service,
-    /// The HTTP method.
+    /// HTTP method.
     pub method: Method,
-    /// The path with its query.
+    /// Path with its query.
     pub path: PathAndQuery,
-    /// The headers that endpoints get.
+    /// Headers forwarded to endpoints.
     pub headers: HeaderMap,
-    /// The body, when it is held; empty when it streams through.
+    /// Body if it is buffered; empty if it is streamed.
     pub body: Bytes,
-    /// The idempotency key.
+    /// Idempotency key.
     pub key: Option<SmolStr>,
-    /// Whether it may run more than once.
+    /// Permission to run the request more than once.
     pub repeatable: bool,
-    /// How soon its answer is needed.
+    /// Urgency of the answer.
     pub urgency: Urgency,
-    /// Its targets and bounds.
+    /// Latency targets and timeouts.
     pub times: Times,
-    /// Recognises its re-sends.
+    /// Fingerprint that is equal for repetitions of the request.
     pub fingerprint: Fingerprint,
-    /// What routing is told of its size.
+    /// Estimated size.
     pub work: Work,
 }
 
-/// What goes out as the body of one attempt.
+/// Request body of an attempt.
 #[derive(Debug)]
 pub enum Outgoing {
-    /// A held body; it can go out again.
+    /// Buffered body, which can be sent more than once.
     Buffered(Bytes),
-    /// A body that streams through once.
+    /// Streamed body, which can be sent only once.
     Streamed(Payload),
 }
 
-/// Why a request brought no answer.
+/// Reason why a request got no answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Error)]
 pub enum Error {
     /// The service is no longer configured.
-    #[error("the service is not configured any more")]
+    #[error("the service is no longer configured")]
     NoService,
-    /// No endpoint that may run it is there.
-    #[error("no endpoint is there that may run the request")]
+    /// No endpoint is available for the request.
+    #[error("no endpoint is available for the request")]
     NoEndpoint,
-    /// Its deadline passed.
+    /// The deadline passed.
     #[error("the deadline passed")]
     Deadline,
-    /// It killed endpoints.
-    #[error("the request is refused because endpoints died while they ran it")]
+    /// The request is quarantined, because endpoints died while they ran it.
+    #[error("the request is quarantined because endpoints died while they ran it")]
     Quarantined {
-        /// When the caller may come back.
+        /// Time after which the caller may retry.
         retry_after: Duration,
     },
-    /// An attempt failed and no other may follow.
+    /// An attempt failed and no further attempt is allowed.
     #[error("{failure}; no further attempt: {}", reason_text(*.reason))]
     Failed {
-        /// What the last attempt ran into.
+        /// Failure of the last attempt.
         failure: bergamotshift_endpoint::answer::Failure,
-        /// Why no other follows.
+        /// Reason why no further attempt is allowed.
         reason: retry::Reason,
     },
-    /// The endpoint refused before any work, and no other attempt may follow.
-    #[error("the endpoints have no room; no further attempt: {}", reason_text(*.reason))]
+    /// The endpoint refused the request before any work, and no further attempt is allowed.
+    #[error("the endpoints have no free capacity; no further attempt: {}", reason_text(*.reason))]
     Refused {
-        /// Why no other attempt follows.
+        /// Reason why no further attempt is allowed.
         reason: retry::Reason,
     },
-    /// The caller's own body broke off.
-    #[error("the request's body broke off: {0}")]
+    /// The request body broke off or is malformed.
+    #[error("the request body broke off: {0}")]
     Body(String),
-    /// The request cannot be put on the wire.
-    #[error("the request cannot be passed on: {0}")]
+    /// The request cannot be encoded for the endpoint.
+    #[error("the request cannot be forwarded: {0}")]
     Encode(String),
-    /// The answer is larger than an entry holds.
+    /// The answer is larger than the maximum that is buffered.
     #[error("the endpoint's answer is too large")]
     TooLarge,
-    /// A second answer to the same request differs from what the caller already has of the first.
-    #[error("the answer broke off and a second one differs from it")]
+    /// The answer broke off and no other attempt can continue it, for example because a second answer differs from the
+    /// part already delivered.
+    #[error("the answer broke off and could not be continued by another attempt")]
     Diverged,
 }
 
 impl Error {
-    /// Returns when the caller should come back, where that is known or the failure is passing.
+    /// Returns the time after which the caller should retry, if it is known or the failure is transient.
     pub const fn retry_after(&self) -> Option<Duration> {
         match self {
             Self::Quarantined { retry_after } => Some(*retry_after),
@@ -158,9 +159,9 @@
 
 const fn reason_text(reason: retry::Reason) -> &'static str {
     match reason {
-        retry::Reason::NonRepeatable => "the request must not run twice",
-        retry::Reason::Attempts => "the number of attempts is used up",
+        retry::Reason::NonRepeatable => "the request must not run more than once",
+        retry::Reason::Attempts => "the maximum number of attempts is reached",
         retry::Reason::Deadline => "the deadline is too near",
-        retry::Reason::Budget => "the retry budget is empty",
+        retry::Reason::Budget => "the retry budget is exhausted",
     }
 }
--- a/bergamotshift-entry/src/exchange/send.rs
+++ b/bergamotshift-entry/src/exchange/send.rs
@@ -1,4 +1,4 @@
-//! Sends one attempt, and asks what became of its endpoint when that broke.
+//! Sends an attempt, and asks the control thread about its endpoint after a failure.
 
 use core::time::Duration;
 use std::sync::Arc;
@@ -18,27 +18,32 @@
 use crate::observe::Span;
 use crate::snapshot::Service;
 
-/// How long a worker waits to hear what became of an endpoint before it goes on regardless.
-const VERDICT_WAIT: Duration = Duration::from_millis(300);
+/// Timeout for the control thread's verdict on an endpoint; after it the worker continues without one.
+const VERDICT_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Tells endpoints whose request it is.
+/// Header that tells an endpoint the request's organisation.
 const ORGANISATION: &str = "x-bergamotshift-organisation";
 
 impl Attempts {
+    /// Opens the trace span of an attempt.
     pub(super) fn span(&self, running: &Running) -> Span {
         let mut span = self.trace.span(Hop::Attempt);
         span.note("endpoint", &running.endpoint.vm);
         span.note("zone", &running.endpoint.zone);
-        span.note("attempt", &self.made);
+        span.note("attempt", &self.started);
         span
     }
 
+    /// Sends an attempt and returns the head of its answer.
     pub(super) async fn send(&self, service: &Service, running: &Running, body: call::Body) -> Result<Answer, Failure> {
         let call = &self.call;
         let Some(adapter) = self.worker.adapter(&service.adapter) else {
-            return Err(Failure::Encode(format!("no adapter is called {}", service.adapter)));
+            return Err(Failure::Encode(format!(
+                "the adapter {} does not exist",
+                service.adapter
+            )));
         };
-        let left = call.times.deadline.since(self.worker.shared.now());
+        let remaining = call.times.deadline.since(self.worker.shared.now());
         let mut headers = call.headers.clone();
         headers.insert(
             HeaderName::from_static(ORGANISATION),
@@ -52,18 +57,19 @@
             path: call.path.clone(),
             headers,
             body,
-            timeout: call.times.head_timeout.min(left),
+            timeout: call.times.head_timeout.min(remaining),
         };
         adapter.send(attempt).await
     }
 
-    pub(super) fn refuses(&self, service: &Service, answer: &Answer) -> bool {
+    /// Returns whether an answer means that the endpoint refused the request before any work.
+    pub(super) fn is_refusal(&self, service: &Service, answer: &Answer) -> bool {
         let adapter = self.worker.adapter(&service.adapter);
         adapter.is_some_and(|adapter| adapter.refuses(answer))
     }
 
-    /// Asks the control thread what became of an endpoint.
-    pub(super) async fn ask(&self, running: &Running, failure: &Failure) -> Verdict {
+    /// Asks the control thread what happened to an endpoint whose attempt failed.
+    pub(super) async fn request_verdict(&self, running: &Running, failure: &Failure) -> Verdict {
         let (answer, verdict) = oneshot::channel();
         self.worker.shared.control.send(control::Request::Broken {
             endpoint: Arc::clone(&running.endpoint),
@@ -71,7 +77,7 @@
             fingerprint: self.call.fingerprint,
             answer,
         });
-        match tokio::time::timeout(VERDICT_WAIT, verdict).await {
+        match tokio::time::timeout(VERDICT_TIMEOUT, verdict).await {
             Ok(Ok(verdict)) => verdict,
             Ok(Err(_)) | Err(_) => Verdict::default(),
         }
--- a/bergamotshift-entry/src/exchange/stream.rs
+++ b/bergamotshift-entry/src/exchange/stream.rs
@@ -1,4 +1,4 @@
-//! A model's event stream, passed on event by event.
+//! Forwards a model's event stream event by event.
 
 use core::error;
 use core::fmt::Write;
@@ -14,13 +14,13 @@
 use super::Error;
 use super::events::Events;
 
-/// The event that ends a stream.
+/// Terminal event of a stream.
 const DONE: &[u8] = b"data: [DONE]";
 
-/// What an event's number and line ends add to it, at most.
-const FRAME: usize = 32;
+/// Maximum length that the number and line ends add to an event, in bytes.
+const MAX_OVERHEAD: usize = 32;
 
-/// Passes a completion's events on to its caller, numbered through.
+/// Relay of a completion's events to the caller, numbered consecutively over all attempts.
 #[derive(Debug)]
 pub struct Relay {
     source: Events,
@@ -31,16 +31,16 @@
 
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum State {
-    /// Events are passed on.
+    /// Events are forwarded.
     Open,
-    /// The terminal event was passed on.
+    /// The terminal event was forwarded.
     Done,
-    /// The caller was told of a failure; the connection is cut next.
+    /// The caller was sent the failure; the connection is cut next.
     Failed(Error),
 }
 
 impl Relay {
-    /// Passes on the events of `source`.
+    /// Creates a relay of the events of `source`.
     pub const fn new(source: Events) -> Self {
         Self {
             source,
@@ -50,10 +50,10 @@
         }
     }
 
-    /// Returns the stream's bytes as the caller gets them.
+    /// Returns the stream of bytes for the caller.
     ///
-    /// A stream that cannot be brought to its end closes with an event that tells the failure and then breaks the
-    /// connection, so that nobody takes it for whole.
+    /// A stream that cannot be finished ends with an event that reports the failure, and then breaks the connection, so
+    /// that it is not taken for complete.
     pub fn into_stream(self) -> impl Stream<Item = Result<Bytes, Rc<dyn error::Error>>> {
         stream::try_unfold(Box::new(self), |mut relay| async move {
             match relay.next().await {
@@ -76,39 +76,43 @@
         }
     }
 
-    /// Writes the events that were read, and the end when it is reached.
+    /// Encodes the events that were read, and the terminal event at the end.
     fn write(&mut self) -> Bytes {
         let mut bytes = BytesMut::new();
         for event in self.events.drain(..) {
             self.number += 1;
-            number(self.number, event.lines(), &mut bytes);
+            write_event(self.number, event.lines(), &mut bytes);
         }
         if self.source.is_done() {
             self.number += 1;
-            number(self.number, DONE, &mut bytes);
+            write_event(self.number, DONE, &mut bytes);
             self.state = State::Done;
         }
         bytes.freeze()
     }
 
-    /// Returns the event that tells the caller of a failure.
+    /// Records a failure and returns the event that reports it to the caller.
     fn fail(&mut self, error: Error) -> Bytes {
-        let begun = self.source.has_started();
+        let has_started = self.source.has_started();
         let attempts = self.source.attempts();
-        if begun {
+        if has_started {
             attempts.mark_ran();
         }
-        let told = attempts.fail(&error);
-        attempts.worker().shared.metrics.failed(told.code(), told.outcome);
-        let event = format!("data: {}\n\n", told.body(attempts.call().id));
+        let response = attempts.fail(&error);
+        attempts
+            .worker()
+            .shared
+            .metrics
+            .failed(response.code(), response.outcome);
+        let event = format!("data: {}\n\n", response.body(attempts.call().id));
         self.state = State::Failed(error);
         Bytes::from(event)
     }
 }
 
-/// Writes an event with its number, from which a caller can take the stream up again.
-fn number(number: u64, lines: &[u8], bytes: &mut BytesMut) {
-    bytes.reserve(lines.len() + FRAME);
+/// Writes an event with its number, from which a caller can resume the stream.
+fn write_event(number: u64, lines: &[u8], bytes: &mut BytesMut) {
+    bytes.reserve(lines.len() + MAX_OVERHEAD);
     // Writing into a buffer cannot fail.
     let _ = writeln!(bytes, "id: {number}");
     bytes.extend_from_slice(lines);
--- a/bergamotshift-entry/src/exchange/whole.rs
+++ b/bergamotshift-entry/src/exchange/whole.rs
@@ -1,4 +1,4 @@
-//! Answers that are held until they are complete.
+//! Reads answers that are buffered until they are complete.
 
 use core::pin::pin;
 use core::task::Poll;
@@ -22,65 +22,65 @@
 use super::Outgoing;
 use super::attempts::Running;
 
-/// The largest answer that is held, in bytes.
-const LARGEST: usize = 64 * 1024 * 1024;
+/// Maximum length of a buffered answer, in bytes.
+const MAX_BODY: usize = 64 * 1024 * 1024;
 
-/// A complete answer.
+/// Complete answer, held in memory.
 #[derive(Debug)]
 pub struct Whole {
-    /// The HTTP status.
+    /// HTTP status.
     pub status: StatusCode,
-    /// The headers.
+    /// Headers.
     pub headers: HeaderMap,
-    /// The whole body.
+    /// Complete body.
     pub body: Bytes,
 }
 
-/// Fetches a complete answer, over as many attempts as the rules allow.
+/// Fetches a complete answer with as many attempts as the retry policy allows.
 ///
 /// # Errors
 ///
-/// Returns why no attempt brought a complete one.
+/// Returns an error if no attempt brought a complete answer.
 pub async fn fetch(attempts: &mut Attempts) -> Result<Whole, Error> {
     loop {
-        let held = Outgoing::Buffered(attempts.call().body.clone());
-        let Open { answer, running } = attempts.open(held).await?;
+        let body = Outgoing::Buffered(attempts.call().body.clone());
+        let Open { answer, running } = attempts.open(body).await?;
         if let Some(whole) = finish(attempts, answer, running).await? {
             return Ok(whole);
         }
     }
 }
 
-/// Reads the rest of an answer; returns nothing when it broke off and another attempt may start.
+/// Reads the rest of an answer. Returns `None` if it broke off and another attempt may start.
 ///
 /// # Errors
 ///
-/// Returns why no other attempt may follow.
+/// Returns an error if the answer is too large, or if it broke off and no further attempt is allowed.
 pub async fn finish(attempts: &mut Attempts, answer: Answer, running: Running) -> Result<Option<Whole>, Error> {
     let Answer {
         status,
         headers,
         mut body,
     } = answer;
-    let patience = attempts.call().times.stall_timeout;
-    let size = length(&headers).unwrap_or_default().min(LARGEST);
+    let timeout = attempts.call().times.stall_timeout;
+    let size = length(&headers).unwrap_or_default().min(MAX_BODY);
     let mut collected = BytesMut::with_capacity(size);
     loop {
-        match next(attempts, &mut body, patience).await {
+        match next(attempts, &mut body, timeout).await {
             Ok(Some(chunk)) if collected.is_empty() && chunk.len() == size => {
-                // The common small answer comes in one piece and need not be copied.
-                if let Some(more) = next(attempts, &mut body, patience).await.transpose() {
+                // A small answer usually arrives in one chunk, which is not copied.
+                if let Some(excess) = next(attempts, &mut body, timeout).await.transpose() {
                     drop(body);
-                    let failure = more
-                        .err()
-                        .unwrap_or_else(|| Failure::Malformed("longer than declared".to_owned()));
-                    attempts.failed(running, failure).await?;
+                    let failure = excess.err().unwrap_or_else(|| {
+                        Failure::Malformed("the body is longer than its declared length".to_owned())
+                    });
+                    attempts.handle_failure(running, failure).await?;
                     return Ok(None);
                 }
                 attempts.record().answered();
                 return Ok(Some(whole(status, headers, chunk)));
             }
-            Ok(Some(chunk)) if collected.len() + chunk.len() > LARGEST => {
+            Ok(Some(chunk)) if collected.len() + chunk.len() > MAX_BODY => {
                 attempts.mark_ran();
                 return Err(Error::TooLarge);
             }
@@ -91,27 +91,27 @@
             }
             Err(failure) => {
                 drop(body);
-                attempts.failed(running, failure).await?;
+                attempts.handle_failure(running, failure).await?;
                 return Ok(None);
             }
         }
     }
 }
 
-/// Reads the next piece of an answer, within the time it may stand still.
+/// Reads the next chunk of an answer, waiting no longer than `timeout` or the request's deadline.
 ///
 /// # Errors
 ///
-/// Returns the failure when the answer broke off, stood still, or its caller has no use for it any more.
-pub async fn next(attempts: &Attempts, body: &mut Payload, patience: Duration) -> Result<Option<Bytes>, Failure> {
-    // What is there already needs no timer; that is the common case of a small answer.
+/// Returns a failure if the answer broke off, stalled, or the deadline passed.
+pub async fn next(attempts: &Attempts, body: &mut Payload, timeout: Duration) -> Result<Option<Bytes>, Failure> {
+    // A chunk that has already arrived needs no timer; this is the common case for small answers.
     let ready = poll!(pin!(body.recv()));
     if let Poll::Ready(item) = ready {
         return read(item);
     }
     let times = attempts.call().times;
-    let left = times.deadline.since(attempts.worker().shared.now());
-    let bound = patience.min(left);
+    let remaining = times.deadline.since(attempts.worker().shared.now());
+    let bound = timeout.min(remaining);
     let millis = Millis(u32::try_from(bound.as_millis()).unwrap_or(u32::MAX).max(1));
     match ntex::time::timeout(millis, body.recv()).await {
         Ok(item) => read(item),
@@ -123,7 +123,7 @@
     item.transpose().map_err(|error| Failure::Broken(error.to_string()))
 }
 
-/// Returns the length that an answer declares.
+/// Returns the length that an answer declares in `Content-Length`.
 pub fn length(headers: &HeaderMap) -> Option<usize> {
     headers.get(header::CONTENT_LENGTH)?.to_str().ok()?.parse().ok()
 }
