--- a/bergamotshift-entry/src/claims/drive.rs
+++ b/bergamotshift-entry/src/claims/drive.rs
@@ -201,7 +201,7 @@
                 self.span = None;
                 let ticket = self.ticket.take().expect("a driver sends at most once");
                 let attempts = Attempts::new(Rc::clone(&self.worker), Rc::clone(&self.call), ticket);
-                self.spawn(send(attempts.traced(&self.trace)));
+                self.spawn(send(attempts.with_trace(&self.trace)));
             }
             Action::Reply(reply) => self.reply(reply),
             // `run` reads the time from `Driver::due`.
--- a/bergamotshift-entry/src/control/peers.rs
+++ b/bergamotshift-entry/src/control/peers.rs
@@ -35,7 +35,7 @@
             Event::Watching(endpoint, false) => {
                 self.watched.remove(&endpoint);
             }
-            Event::Loaded { endpoint, report, age } => {
+            Event::LoadReceived { endpoint, report, age } => {
                 let at = self.shared.now() - age;
                 let key = self.find_by_id(&endpoint).and_then(|record| record.key);
                 if let Some(key) = key {
@@ -43,7 +43,7 @@
                     self.schedule(Due::Tick);
                 }
             }
-            Event::Noted { note, .. } => self.handle_note(&note),
+            Event::NoteReceived { note, .. } => self.handle_note(&note),
             Event::Paused(gap) => {
                 warn!(self.shared.settings.logger, "this entry was paused"; "gap_ms" => gap.as_millis());
             }
@@ -108,7 +108,7 @@
                 let Ok(body) = postcard::to_stdvec(&single) else {
                     continue;
                 };
-                peers.send(Request::Announce {
+                peers.send(Request::NotePublished {
                     topic: note::Topic::QUARANTINE,
                     key,
                     version,
@@ -121,7 +121,7 @@
     /// Announces to the other entries that an endpoint is leaving.
     pub(super) fn announce_leaving(&self, endpoint: &Endpoint, source: mark::Source, notice_ms: Option<u64>) {
         let Some(peers) = self.shared.peers.get() else { return };
-        peers.send(Request::Leaving {
+        peers.send(Request::EndpointLeaving {
             endpoint: id(endpoint),
             source,
             notice_ms: notice_ms.and_then(|notice| u32::try_from(notice).ok()),
@@ -150,7 +150,7 @@
         let (vm::State::Leaving { notice_ms }, Role::Endpoint(_)) = (listing.state, &listing.role) else {
             return;
         };
-        peers.send(Request::Leaving {
+        peers.send(Request::EndpointLeaving {
             endpoint: endpoint::Id {
                 vm: listing.name.clone(),
                 incarnation: listing.incarnation,
@@ -163,7 +163,7 @@
     /// Announces the VM list.
     fn announce_list(&self, listings: &[Listing]) {
         if let Some(peers) = self.shared.peers.get() {
-            peers.send(Request::Listed(listings.to_vec()));
+            peers.send(Request::VmsListed(listings.to_vec()));
         }
     }
 
@@ -171,7 +171,7 @@
     pub(super) fn announce_load(&self, endpoint: &Endpoint, report: Report) {
         let endpoint = id(endpoint);
         if let Some(peers) = self.shared.peers.get().filter(|_| self.watched.contains(&endpoint)) {
-            peers.send(Request::Loaded { endpoint, report });
+            peers.send(Request::LoadReported { endpoint, report });
         }
     }
 
--- a/bergamotshift-entry/src/jobs/mod.rs
+++ b/bergamotshift-entry/src/jobs/mod.rs
@@ -1,7 +1,7 @@
-//! Deferred jobs: accepted durably, run by any entry, fetched and cancelled through any entry.
+//! Deferred jobs: accepted durably, run by any entry, and fetched or cancelled through any entry.
 //!
-//! A caller asks with `Prefer: respond-async` and gets 202 with the job's address once the job is in the table. Every
-//! entry looks for open jobs on its control thread and runs some of them.
+//! A caller that sends `Prefer: respond-async` gets 202 with the job's path once the job is stored in the table. Every
+//! entry scans the table for open jobs on its control thread and runs some of them.
 
 mod accept;
 mod error;
@@ -14,30 +14,30 @@
 use bergamotshift_claim::job;
 
 pub use self::accept::accept;
-pub use self::accept::is_wanted;
+pub use self::accept::prefers_async;
 pub use self::error::Error;
 pub use self::scan::scan;
 pub use self::serve::serve;
 
-/// Where jobs are fetched and cancelled; the job's identifier follows.
+/// Path prefix under which jobs are fetched and cancelled; the job's identifier follows.
 pub const PATH: &str = "/v1/jobs/";
 
-/// How deferred jobs are found and run.
+/// Settings of the scan for deferred jobs and of their runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Settings {
-    /// The time between two looks for open jobs.
-    pub look: Duration,
-    /// The most jobs that one entry runs at a time; an entry with 0 looks for none.
-    pub slots: usize,
-    /// How a job is leased.
+    /// Time between two scans for open jobs.
+    pub scan_interval: Duration,
+    /// Maximum number of jobs that the entry runs at a time; with 0 it does not scan for jobs.
+    pub max_running: usize,
+    /// Settings of a job's lease and retries.
     pub runner: job::Settings,
 }
 
 impl Default for Settings {
     fn default() -> Self {
         Self {
-            look: Duration::from_secs(5),
-            slots: 16,
+            scan_interval: Duration::from_secs(5),
+            max_running: 16,
             runner: job::Settings::default(),
         }
     }
