--- a/bergamotshift-claim/src/prelude.rs
+++ b/bergamotshift-claim/src/prelude.rs
@@ -1,4 +1,4 @@
-//! The types that most users of the crate need.
+//! Commonly used types of the crate.
 
 pub use crate::answer::Answer;
 pub use crate::batch::Batch;
@@ -6,5 +6,5 @@
 pub use crate::driver;
 pub use crate::record::Record;
 pub use crate::scope::Scope;
-pub use crate::wall::Wall;
+pub use crate::wall::WallClock;
 pub use crate::window::Window;
--- a/bergamotshift-config/tests/folder.rs
+++ b/bergamotshift-config/tests/folder.rs
@@ -1,11 +1,11 @@
-//! Folders that are refused, with file, line, key and hint; and folders that are taken.
+//! Tests of the parsing and validation of folders, and of the problems that are reported.
 
 use std::path::Path;
 
 use bergamotshift_config::config::Config;
 use bergamotshift_config::folder;
 use bergamotshift_config::folder::Error;
-use bergamotshift_config::folder::Reader;
+use bergamotshift_config::folder::Parser;
 use bergamotshift_core::prelude::*;
 use quickcheck::quickcheck;
 
@@ -32,7 +32,7 @@
 models = ["planner"]
 "#;
 
-/// Returns the problems of the base folder with one more file.
+/// Returns the problems of the base folder with one additional file.
 fn problems(text: &str) -> Vec<String> {
     let files = [("00-base.toml", BASE), ("50-more.toml", text)];
     match folder::parse(&files) {
@@ -42,7 +42,7 @@
     }
 }
 
-/// Asserts that each text gives one problem that starts as expected.
+/// Asserts that each text results in one problem that starts with the expected text.
 fn assert_refused(cases: &[(&str, &str)]) {
     for (text, expected) in cases {
         let found = problems(text);
@@ -75,11 +75,11 @@
         ),
         (
             "[[zone]]\nname = \"Hall B\"\nregion = \"r\"\n",
-            "50-more.toml:2: zone.name: `Hall B` is no name",
+            "50-more.toml:2: zone.name: `Hall B` is not a valid name",
         ),
         (
             "[[zone]]\nname = \"amsterdam-hall\"\nregion = \"r\"\n",
-            "50-more.toml:2: zone.name: `amsterdam-hall` stands already at 00-base.toml:3",
+            "50-more.toml:2: zone.name: `amsterdam-hall` is already used at 00-base.toml:3",
         ),
         (
             "[[class]]\nname = \"c\"\nprice_reclaimable = -1\nprice_on_demand = 1\n",
@@ -95,15 +95,15 @@
         ),
         (
             "[[organisation]]\nname = \"salto\"\nkeys = [\"demo-salto\"]\n",
-            "50-more.toml:3: organisation.keys: a digest is `sha256:` and 64 hexadecimal digits",
+            "50-more.toml:3: organisation.keys: a digest must be `sha256:` followed by 64 hexadecimal digits",
         ),
         (
             &organisation("weight = 0\n"),
-            "50-more.toml:4: organisation.weight: 1 to 1000000",
+            "50-more.toml:4: organisation.weight: must be from 1 to 1000000",
         ),
         (
             &organisation("limits = { burst = 0 }\n"),
-            "50-more.toml:4: organisation.limits.burst: a burst is at least 1",
+            "50-more.toml:4: organisation.limits.burst: a burst must be at least 1",
         ),
         (
             &organisation(&format!("\n[[organisation]]\nname = \"pocitos\"\n{key}\n")),
@@ -130,11 +130,11 @@
         ),
         (
             "[[route]]\nservice = \"staff-app\"\nmethod = \"POST\"\npath = \"/shifts\"\n",
-            "50-more.toml:4: route.path: service `staff-app` answers under `/staff` only",
+            "50-more.toml:4: route.path: service `staff-app` serves only paths under `/staff`",
         ),
         (
             "[[route]]\nservice = \"staff-app\"\nmethod = \"POST\"\npath = \"/staff/x\"\nkey_fields = [\"shift\"]\n",
-            "50-more.toml:5: route.key_fields: `shift` is no field: write `body.NAME`",
+            "50-more.toml:5: route.key_fields: `shift` is not a field: write `body.NAME`",
         ),
         (
             "[[service]]\nname = \"s\"\nkind = \"modle\"\nadapter = \"engine\"\n",
@@ -142,11 +142,11 @@
         ),
         (
             "[[service]]\nname = \"s\"\nkind = \"model\"\nadapter = \"engine\"\n",
-            "50-more.toml:1: service.models: a model service names the models it serves",
+            "50-more.toml:1: service.models: a model service must list the models that it serves",
         ),
         (
             "[[service]]\nname = \"s\"\nkind = \"plain\"\nadapter = \"http\"\npath = \"/staff/\"\n",
-            "50-more.toml:5: service.path: `/staff` stands already at 00-base.toml:15",
+            "50-more.toml:5: service.path: `/staff` is already used at 00-base.toml:15",
         ),
         (
             "[[service]]\nname = \"s\"\nkind = \"plain\"\nadapter = \"http\"\npath = \"/s\"\nretry = { budgett = 1 }\n",
@@ -154,7 +154,7 @@
         ),
         (
             "[[service]]\nname = \"s\"\nkind = \"plain\"\nadapter = \"http\"\npath = \"/s\"\nretry = { budget = 1.5 }\n",
-            "50-more.toml:6: service.retry.budget: 0 to 1 retries for each request",
+            "50-more.toml:6: service.retry.budget: must be from 0 to 1 retries per request",
         ),
         (
             "[[service]]\nname = \"s\"\nkind = \"plain\"\nadapter = \"http\"\npath = \"/s\"\ndeadline = \"soon\"\n",
@@ -164,7 +164,7 @@
 }
 
 #[test]
-fn all_problems_of_all_files_are_told_at_once() {
+fn all_problems_of_all_files_are_reported_together() {
     let files = [
         ("a.toml", "[[zone]]\nnam = 'x'\n"),
         ("b.toml", "x = "),
@@ -178,16 +178,16 @@
 }
 
 #[test]
-fn an_emptied_folder_takes_nothing_away() {
+fn an_empty_folder_is_refused() {
     assert!(matches!(folder::parse::<&str, &str>(&[]), Err(Error::Empty)));
 }
 
 #[test]
 fn unknown_adapters_are_refused_where_the_adapters_are_known() {
-    let reader = Reader {
+    let parser = Parser {
         adapters: Some(&["engine", "htpp"]),
     };
-    let Err(Error::Invalid(problems)) = reader.parse(&[("a.toml", BASE)]) else {
+    let Err(Error::Invalid(problems)) = parser.parse(&[("a.toml", BASE)]) else {
         panic!("`http` is not there")
     };
     assert_eq!(
@@ -197,7 +197,7 @@
 }
 
 #[test]
-fn prices_of_a_zone_go_before_the_classes_own() {
+fn prices_of_a_zone_override_those_of_the_class() {
     let more = "[[price]]\nzone = \"amsterdam-hall\"\nclass = \"small\"\nreclaimable = 0.03\n";
     let config = folder::parse(&[("a.toml", BASE), ("b.toml", more)]).unwrap();
     let (zone, class) = ("amsterdam-hall".into(), "small".into());
@@ -211,8 +211,8 @@
     );
 }
 
-/// A caller spells the path of a non-repeatable rule in another way, and the endpoint normalises it. Were the request
-/// then repeatable by default, a retry could run it twice. It falls to "not repeatable" and asks for a key instead.
+/// A caller writes the path of a non-repeatable rule in another form, which the endpoint normalises. If such a request
+/// was repeatable by default, a retry could run it twice. It must count as not repeatable and require a key.
 #[test]
 fn another_spelling_of_a_path_makes_nothing_repeatable() {
     let rules = r#"
@@ -244,7 +244,7 @@
 }
 
 #[test]
-fn a_service_answers_at_segment_borders_and_for_its_hosts() {
+fn a_service_matches_whole_path_segments_and_its_hosts() {
     let more = "[[service]]\nname = \"hosted\"\nkind = \"plain\"\nadapter = \"http\"\nhosts = [\"Apps.example\"]\n";
     let config = folder::parse(&[("a.toml", BASE), ("b.toml", more)]).unwrap();
     for (host, path, expected) in [
@@ -260,16 +260,16 @@
     }
 }
 
-fn example(name: &str) -> Vec<(String, String)> {
+fn read_example(name: &str) -> Vec<(String, String)> {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../examples").join(name);
     let files = folder::read(&path).unwrap();
     files.into_iter().map(|(name, text)| (name.to_string(), text)).collect()
 }
 
 #[test]
-fn a_written_configuration_reads_back_as_itself() {
+fn a_formatted_configuration_parses_to_the_same_value() {
     for name in ["oranjehal", "mapa-limpio"] {
-        let config = folder::parse(&example(name)).unwrap();
+        let config = folder::parse(&read_example(name)).unwrap();
         let text = config.to_string();
         assert_eq!(folder::parse(&[("all.toml", text)]).unwrap(), config);
     }
@@ -281,18 +281,18 @@
         folder::parse(&[("a.toml", text)]).map_or(true, |config| config == Config::default())
     }
 
-    fn damaged_examples_are_judged_without_a_panic(cuts: Vec<(usize, u8, u8)>) -> bool {
-        let mut files = example("oranjehal");
+    fn damaged_examples_do_not_panic(cuts: Vec<(usize, u8, u8)>) -> bool {
+        let mut files = read_example("oranjehal");
         for (at, byte, kind) in cuts {
-            let place = at % files.len();
-            let mut bytes = files[place].1.clone().into_bytes();
+            let index = at % files.len();
+            let mut bytes = files[index].1.clone().into_bytes();
             let at = at % bytes.len().max(1);
             match kind % 3 {
                 0 if at < bytes.len() => bytes[at] = byte,
                 1 => bytes.insert(at, byte),
                 _ => bytes.truncate(at),
             }
-            files[place].1 = String::from_utf8_lossy(&bytes).into_owned();
+            files[index].1 = String::from_utf8_lossy(&bytes).into_owned();
         }
         match folder::parse(&files) {
             Err(Error::Invalid(problems)) => problems.iter().all(|problem| problem.line > 0 && !problem.to_string().is_empty()),
--- a/bergamotshift-entry/src/api/openai/complete.rs
+++ b/bergamotshift-entry/src/api/openai/complete.rs
@@ -26,7 +26,7 @@
 use crate::api::reply::Active;
 use crate::api::request;
 use crate::claims;
-use crate::claims::Joined;
+use crate::claims::Lookup;
 use crate::exchange::Attempts;
 use crate::exchange::Call;
 use crate::exchange::Work;
@@ -81,7 +81,7 @@
         serde_json::from_str(text).map_err(|error| Error::not_run(Reason::Json(error.to_string())))?;
     let service = snapshot
         .config
-        .service_of_model(&completion.model)
+        .service_for_model(&completion.model)
         .ok_or_else(|| Error::not_run(Reason::UnknownModel(completion.model.to_string())))?;
     if !organisation.may_use(&service.name) {
         return Err(Error::not_run(Reason::Forbidden(service.name.clone())));
@@ -105,23 +105,27 @@
     if !call.repeatable && call.key.is_none() {
         return Err(Error::not_run(Reason::MissingKey));
     }
-    if service.deferrable && !streams && jobs::is_wanted(request.headers()) {
+    if service.deferrable && !streams && jobs::prefers_async(request.headers()) {
         return jobs::accept(worker, &call).await;
     }
     let joined = if call.repeatable && !streams {
-        Joined::look(worker, &call).await?
+        Lookup::find_answer(worker, &call).await?
     } else {
-        Joined::Run(None)
+        Lookup::Run(None)
     };
     let started = match joined {
-        Joined::Run(started) => started,
-        Joined::Answered(response) => return Ok(response),
+        Lookup::Run(started) => started,
+        Lookup::Answered(response) => return Ok(response),
+    };
+    let streamed = if streams {
+        None
+    } else {
+        assemble::streaming_body(&call.body)
     };
-    let streamed = if streams { None } else { assemble::streaming(&call.body) };
     if !streams && streamed.is_none() {
         // The head of such an answer comes only when all of it is generated.
-        let generated = call.times.between.saturating_mul(call.work.answer_tokens);
-        call.times.head += generated.saturating_mul(SLOWDOWN);
+        let generated = call.times.between_tokens.saturating_mul(call.work.answer_tokens);
+        call.times.head_timeout += generated.saturating_mul(SLOWDOWN);
     }
     let call = Rc::new(call);
     let ticket = sharing::admit(worker, snapshot, &call).map_err(|refusal| Error::not_run(refusal.into()))?;
@@ -130,14 +134,14 @@
         service.budget.deposit();
     }
     if let (false, Some(key)) = (call.repeatable, call.key.clone()) {
-        return claims::once(worker, call, ticket, key, active.trace()).await;
+        return claims::send_once(worker, call, ticket, key, active.trace()).await;
     }
-    let attempts = Attempts::new(Rc::clone(worker), call, ticket).traced(active.trace());
+    let attempts = Attempts::new(Rc::clone(worker), call, ticket).with_trace(active.trace());
     if streams {
         answer::stream(attempts, &service.adapter, active).await
     } else {
         let whole = answer::fetch(attempts, &service.adapter, streamed).await?;
-        claims::leave(started, &whole);
+        claims::share_answer(started, &whole);
         Ok(reply::whole(whole, id))
     }
 }
--- a/bergamotshift-entry/src/claims/join.rs
+++ b/bergamotshift-entry/src/claims/join.rs
@@ -1,4 +1,4 @@
-//! Lets a keyed request that may be repeated join or replay an earlier one.
+//! Deduplication of repeatable requests with an idempotency key.
 
 use std::rc::Rc;
 
@@ -8,9 +8,9 @@
 use ntex::http::header::HeaderName;
 use ntex::http::header::HeaderValue;
 
-use super::Entrance;
+use super::Decision;
 use super::Error;
-use super::Started;
+use super::Leader;
 use super::Windows;
 use super::convert;
 use crate::api;
@@ -20,22 +20,22 @@
 use crate::exchange::whole::Whole;
 use crate::worker::Worker;
 
-/// What a request that carries a key does next.
+/// Result of the search for an earlier request with the same key.
 #[derive(Debug)]
-pub enum Joined {
-    /// It runs; with a key, it leaves its answer to others.
-    Run(Option<Started>),
-    /// An earlier one has answered it.
+pub enum Lookup {
+    /// No answer was found. The request is to be executed; with a key, it shares its answer through the [`Leader`].
+    Run(Option<Leader>),
+    /// An earlier request provided the answer.
     Answered(Response),
 }
 
-impl Joined {
-    /// Looks for an earlier request under the same key, and waits for its answer if it is still running.
+impl Lookup {
+    /// Looks for an earlier request with the same key, and waits for its answer if it is still running.
     ///
     /// # Errors
     ///
-    /// Returns an error when the key belongs to another request, or too many wait already.
-    pub async fn look(worker: &Rc<Worker>, call: &Call) -> Result<Self, api::error::Error> {
+    /// Returns an error if the key was used for a different request, or if too many requests wait for the answer.
+    pub async fn find_answer(worker: &Rc<Worker>, call: &Call) -> Result<Self, api::error::Error> {
         let Some(key) = &call.key else {
             return Ok(Self::Run(None));
         };
@@ -47,34 +47,34 @@
         let digest = Digest::of(call.method.as_str(), call.path.as_str(), &call.body);
         loop {
             let answer = match Windows::enter(&worker.shared, scope.clone(), digest) {
-                Entrance::Start(started) => return Ok(Self::Run(Some(started))),
-                Entrance::Mismatch => return Err(api::error::Error::from_claim(Error::Mismatch)),
-                Entrance::Full => return Err(api::error::Error::from_claim(Error::InProgress)),
-                Entrance::Replay(answer) => answer,
-                Entrance::Join(left) => match left.await {
+                Decision::Start(leader) => return Ok(Self::Run(Some(leader))),
+                Decision::Mismatch => return Err(api::error::Error::from_claim(Error::Mismatch)),
+                Decision::Full => return Err(api::error::Error::from_claim(Error::InProgress)),
+                Decision::Replay(answer) => answer,
+                Decision::Join(receiver) => match receiver.await {
                     Ok(Some(answer)) => answer,
-                    // The one it waited for brought no answer, so this one may be the first now.
+                    // The earlier request got no answer, so this one may become the leader.
                     Ok(None) | Err(_) => continue,
                 },
             };
             let whole = convert::to_whole(answer, &worker.shared.store).await;
             let whole = whole.map_err(api::error::Error::from_claim)?;
-            return Ok(Self::Answered(replayed(reply::whole(whole, call.id))));
+            return Ok(Self::Answered(mark_replayed(reply::whole(whole, call.id))));
         }
     }
 }
 
-/// Leaves an answer to those who joined; a failure of the endpoint's is not worth replaying.
-pub fn leave(started: Option<Started>, whole: &Whole) {
-    if let Some(started) = started
+/// Shares an answer with the requests that joined and later ones. Server errors (5xx) are not worth replaying.
+pub fn share_answer(leader: Option<Leader>, whole: &Whole) {
+    if let Some(leader) = leader
         && !whole.status.is_server_error()
     {
-        started.finish(&convert::from_whole(whole));
+        leader.finish(&convert::from_whole(whole));
     }
 }
 
-/// Marks an answer as that of an earlier request.
-pub(super) fn replayed(mut response: Response) -> Response {
+/// Adds the header that marks a response as the answer of an earlier request.
+pub(super) fn mark_replayed(mut response: Response) -> Response {
     response
         .headers_mut()
         .insert(HeaderName::from_static(REPLAYED), HeaderValue::from_static("true"));
--- a/bergamotshift-forward/src/control/talk.rs
+++ b/bergamotshift-forward/src/control/talk.rs
@@ -85,7 +85,7 @@
             limit_usage: limit_usage.collect(),
             in_flight: in_flight.filter(|load| load.running > 0).collect(),
             prompt_rates: prompt_demand.filter(|(_, rate)| *rate > 0.0).collect(),
-            cached_parts: shared.recall().announced(now),
+            cached_parts: shared.cache_index().announced(now),
             windows: shared.tally.windows(),
             suspicions: self.quarantine.suspicions(now),
             rates: self.announced_rates(now),
@@ -204,7 +204,7 @@
             self.quarantine.merge(now, &state.suspicions);
             self.publish(shared);
         }
-        let mut cache_index = shared.recall();
+        let mut cache_index = shared.cache_index();
         for part in &state.cached_parts {
             cache_index.record(now, *part);
         }
@@ -218,7 +218,7 @@
         }
         let entry = state.entry.clone();
         if self.members.record_state(now, state)
-            && let Some((logger, left_out)) = shared.log.room(now, Topic::Belief)
+            && let Some((logger, left_out)) = shared.log.rate_limited(now, Topic::State)
         {
             info!(logger, "entry heard"; "entry" => entry.as_str(), "members" => self.members.count(),
                 "left_out" => left_out);
--- a/bergamotshift-forward/src/exchange/body.rs
+++ b/bergamotshift-forward/src/exchange/body.rs
@@ -1,4 +1,4 @@
-//! How an answer's body is framed.
+//! Framing of response bodies.
 
 use bytes::Buf;
 use bytes::Bytes;
@@ -10,31 +10,31 @@
 
 use super::failure::Failure;
 
-/// The longest line of a chunk's size, extensions included.
-const SIZE_LINE: usize = 256;
+/// Maximum length of the line with a chunk's size, including extensions, in bytes.
+const MAX_SIZE_LINE: usize = 256;
 
-/// How a body ends, and how much of it is still to come.
+/// Framing of a body: how it ends, and how much of it is still to come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Body {
-    /// It has ended.
+pub enum Framing {
+    /// The body has ended.
     Done,
-    /// It has this many bytes more.
+    /// The body has this many bytes left.
     Length(u64),
-    /// The next bytes are a chunk's size.
-    Size,
-    /// The chunk has this many bytes more, and a line end behind them.
+    /// The size of a chunk comes next.
+    ChunkSize,
+    /// The chunk has this many bytes left, followed by a line end.
     Chunk(u64),
-    /// The line end behind a chunk comes next.
+    /// The line end after a chunk comes next.
     ChunkEnd,
-    /// The lines behind the last chunk come next.
+    /// The trailer after the last chunk comes next.
     Trailer,
-    /// It ends with the connection.
-    Close,
+    /// The body ends with the connection.
+    UntilClose,
 }
 
-impl Body {
-    /// Returns how the body of an answer with this head ends.
-    pub(super) fn of(status: StatusCode, headers: &HeaderMap, method: &Method) -> Result<Self, Failure> {
+impl Framing {
+    /// Returns the framing of the body that follows a response head.
+    pub(super) fn from_head(status: StatusCode, headers: &HeaderMap, method: &Method) -> Result<Self, Failure> {
         let empty = status.is_informational() || matches!(status, StatusCode::NO_CONTENT | StatusCode::NOT_MODIFIED);
         if empty || *method == Method::HEAD {
             return Ok(Self::Done);
@@ -43,14 +43,14 @@
             if headers.contains_key(header::CONTENT_LENGTH) || !coding.as_bytes().eq_ignore_ascii_case(b"chunked") {
                 return Err(Failure::Malformed("its framing is ambiguous"));
             }
-            return Ok(Self::Size);
+            return Ok(Self::ChunkSize);
         }
         let mut lengths = headers.get_all(header::CONTENT_LENGTH);
         let Some(length) = lengths.next() else {
-            return Ok(Self::Close);
+            return Ok(Self::UntilClose);
         };
         if lengths.any(|other| other.as_bytes() != length.as_bytes()) {
-            return Err(Failure::Malformed("it has two lengths"));
+            return Err(Failure::Malformed("it has two different lengths"));
         }
         let length = length
             .to_str()
@@ -59,22 +59,23 @@
         match length.and_then(|text| text.parse().ok()) {
             Some(0) => Ok(Self::Done),
             Some(length) => Ok(Self::Length(length)),
-            None => Err(Failure::Malformed("its length is no number")),
+            None => Err(Failure::Malformed("its length is not a number")),
         }
     }
 
-    /// Returns whether the body's end is told by something else than the connection's end.
+    /// Returns whether the end of the body is marked other than by the end of the connection.
     pub const fn is_framed(self) -> bool {
-        !matches!(self, Self::Close)
+        !matches!(self, Self::UntilClose)
     }
 
-    /// Takes the next bytes of the body out of what was received; `None` when more is needed or it has ended.
+    /// Takes the next bytes of the body from `received`; returns `None` when more bytes are needed or the body has
+    /// ended.
     pub(super) fn take(&mut self, received: &mut BytesMut) -> Result<Option<Bytes>, Failure> {
         loop {
             match *self {
                 Self::Done => return Ok(None),
                 _ if received.is_empty() => return Ok(None),
-                Self::Close => return Ok(Some(received.split().freeze())),
+                Self::UntilClose => return Ok(Some(received.split().freeze())),
                 Self::Length(left) => {
                     let (piece, left) = split(received, left);
                     *self = if left == 0 { Self::Done } else { Self::Length(left) };
@@ -85,23 +86,23 @@
                     *self = if left == 0 { Self::ChunkEnd } else { Self::Chunk(left) };
                     return Ok(Some(piece));
                 }
-                Self::Size => match httparse::parse_chunk_size(received) {
+                Self::ChunkSize => match httparse::parse_chunk_size(received) {
                     Ok(httparse::Status::Complete((line, size))) => {
                         received.advance(line);
                         *self = if size == 0 { Self::Trailer } else { Self::Chunk(size) };
                     }
-                    Ok(httparse::Status::Partial) if received.len() <= SIZE_LINE => return Ok(None),
-                    _ => return Err(Failure::Malformed("a chunk has no size")),
+                    Ok(httparse::Status::Partial) if received.len() <= MAX_SIZE_LINE => return Ok(None),
+                    _ => return Err(Failure::Malformed("the size of a chunk is invalid")),
                 },
                 Self::ChunkEnd => {
                     if received.len() < 2 {
                         return Ok(None);
                     }
                     if !received.starts_with(b"\r\n") {
-                        return Err(Failure::Malformed("a chunk has no end"));
+                        return Err(Failure::Malformed("a chunk does not end with a line end"));
                     }
                     received.advance(2);
-                    *self = Self::Size;
+                    *self = Self::ChunkSize;
                 }
                 Self::Trailer => {
                     let Some(end) = received.windows(2).position(|pair| pair == b"\r\n") else {
@@ -117,6 +118,7 @@
     }
 }
 
+/// Takes up to `left` bytes from `received`; returns them with the number of bytes that are still to come.
 fn split(received: &mut BytesMut, left: u64) -> (Bytes, u64) {
     let length = received.len().min(usize::try_from(left).unwrap_or(usize::MAX));
     (received.split_to(length).freeze(), left - length as u64)
--- a/bergamotshift-forward/src/exchange/call.rs
+++ b/bergamotshift-forward/src/exchange/call.rs
@@ -1,4 +1,4 @@
-//! Calls between entries: short ones, and answers of any length.
+//! Calls between entries, with answers of any length.
 
 use core::cell::Cell;
 use core::cell::RefCell;
@@ -16,27 +16,27 @@
 
 use super::connection::Connection;
 use super::failure::Failure;
-use super::head::Answer;
+use super::head::Head;
 use super::head::encode;
 use super::pool::Pool;
 use crate::observe::Clock;
 
-/// A whole answer of another entry.
+/// Complete answer of another entry.
 #[derive(Debug)]
 pub struct Reply {
-    /// The status.
+    /// HTTP status.
     pub status: StatusCode,
-    /// The headers.
+    /// Headers.
     pub headers: HeaderMap,
-    /// The body.
+    /// Body.
     pub body: Vec<u8>,
 }
 
-/// Sends a question to another entry and reads its whole answer.
+/// Sends a question to another entry and reads the complete answer.
 ///
 /// # Errors
 ///
-/// Returns what went wrong on the way; any status is an answer.
+/// Returns the failure of the exchange; an answer with any status is no failure.
 pub async fn call(
     connection: &mut Connection,
     address: SocketAddr,
@@ -46,50 +46,51 @@
     read(connection, address, path, question, &Cell::new(0)).await
 }
 
-/// Sends a question to another entry over an idle connection, or a new one that comes about within `patience`, reads the
-/// whole answer and gives the connection back.
+/// Sends a question to another entry over an idle connection, or over a new one that is opened within
+/// `connect_timeout`; reads the complete answer and returns the connection to the pool.
 ///
 /// # Errors
 ///
-/// Returns what went wrong on the way; any status is an answer.
-pub async fn ask_pooled(
+/// Returns the failure of the exchange; an answer with any status is no failure.
+pub async fn call_pooled(
     pool: &RefCell<Pool>,
     clock: Clock,
     address: SocketAddr,
-    patience: Duration,
+    connect_timeout: Duration,
     path: &str,
     question: &[u8],
 ) -> Result<Reply, Failure> {
     let idle = pool.borrow_mut().take(clock.now(), address);
     let mut connection = match idle {
         Some(connection) => connection,
-        None => Connection::open(address, patience).await?,
+        None => Connection::open(address, connect_timeout).await?,
     };
     let reply = call(&mut connection, address, path, question).await?;
     pool.borrow_mut().put(clock.now(), address, connection, &reply.headers);
     Ok(reply)
 }
 
-/// Sends a question to another entry and reads its whole answer, however long that is, while it keeps pace.
+/// Sends a question to another entry and reads the complete answer of any length while it sustains `throughput`.
 ///
 /// # Errors
 ///
-/// Returns [`Failure::Slow`] when it falls behind, and what else went wrong on the way; any status is an answer.
+/// Returns [`Failure::Slow`] when the answer falls behind, or another failure of the exchange; an answer with any
+/// status is no failure.
 pub async fn download(
     connection: &mut Connection,
     address: SocketAddr,
     path: &str,
     question: &[u8],
-    pace: Throughput,
+    throughput: Throughput,
 ) -> Result<Reply, Failure> {
     let received = Cell::new(0);
     let mut reading = pin!(read(connection, address, path, question, &received));
-    let mut watch = pace.monitor();
+    let mut monitor = throughput.monitor();
     loop {
-        if let Ok(ended) = timeout(pace.within, reading.as_mut()).await {
+        if let Ok(ended) = timeout(throughput.within, reading.as_mut()).await {
             return ended;
         }
-        if !watch.is_sustained(received.get()) {
+        if !monitor.is_sustained(received.get()) {
             return Err(Failure::Slow {
                 received: received.get(),
             });
@@ -97,7 +98,7 @@
     }
 }
 
-/// Sends a question and reads its whole answer; `received` is how much of the answer's body has come so far.
+/// Sends a question and reads the complete answer; sets `received` to the number of bytes of the body so far.
 async fn read(
     connection: &mut Connection,
     address: SocketAddr,
@@ -105,22 +106,27 @@
     question: &[u8],
     received: &Cell<usize>,
 ) -> Result<Reply, Failure> {
-    let answer = ask(connection, address, path, question).await?;
-    let mut framing = answer.body;
+    let head = send_question(connection, address, path, question).await?;
+    let mut framing = head.framing;
     let mut body = Vec::new();
     while let Some(piece) = connection.body(&mut framing).await? {
         body.extend_from_slice(&piece);
         received.set(body.len());
     }
     Ok(Reply {
-        status: answer.status,
-        headers: answer.headers,
+        status: head.status,
+        headers: head.headers,
         body,
     })
 }
 
-/// Sends a question and reads the head of its answer.
-async fn ask(connection: &mut Connection, address: SocketAddr, path: &str, question: &[u8]) -> Result<Answer, Failure> {
+/// Sends a question and reads the head of the answer.
+async fn send_question(
+    connection: &mut Connection,
+    address: SocketAddr,
+    path: &str,
+    question: &[u8],
+) -> Result<Head, Failure> {
     let mut headers = HeaderMap::new();
     // An address is always a valid header value.
     if let Ok(host) = HeaderValue::from_str(&address.to_string()) {
--- a/bergamotshift-forward/src/exchange/connection.rs
+++ b/bergamotshift-forward/src/exchange/connection.rs
@@ -1,4 +1,4 @@
-//! A connection to an endpoint.
+//! Connection to an endpoint or another entry.
 
 use core::net::SocketAddr;
 use core::time::Duration;
@@ -14,44 +14,45 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-use super::body::Body;
+use super::body::Framing;
 use super::failure::Failure;
-use super::head::Answer;
+use super::head::Head;
 
-/// How much room there is for one read, in bytes.
-const READ: usize = 8 * 1024;
+/// Buffer space for one read, in bytes.
+const READ_SIZE: usize = 8 * 1024;
 
-/// The largest head of an answer, in bytes.
-const HEAD: usize = 16 * 1024;
+/// Maximum size of a response head, in bytes.
+const MAX_HEAD: usize = 16 * 1024;
 
-/// The largest answer to somebody else that is read over to get at one's own, in bytes.
-const STRAY: u64 = 64 * 1024;
+/// Maximum body size of a response to another request that is skipped, in bytes.
+const MAX_SKIPPED: u64 = 64 * 1024;
 
-/// A connection to an endpoint, with what was received and not taken yet.
+/// Connection to an endpoint or another entry, with the received bytes that have not been consumed yet.
 #[derive(Debug)]
 pub struct Connection {
     stream: TcpStream,
     received: BytesMut,
-    /// How many bytes ever came.
-    total: usize,
+    /// Number of bytes received since it was opened.
+    total_received: usize,
     /// Whether it cannot carry another exchange.
-    spent: bool,
+    unusable: bool,
 }
 
 impl Connection {
-    /// Opens a connection, which only this program gives up.
+    /// Opens a connection that only this program closes.
     ///
-    /// Failure: a network partition swallows a request, and the system gives the silent connection up by itself, by
-    /// keep-alive or for unacknowledged bytes, without a reset. Symptom: the partition heals, and the request reaches an
-    /// endpoint that left long ago, or runs after its caller was told otherwise. Every exchange has a limit of its own, and
-    /// what is given up at that is reset; an idle connection is not used again for long.
+    /// The operating system may give up a silent connection on its own and without a reset, because of keep-alive
+    /// probes or unacknowledged bytes. A request that a network partition held back would then reach the endpoint after
+    /// the partition heals: an endpoint that left long ago, or one that runs it although the caller was told otherwise.
+    /// Therefore every exchange has its own timeout, a connection that is given up is reset, and an idle connection is
+    /// reused only for a short time.
     ///
     /// # Errors
     ///
-    /// Returns [`Failure::Connect`] when none comes about in time.
-    pub async fn open(address: SocketAddr, patience: Duration) -> Result<Self, Failure> {
+    /// Returns [`Failure::Connect`] when no connection is opened in time.
+    pub async fn open(address: SocketAddr, connect_timeout: Duration) -> Result<Self, Failure> {
         let failed = |error: io::Error| Failure::Connect(error.to_string());
-        let stream = match timeout(patience, TcpStream::connect(address)).await {
+        let stream = match timeout(connect_timeout, TcpStream::connect(address)).await {
             Ok(stream) => stream.map_err(failed)?,
             Err(_) => return Err(Failure::Connect("no answer in time".to_owned())),
         };
@@ -60,100 +61,100 @@
         Ok(Self {
             stream,
             received: BytesMut::new(),
-            total: 0,
-            spent: false,
+            total_received: 0,
+            unusable: false,
         })
     }
 
-    /// Returns whether the system gives it up by itself when the peer is silent.
+    /// Returns whether the operating system closes the connection on its own when the peer is silent.
     ///
     /// # Errors
     ///
-    /// Returns the system's error when the options cannot be read.
-    pub fn is_watched(&self) -> io::Result<bool> {
+    /// Returns the system's error when the socket options cannot be read.
+    pub fn has_system_timeout(&self) -> io::Result<bool> {
         let socket = SockRef::from(&self.stream);
         Ok(socket.keepalive()? || socket.tcp_user_timeout()?.is_some_and(|timeout| !timeout.is_zero()))
     }
 
-    /// Returns how many bytes ever came.
-    pub const fn total(&self) -> usize {
-        self.total
+    /// Returns the number of bytes received since the connection was opened.
+    pub const fn bytes_received(&self) -> usize {
+        self.total_received
     }
 
     /// Returns whether another exchange may follow on the connection.
     ///
-    /// Failure: an endpoint closes an idle connection, or sends a second answer after a whole one. Symptom: the next
-    /// request is lost, or gets somebody else's answer. Bytes or an end on an idle connection show both.
+    /// If an endpoint closes an idle connection or sends a second response after a complete one, the next request would
+    /// be lost or get the response to another request. An end or bytes on the idle connection reveal both.
     pub fn is_reusable(&self) -> bool {
-        if self.spent || !self.received.is_empty() {
+        if self.unusable || !self.received.is_empty() {
             return false;
         }
         let mut byte = [0];
         matches!(self.stream.try_read(&mut byte), Err(error) if error.kind() == io::ErrorKind::WouldBlock)
     }
 
-    /// Sends a request and returns the head of the answer that `belongs`.
+    /// Sends a request and returns the head of the response for which `is_expected` returns `true`.
     ///
-    /// An endpoint may answer before it has read all of the request; the connection is not used again then, since the
-    /// rest of the request is still due on it.
+    /// An endpoint may respond before it has read the whole request. The connection is not reused then, since the rest
+    /// of the request would still have to be sent on it.
     ///
     /// # Errors
     ///
-    /// Returns what went wrong; after all but [`Failure::Connect`] the request may have run.
+    /// Returns the failure of the exchange; after any but [`Failure::Connect`], the request may have run.
     pub async fn send(
         &mut self,
         request: &[u8],
         method: &Method,
-        belongs: impl Fn(&Answer) -> bool,
-    ) -> Result<Answer, Failure> {
+        is_expected: impl Fn(&Head) -> bool,
+    ) -> Result<Head, Failure> {
         let mut sent = 0;
-        let mut stray = false;
+        let mut has_skipped = false;
         loop {
-            if let Some((answer, length)) = Answer::parse(&self.received, method)? {
+            if let Some((head, length)) = Head::parse(&self.received, method)? {
                 self.received.advance(length);
-                if answer.status.is_informational() {
+                if head.status.is_informational() {
                     continue;
                 }
-                if belongs(&answer) {
-                    self.spent = sent < request.len() || !answer.keeps;
-                    return Ok(answer);
+                if is_expected(&head) {
+                    self.unusable = sent < request.len() || !head.keep_alive;
+                    return Ok(head);
                 }
-                if stray {
+                if has_skipped {
                     return Err(Failure::Malformed("it belongs to another request"));
                 }
-                stray = true;
-                self.skip(answer.body).await?;
+                has_skipped = true;
+                self.skip(head.framing).await?;
                 continue;
             }
-            if self.received.len() > HEAD {
+            if self.received.len() > MAX_HEAD {
                 return Err(Failure::Malformed("its head is too large"));
             }
             if sent < request.len() {
-                sent += self.exchange(&request[sent..]).await?;
+                sent += self.write_or_read(&request[sent..]).await?;
             } else if self.read().await? == 0 {
                 return Err(Failure::Broken("it ended before the answer".to_owned()));
             }
         }
     }
 
-    /// Reads the next bytes of an answer's body; `None` at its end.
+    /// Reads the next bytes of a response body; returns `None` at its end.
     ///
     /// # Errors
     ///
-    /// Returns [`Failure::Broken`] when the connection ends before the body does.
-    pub async fn body(&mut self, body: &mut Body) -> Result<Option<Bytes>, Failure> {
+    /// Returns [`Failure::Broken`] when the connection ends before the body.
+    pub async fn body(&mut self, framing: &mut Framing) -> Result<Option<Bytes>, Failure> {
         loop {
-            if let Some(piece) = body.take(&mut self.received)? {
+            if let Some(piece) = framing.take(&mut self.received)? {
                 return Ok(Some(piece));
             }
-            if *body == Body::Done {
-                self.spent |= !self.received.is_empty();
+            if *framing == Framing::Done {
+                self.unusable |= !self.received.is_empty();
                 return Ok(None);
             }
             if self.read().await? == 0 {
-                self.spent = true;
-                if *body == Body::Close {
-                    *body = Body::Done;
+                self.unusable = true;
+                if *framing == Framing::UntilClose {
+                    *framing = Framing::Done;
                     continue;
                 }
                 return Err(Failure::Broken("it ended within the answer".to_owned()));
@@ -161,31 +162,33 @@
         }
     }
 
-    /// Reads over an answer that belongs to an exchange before this one.
+    /// Skips a response that belongs to an earlier exchange.
     ///
-    /// Failure: an endpoint answers a request twice, and the second answer stands where the next one is expected.
-    /// Symptom: a caller gets another caller's answer. Its identifier shows whose it is, and the right one follows.
-    async fn skip(&mut self, mut body: Body) -> Result<(), Failure> {
+    /// If an endpoint responds to a request twice, the second response arrives where the next one is expected, and a
+    /// caller would get the response to another caller. The identifier in its head shows which request it belongs to,
+    /// and the expected response follows.
+    async fn skip(&mut self, mut framing: Framing) -> Result<(), Failure> {
         let mut skipped = 0;
-        if !body.is_framed() {
+        if !framing.is_framed() {
             return Err(Failure::Malformed("it belongs to another request"));
         }
-        while let Some(piece) = self.body(&mut body).await? {
+        while let Some(piece) = self.body(&mut framing).await? {
             skipped += piece.len() as u64;
-            if skipped > STRAY {
+            if skipped > MAX_SKIPPED {
                 return Err(Failure::Malformed("it belongs to another request"));
             }
         }
-        self.spent = false;
+        self.unusable = false;
         Ok(())
     }
 
-    /// Sends what the system takes, unless the endpoint says something first; returns how many bytes left.
-    async fn exchange(&mut self, request: &[u8]) -> Result<usize, Failure> {
+    /// Writes as many bytes of the request as the system accepts, unless bytes from the peer can be read first; returns
+    /// the number of bytes written.
+    async fn write_or_read(&mut self, request: &[u8]) -> Result<usize, Failure> {
         let interest = Interest::READABLE | Interest::WRITABLE;
         let ready = self.stream.ready(interest).await.map_err(|error| broken(&error))?;
         if ready.is_readable() {
-            match self.take() {
+            match self.read_available() {
                 Ok(0) => return Err(Failure::Broken("it ended before the answer".to_owned())),
                 Ok(_) => return Ok(0),
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
@@ -199,10 +202,11 @@
         }
     }
 
+    /// Waits until bytes can be read, and reads them; returns 0 at the end of the connection.
     async fn read(&mut self) -> Result<usize, Failure> {
         loop {
             self.stream.readable().await.map_err(|error| broken(&error))?;
-            match self.take() {
+            match self.read_available() {
                 Ok(length) => return Ok(length),
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
                 Err(error) => return Err(broken(&error)),
@@ -210,10 +214,11 @@
         }
     }
 
-    fn take(&mut self) -> io::Result<usize> {
-        self.received.reserve(READ);
+    /// Reads the available bytes without waiting.
+    fn read_available(&mut self) -> io::Result<usize> {
+        self.received.reserve(READ_SIZE);
         let length = self.stream.try_read_buf(&mut self.received)?;
-        self.total += length;
+        self.total_received += length;
         Ok(length)
     }
 }
