--- a/bergamotshift-entry/src/claims/windows.rs
+++ b/bergamotshift-entry/src/claims/windows.rs
@@ -94,6 +94,7 @@
         self.complete(Some(answer));
     }
 
+    /// Completes the request and sends its answer to the requests that joined; does nothing the second time.
     fn complete(&mut self, answer: Option<&Answer>) {
         let Some(scope) = self.scope.take() else { return };
         let waiting = self
--- a/bergamotshift-entry/src/control/death.rs
+++ b/bergamotshift-entry/src/control/death.rs
@@ -97,7 +97,7 @@
         }
     }
 
-    /// Returns an endpoint that answered to routing, unless it is suspended.
+    /// Puts an endpoint that answered back into routing, unless it is suspended.
     fn mark_reachable(&mut self, endpoint: &Endpoint) {
         if self.fleet.mark_reachable(&self.config, endpoint, self.shared.now()) {
             info!(self.shared.settings.logger, "endpoint is reached again"; endpoint);
@@ -124,7 +124,8 @@
     /// Records the death of an endpoint and schedules probes of the other endpoints in its zone.
     ///
     /// The loss of a whole zone would otherwise cast suspicion on every request that ran there. Deaths of other
-    /// endpoints in the zone show a common cause, so these endpoints are probed before any request is refused.
+    /// endpoints in the zone show a common cause, so these endpoints are probed at the next tick, before requests are
+    /// refused.
     fn handle_death(&mut self, endpoint: &Endpoint, fingerprint: Option<Fingerprint>) {
         let Some(record) = self.fleet.find(endpoint) else {
             return;
--- a/bergamotshift-entry/src/control/faults.rs
+++ b/bergamotshift-entry/src/control/faults.rs
@@ -27,6 +27,7 @@
     failed: u32,
     /// Number of suspensions so far.
     suspensions: u32,
+    /// Time at which the last suspension ends.
     suspended_until: Instant,
 }
 
--- a/bergamotshift-entry/src/control/fleet.rs
+++ b/bergamotshift-entry/src/control/fleet.rs
@@ -116,7 +116,7 @@
         key.is_some()
     }
 
-    /// Returns a reachable endpoint to routing unless it is suspended; returns whether it was added.
+    /// Puts a reachable endpoint back into routing unless it is suspended; returns whether it was added.
     pub(super) fn mark_reachable(&mut self, config: &Config, endpoint: &Endpoint, now: Instant) -> bool {
         let Some(record) = self
             .records
