--- a/bergamotshift-entry/src/exchange/copy.rs
+++ b/bergamotshift-entry/src/exchange/copy.rs
@@ -114,8 +114,7 @@
 
     /// Skips the bytes already delivered and checks that they match.
     ///
-    /// The outer error means that this answer broke off too; the inner error means that it
-    /// differs or is shorter.
+    /// The outer error means that this answer broke off too; the inner error means that it differs or is shorter.
     async fn skip(&mut self) -> Result<Result<(), Error>, Failure> {
         let mut skipped = 0;
         let mut hash = Xxh3::new();
