--- a/bergamotshift-platform/src/cloud/mod.rs
+++ b/bergamotshift-platform/src/cloud/mod.rs
@@ -1,4 +1,4 @@
-//! The cloud API, which starts and stops VMs.
+//! Cloud API, which starts and stops VMs.
 
 use core::fmt::Debug;
 
@@ -11,35 +11,37 @@
 use crate::Error;
 use crate::Future;
 
-/// A VM to start.
+/// Specification of a VM to start.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Spec {
-    /// The name, which makes a repeated order idempotent.
+    /// Name of the VM, which makes starting it idempotent.
     pub name: name::Vm,
-    /// The availability zone.
+    /// Availability zone of the VM.
     pub zone: name::Zone,
-    /// The machine class.
+    /// Machine class of the VM.
     pub class: name::Class,
-    /// The market to buy it on.
+    /// Market on which to buy the VM.
     pub market: Market,
-    /// What it is for.
+    /// Role of the VM.
     pub role: Role,
 }
 
-/// Starts and stops VMs.
+/// API that starts and stops VMs.
 pub trait Cloud: Debug {
-    /// Orders a VM; it shows in the VM list once it runs. Ordering a name that already starts or runs is no second VM.
+    /// Orders a VM, which appears in the VM list once it runs.
+    ///
+    /// Repeating the order of a VM that is starting or running does not start another one.
     ///
     /// # Errors
     ///
-    /// Returns [`Error::NoCapacity`] when there is no room for such a VM in that zone.
+    /// Returns [`Error::NoCapacity`] if the zone has no capacity for the VM.
     fn start(&self, spec: Spec) -> Future<'_, Result<(), Error>>;
 
-    /// Stops a VM; one that does not exist counts as stopped.
+    /// Stops a VM; succeeds if it does not exist.
     ///
     /// # Errors
     ///
-    /// Returns [`Error::Unknown`] when the VM may have been stopped.
+    /// Returns [`Error::Unknown`] if the VM may have been stopped.
     fn stop(&self, vm: name::Vm) -> Future<'_, Result<(), Error>>;
 }
--- a/bergamotshift-platform/src/http/client.rs
+++ b/bergamotshift-platform/src/http/client.rs
@@ -1,4 +1,4 @@
-//! Sends one request and tells what may be concluded when no answer comes.
+//! HTTP client for calls to the platform, whose errors tell whether a call may have taken effect.
 
 use core::cell::Cell;
 use core::error::Error as StdError;
@@ -27,31 +27,35 @@
 use serde::de::DeserializeOwned;
 use tokio::time::timeout;
 
-use super::connector::Connector as Opener;
+use super::connector::Factory as ConnectorFactory;
 use super::signer::Bearer;
 use super::signer::Signer;
 use crate::Error;
 
-/// The part of a call's time within which its connection has to come about. What fails by then was surely not sent, and
-/// an answer still fits into the rest.
-const CONNECTING: f64 = 0.75;
+/// Fraction of a call's timeout that is allowed for opening a connection.
+///
+/// A call that fails in this time was certainly not sent, and the rest of the timeout still leaves time for an answer.
+const CONNECT_FRACTION: f64 = 0.75;
 
-/// How much of a request or an answer has to go over within each time that a call may take, in bytes. Over the narrowest
-/// links of VMs, 10 Mbit/s, it goes in a sixteenth of a second; a way that is slower by ten times is as good as silent.
-const PACE: usize = 64 * 1_024;
+/// Minimum number of bytes of the request and the answer that have to be transferred in each timeout interval of a
+/// call.
+///
+/// The slowest links of VMs, 10 Mbit/s, transfer them in a sixteenth of a second. With the timeouts in use, only
+/// a link that is more than ten times slower counts as silent.
+const MIN_BYTES_PER_TIMEOUT: usize = 64 * 1_024;
 
-/// Settings of the connection to one part of the platform.
+/// Settings of the client of one service of the platform.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Where it is, such as `http://10.0.0.2:8000`.
+    /// Base URL of the service, such as `http://10.0.0.2:8000`.
     pub base: String,
-    /// How long to wait for a whole answer, or for more of a long one.
+    /// Timeout for a complete answer, or for further progress of a long transfer.
     pub timeout: Duration,
-    /// The largest answer taken, in bytes.
-    pub limit: usize,
-    /// The most connections at a time.
-    pub connections: usize,
-    /// Proves who asks.
+    /// Maximum size of an answer's body, in bytes.
+    pub max_answer_bytes: usize,
+    /// Maximum number of concurrent connections.
+    pub max_connections: usize,
+    /// Signer that authenticates the requests.
     pub signer: Rc<dyn Signer>,
 }
 
@@ -60,55 +64,58 @@
         Self {
             base: String::new(),
             timeout: Duration::from_secs(2),
-            limit: 64 << 20,
-            connections: 8,
+            max_answer_bytes: 64 << 20,
+            max_connections: 8,
             signer: Rc::new(Bearer::default()),
         }
     }
 }
 
-/// Sends requests to one part of the platform.
+/// Client of one service of the platform.
 #[derive(Clone, Debug)]
 pub struct Client {
     inner: ntex::client::Client,
     settings: Settings,
 }
 
-/// How much of a call has gone over so far, in bytes.
+/// Progress of a call: the numbers of body bytes transferred so far.
 #[derive(Debug, Default)]
-struct Moved {
+struct Progress {
     sent: Cell<usize>,
     received: Cell<usize>,
 }
 
-/// A whole answer.
+/// Complete answer.
 #[derive(Debug)]
 pub struct Answer {
-    /// The status.
+    /// Status code of the answer.
     pub status: StatusCode,
-    /// The headers.
+    /// Headers of the answer.
     pub headers: HeaderMap,
-    /// The body.
+    /// Body of the answer.
     pub body: Bytes,
 }
 
 impl Client {
-    /// Makes a client; it connects with its first request.
+    /// Creates a client, which connects when it sends its first request.
     ///
     /// # Errors
     ///
-    /// Returns [`Error::Refused`] when the HTTP client cannot be set up.
+    /// Returns [`Error::Refused`] if the HTTP client cannot be created.
     pub async fn new(settings: Settings) -> Result<Self, Error> {
-        // The HTTP client sets up TLS in any case; whichever provider the process chose first stays.
+        // The HTTP client always configures TLS and needs a provider. If the process has already installed one, it is
+        // kept.
         drop(rustls::crypto::ring::default_provider().install_default());
-        let connector = Connector::default().limit(settings.connections).connector(Opener {
-            patience: settings.timeout.mul_f64(CONNECTING),
-        });
+        let connector = Connector::default()
+            .limit(settings.max_connections)
+            .connector(ConnectorFactory {
+                connect_timeout: settings.timeout.mul_f64(CONNECT_FRACTION),
+            });
         let timeout = Millis::from(settings.timeout);
         let inner = ntex::client::Client::builder()
             .connector::<()>(connector)
             .response_timeout(timeout)
-            .response_payload_limit(settings.limit)
+            .response_payload_limit(settings.max_answer_bytes)
             .response_payload_timeout(timeout)
             .disable_redirects()
             .build(SharedCfg::new("platform").build())
@@ -117,76 +124,85 @@
         Ok(Self { inner, settings })
     }
 
-    /// Begins a request to a path below the base.
+    /// Creates a request for a path below the base URL.
     pub fn request(&self, method: Method, path: &str) -> ClientRequest {
         self.inner.request(method, format!("{}{path}", self.settings.base))
     }
 
-    /// Sends a request and reads the whole answer, within the time of the settings.
+    /// Sends a request and reads the complete answer, with the timeout of the settings.
     ///
     /// # Errors
     ///
-    /// Returns what may be concluded when there is no whole answer; any status is an answer.
+    /// Returns an error if no complete answer was received. An answer of any status is not an error.
     pub async fn send(&self, request: ClientRequest, body: Bytes) -> Result<Answer, Error> {
         self.send_within(self.settings.timeout, request, body).await
     }
 
-    /// Sends a request and reads the whole answer, within `patience` and as much again each time that 64 kB more of
-    /// both went over meanwhile.
+    /// Sends a request and reads the complete answer within `call_timeout`.
     ///
-    /// Failure: the HTTP client's own time limit begins when all of the request was sent. Symptom: a call to a silent
-    /// platform waits for a connection or for room to send for as long as it likes, and leaves long after whoever asked
-    /// for it has given up. One limit over everything ends the call, and its connection drops what was not delivered.
+    /// The timeout is extended by another `call_timeout` each time that at least 64 KiB of the request and the answer
+    /// were transferred during the last one.
     ///
-    /// Failure: an answer or a request has grown so large that the VM's link takes longer for it than a call may take.
-    /// Symptom: it is given up and begun anew, for good, and the link is full of what is thrown away. What keeps moving is
-    /// let move, however large; what is silent, or hardly moves, ends as soon as ever.
+    /// The timeout covers the whole call, including opening a connection and sending the request. The timeout of the
+    /// HTTP client itself only starts when the request was sent completely. With it alone, a call to a silent platform
+    /// could wait for a connection or for space in the send buffer without a limit, and be sent long after its caller
+    /// gave up. Ending the call here also makes its connection discard what was not delivered.
     ///
-    /// A connection that was not made means that nothing was sent: `Refused`. Whatever fails later may have reached
-    /// the platform, even a write to a pooled connection that the platform had closed: `Unknown`.
+    /// A fixed timeout would fail for requests and answers that take longer than that over the VM's link: they would be
+    /// aborted and retried forever, and the link would be filled with discarded data. The extension lets a transfer of
+    /// any size finish while it makes progress, and ends a stalled one at the end of the interval.
+    ///
+    /// If no connection was opened, nothing was sent, and the error is `Refused`. After any later failure, including a
+    /// write to a pooled connection that the platform had closed, the call may have reached the platform, and the error
+    /// is `Unknown`.
     ///
     /// # Errors
     ///
-    /// Returns what may be concluded when there is no whole answer; any status is an answer.
-    pub async fn send_within(&self, patience: Duration, request: ClientRequest, body: Bytes) -> Result<Answer, Error> {
-        let request = request.timeout(Millis::from(patience));
-        let moved = Rc::new(Moved::default());
-        let began = Instant::now();
-        let mut call = pin!(self.exchange(request, body, &moved));
-        let pace = Throughput {
-            bytes: PACE,
-            within: patience,
+    /// Returns an error if no complete answer was received. An answer of any status is not an error.
+    pub async fn send_within(
+        &self,
+        call_timeout: Duration,
+        request: ClientRequest,
+        body: Bytes,
+    ) -> Result<Answer, Error> {
+        let request = request.timeout(Millis::from(call_timeout));
+        let progress = Rc::new(Progress::default());
+        let start = Instant::now();
+        let mut call = pin!(self.exchange(request, body, &progress));
+        let minimum = Throughput {
+            bytes: MIN_BYTES_PER_TIMEOUT,
+            within: call_timeout,
         };
-        let mut watch = pace.monitor();
+        let mut monitor = minimum.monitor();
         loop {
-            if let Ok(ended) = timeout(patience, call.as_mut()).await {
-                return ended;
+            if let Ok(result) = timeout(call_timeout, call.as_mut()).await {
+                return result;
             }
-            let (sent, received) = (moved.sent.get(), moved.received.get());
-            if !watch.is_sustained(sent + received) {
-                let took = began.elapsed().as_millis();
-                let cause = format!("no whole answer in time: {received} bytes of its body after {took} ms");
+            let (sent, received) = (progress.sent.get(), progress.received.get());
+            if !monitor.is_sustained(sent + received) {
+                let elapsed_ms = start.elapsed().as_millis();
+                let cause = format!("no whole answer in time: {received} bytes of its body after {elapsed_ms} ms");
                 return Err(Error::Unknown(cause));
             }
         }
     }
 
-    /// Sends a request and reads its answer; `moved` is how much of both has gone over so far.
-    async fn exchange(&self, request: ClientRequest, body: Bytes, moved: &Rc<Moved>) -> Result<Answer, Error> {
+    /// Sends a request and reads its answer, recording the progress of both.
+    async fn exchange(&self, request: ClientRequest, body: Bytes, progress: &Rc<Progress>) -> Result<Answer, Error> {
         let signed = self.settings.signer.sign(request, &body);
         let mut response = signed
-            .send_body(outgoing(body, Rc::clone(moved)))
+            .send_body(request_body(body, Rc::clone(progress)))
             .await
-            .map_err(|cause| failure(&cause))?;
+            .map_err(|cause| classify(&cause))?;
         let status = response.status();
         let headers = response.headers().clone();
         let mut body = BytesMut::new();
-        while let Some(piece) = response.next().await {
-            let piece = piece.map_err(|cause| Error::Unknown(cause.to_string()))?;
-            body.extend_from_slice(&piece);
-            moved.received.set(body.len());
-            if body.len() > self.settings.limit {
-                return Err(Error::Unknown("the answer is too large".to_owned()));
+        while let Some(chunk) = response.next().await {
+            let chunk = chunk.map_err(|cause| Error::Unknown(cause.to_string()))?;
+            body.extend_from_slice(&chunk);
+            progress.received.set(body.len());
+            if body.len() > self.settings.max_answer_bytes {
+                return Err(Error::Unknown("the answer exceeds the size limit".to_owned()));
             }
         }
         Ok(Answer {
@@ -198,11 +214,11 @@
 }
 
 impl Answer {
-    /// Parses a successful answer's JSON, or turns the answer into an error.
+    /// Parses the JSON body of a successful answer; returns an error for any other answer.
     ///
     /// # Errors
     ///
-    /// Returns what a status that is no success means, or that the JSON is not what was expected.
+    /// Returns [`Answer::error`] if the status is not a success, and [`Error::Unknown`] if the JSON is invalid.
     pub fn parse<T: DeserializeOwned>(&self) -> Result<T, Error> {
         if !self.status.is_success() {
             return Err(self.error());
@@ -210,7 +226,7 @@
         serde_json::from_slice(&self.body).map_err(|cause| Error::Unknown(cause.to_string()))
     }
 
-    /// Turns an answer that is no success into an error.
+    /// Converts an unsuccessful answer into an error.
     pub fn error(&self) -> Error {
         match self.status {
             StatusCode::TOO_MANY_REQUESTS => Error::Throttled {
@@ -218,35 +234,40 @@
             },
             StatusCode::PRECONDITION_FAILED | StatusCode::CONFLICT => Error::Conflict,
             status if status.is_client_error() => Error::Refused(status.to_string()),
-            // A server error may come after the write took effect.
+            // A server error may be returned although the call took effect.
             status => Error::Unknown(status.to_string()),
         }
     }
 
+    /// Returns the delay of the `Retry-After` header, if it is a number of seconds.
     fn retry_after(&self) -> Option<Duration> {
         let seconds: f64 = self.headers.get(header::RETRY_AFTER)?.to_str().ok()?.parse().ok()?;
         Duration::try_from_secs_f64(seconds).ok()
     }
 }
 
-/// Returns a request's body; a long one is handed over in pieces as the connection takes them, and counted.
-fn outgoing(body: Bytes, moved: Rc<Moved>) -> Body {
-    const PIECE: usize = PACE / 4;
-    if body.len() <= PACE {
+/// Creates the body of a request.
+///
+/// A long body is streamed in chunks as the connection accepts them, so that the bytes sent so far can be counted.
+fn request_body(body: Bytes, progress: Rc<Progress>) -> Body {
+    const CHUNK_BYTES: usize = MIN_BYTES_PER_TIMEOUT / 4;
+    if body.len() <= MIN_BYTES_PER_TIMEOUT {
         return Body::from(ntex::util::Bytes::copy_from_slice(&body));
     }
     let length = body.len();
-    let pieces = (0..length).step_by(PIECE).map(move |first| {
-        let piece = &body[first..length.min(first + PIECE)];
-        moved.sent.set(first + piece.len());
-        Ok::<_, Rc<dyn StdError>>(ntex::util::Bytes::copy_from_slice(piece))
+    let chunks = (0..length).step_by(CHUNK_BYTES).map(move |first| {
+        let chunk = &body[first..length.min(first + CHUNK_BYTES)];
+        progress.sent.set(first + chunk.len());
+        Ok::<_, Rc<dyn StdError>>(ntex::util::Bytes::copy_from_slice(chunk))
     });
-    Body::from_message(SizedStream::new(length as u64, stream::iter(pieces)))
+    Body::from_message(SizedStream::new(length as u64, stream::iter(chunks)))
 }
 
-fn failure(error: &ClientError) -> Error {
+/// Converts an error of the HTTP client by whether the request may have been sent.
+fn classify(error: &ClientError) -> Error {
     match error {
-        // The client also says this when a connection ends after the request was sent, before its answer.
+        // The client also returns this error if a connection is closed after the request was sent and before its
+        // answer.
         ClientError::Connect(ConnectError::Disconnected(None)) => Error::Unknown(error.to_string()),
         ClientError::Connect(cause) => Error::Refused(cause.to_string()),
         _ => Error::Unknown(error.to_string()),
--- a/bergamotshift-platform/src/http/cloud/mod.rs
+++ b/bergamotshift-platform/src/http/cloud/mod.rs
@@ -1,4 +1,4 @@
-//! The cloud API over HTTP: `POST /vms` with a spec, and `DELETE /vms/NAME`.
+//! Cloud API over HTTP: `POST /vms` with a spec, and `DELETE /vms/NAME`.
 
 use bergamotshift_core::name;
 use bytes::Bytes;
@@ -14,7 +14,7 @@
 use crate::Future;
 use crate::cloud::Spec;
 
-/// Starts and stops VMs over HTTP.
+/// Cloud API over HTTP.
 #[derive(Clone, Debug)]
 pub struct Cloud {
     client: Client,
@@ -32,7 +32,7 @@
 }
 
 impl Cloud {
-    /// Makes the adapter from a client.
+    /// Creates the adapter from a client.
     pub const fn new(client: Client) -> Self {
         Self { client }
     }
@@ -46,7 +46,7 @@
         let answer = self.client.send(request, Bytes::from(body)).await?;
         match answer.status {
             StatusCode::ACCEPTED => Ok(()),
-            _ if is(&answer, "no-capacity") => Err(Error::NoCapacity),
+            _ if is_error(&answer, "no-capacity") => Err(Error::NoCapacity),
             _ => Err(answer.error()),
         }
     }
@@ -59,14 +59,14 @@
             .await?;
         match answer.status {
             StatusCode::NO_CONTENT => Ok(()),
-            StatusCode::NOT_FOUND if is(&answer, "not-found") => Ok(()),
+            StatusCode::NOT_FOUND if is_error(&answer, "not-found") => Ok(()),
             _ => Err(answer.error()),
         }
     }
 }
 
-/// Returns whether an answer is the API's own error of this kind, and not a gateway's.
-fn is(answer: &Answer, kind: &str) -> bool {
+/// Returns whether an answer is an error of this kind from the API itself, not from a gateway.
+fn is_error(answer: &Answer, kind: &str) -> bool {
     !answer.status.is_success()
         && serde_json::from_slice::<Failure>(&answer.body).is_ok_and(|failure| failure.error.kind == kind)
 }
--- a/bergamotshift-platform/src/http/connect.rs
+++ b/bergamotshift-platform/src/http/connect.rs
@@ -1,4 +1,4 @@
-//! The kind of platform that is reached over HTTP.
+//! Kind of platform that is reached over HTTP.
 
 use std::rc::Rc;
 
@@ -23,6 +23,7 @@
     Kind { name: "http", connect: |settings| Box::pin(connect(settings)) }
 }
 
+/// Creates the client of each service that has a base URL.
 async fn connect(settings: Settings) -> Result<Platform, Error> {
     let mut platform = Platform::default();
     if let Some(client) = client(&settings, settings.table.as_ref()).await? {
@@ -48,6 +49,7 @@
     Ok(platform)
 }
 
+/// Creates an HTTP client, or returns `None` without a base URL.
 async fn client(settings: &Settings, base: Option<&SmolStr>) -> Result<Option<Client>, Error> {
     let Some(base) = base else {
         return Ok(None);
--- a/bergamotshift-platform/src/http/connector.rs
+++ b/bergamotshift-platform/src/http/connector.rs
@@ -1,4 +1,4 @@
-//! Opens the connections of the HTTP client.
+//! Connector of the HTTP client.
 
 use core::time::Duration;
 use std::io;
@@ -18,40 +18,40 @@
 
 use crate::socket;
 
-/// Opens connections that drop what they have not delivered when a call is given up.
+/// Factory of [`Connector`]s.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Connector {
-    /// How long a connection may take to come about.
-    pub(super) patience: Duration,
+pub(super) struct Factory {
+    /// Timeout for opening a connection.
+    pub(super) connect_timeout: Duration,
 }
 
-/// A [`Connector`] with its configuration.
+/// Opens connections that discard their undelivered data when they are closed.
 #[derive(Clone, Debug)]
-pub(super) struct Dialer {
-    patience: Duration,
+pub(super) struct Connector {
+    connect_timeout: Duration,
     shared: SharedCfg,
 }
 
-impl ServiceFactory<Connect<Uri>, SharedCfg> for Connector {
+impl ServiceFactory<Connect<Uri>, SharedCfg> for Factory {
     type Response = Io;
     type Error = ConnectError;
-    type Service = Dialer;
+    type Service = Connector;
     type InitError = ConnectServiceError;
 
     async fn create(&self, cfg: SharedCfg) -> Result<Self::Service, Self::InitError> {
-        Ok(Dialer {
-            patience: self.patience,
+        Ok(Connector {
+            connect_timeout: self.connect_timeout,
             shared: cfg,
         })
     }
 }
 
-impl Service<Connect<Uri>> for Dialer {
+impl Service<Connect<Uri>> for Connector {
     type Response = Io;
     type Error = ConnectError;
 
     async fn call(&self, req: Connect<Uri>, _: ServiceCtx<'_, Self>) -> Result<Io, ConnectError> {
-        let connected = timeout(self.patience, TcpStream::connect((req.host(), req.port())));
+        let connected = timeout(self.connect_timeout, TcpStream::connect((req.host(), req.port())));
         let stream = connected.await.map_err(io::Error::from)??;
         stream.set_nodelay(true)?;
         socket::reset_on_close(&stream)?;
--- a/bergamotshift-platform/src/http/mod.rs
+++ b/bergamotshift-platform/src/http/mod.rs
@@ -1,7 +1,7 @@
 //! Adapters over HTTP.
 //!
-//! The table service speaks the DynamoDB JSON protocol, the object store the S3 protocol, and the VM list, the cloud
-//! and the weight store small JSON protocols of their own.
+//! The table service uses the DynamoDB JSON protocol and the object store the S3 protocol. The VM list, the cloud API
+//! and the weight store use small JSON protocols of their own.
 
 mod client;
 pub mod cloud;
@@ -16,7 +16,7 @@
 use percent_encoding::AsciiSet;
 use percent_encoding::NON_ALPHANUMERIC;
 
-/// What is escaped in a path: all but the characters that every server reads as they stand.
+/// Characters that are percent-encoded in a path: all except the unreserved ones and the separator.
 const ESCAPED: &AsciiSet = &NON_ALPHANUMERIC
     .remove(b'-')
     .remove(b'_')
--- a/bergamotshift-platform/src/http/objects/mod.rs
+++ b/bergamotshift-platform/src/http/objects/mod.rs
@@ -1,4 +1,4 @@
-//! The object store over the S3 protocol, path-style.
+//! Object store over the S3 protocol, with path-style URLs.
 
 mod answer;
 #[cfg(test)]
@@ -24,7 +24,7 @@
 /// Settings of the object adapter.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Settings {
-    /// The bucket's name.
+    /// Name of the bucket.
     pub bucket: SmolStr,
 }
 
@@ -36,7 +36,7 @@
     }
 }
 
-/// Reads and writes objects over the S3 protocol.
+/// Object store over the S3 protocol.
 #[derive(Debug)]
 pub struct Objects {
     client: Client,
@@ -44,7 +44,7 @@
 }
 
 impl Objects {
-    /// Makes the adapter from a client.
+    /// Creates the adapter from a client.
     pub const fn new(client: Client, settings: Settings) -> Self {
         Self { client, settings }
     }
@@ -115,14 +115,16 @@
     }
 }
 
+/// Returns the `ETag` of an answer.
 fn tag(answer: &Answer) -> Result<SmolStr, Error> {
     let tag = answer.headers.get(header::ETAG).and_then(|tag| tag.to_str().ok());
     tag.map(SmolStr::new)
-        .ok_or_else(|| Error::Unknown("an answer without a tag".into()))
+        .ok_or_else(|| Error::Unknown("the answer has no ETag header".into()))
 }
 
+/// Converts an unsuccessful answer into an error.
 fn error(answer: &Answer) -> Error {
-    // The one server error that comes before any effect.
+    // Unlike other server errors, SlowDown is returned before the call takes effect.
     if answer.status == StatusCode::SERVICE_UNAVAILABLE && answer::is_slow_down(&answer.body) {
         return Error::Throttled { retry_after: None };
     }
--- a/bergamotshift-platform/src/http/objects/tests.rs
+++ b/bergamotshift-platform/src/http/objects/tests.rs
@@ -1,4 +1,4 @@
-//! Lists and errors that the store gives, and bytes that it never gives.
+//! Parsing of valid, corrupt and arbitrary answers of the object store.
 
 use quickcheck::quickcheck;
 
@@ -8,14 +8,14 @@
     <Contents><Key>job/a</Key><Size>1</Size></Contents><Contents><Key>job/b</Key></Contents></ListBucketResult>";
 
 #[test]
-fn list_is_checked_against_what_was_asked() {
+fn list_is_checked_against_the_request() {
     assert_eq!(answer::keys(LIST.as_bytes(), "job/", None).unwrap(), ["job/a", "job/b"]);
     answer::keys(LIST.as_bytes(), "other/", None).unwrap_err();
     answer::keys(LIST.as_bytes(), "job/", Some("job/a")).unwrap_err();
 }
 
 #[test]
-fn missing_key_is_told_from_other_absences() {
+fn missing_key_is_distinguished_from_other_errors() {
     assert!(answer::is_no_such_key(
         b"<Error><Code>NoSuchKey</Code><Message>m</Message></Error>"
     ));
@@ -24,15 +24,15 @@
 }
 
 quickcheck! {
-    fn garbage_is_no_list(body: Vec<u8>) -> bool {
+    fn garbage_is_not_a_list(body: Vec<u8>) -> bool {
         answer::keys(&body, "", None).is_err()
     }
 
-    fn cut_list_is_no_list(at: usize) -> bool {
+    fn truncated_list_is_not_a_list(at: usize) -> bool {
         answer::keys(&LIST.as_bytes()[..at % LIST.len()], "", None).is_err()
     }
 
-    fn garbage_is_no_missing_key(body: Vec<u8>) -> bool {
+    fn garbage_is_not_an_error_code(body: Vec<u8>) -> bool {
         !answer::is_no_such_key(&body) && !answer::is_slow_down(&body)
     }
 }
--- a/bergamotshift-platform/src/http/signer.rs
+++ b/bergamotshift-platform/src/http/signer.rs
@@ -1,30 +1,30 @@
-//! Signs requests to the platform.
+//! Authentication of requests to the platform.
 
 use core::fmt;
 use core::fmt::Debug;
 
 use ntex::client::ClientRequest;
 
-/// Proves to the platform who asks.
+/// Signer that authenticates requests to the platform.
 pub trait Signer: Debug {
-    /// Adds the proof to a request with this body.
+    /// Adds the credentials to a request with this body.
     fn sign(&self, request: ClientRequest, body: &[u8]) -> ClientRequest;
 }
 
-/// Sends a bearer token, or nothing when it is empty.
+/// Signer that sends a bearer token, or nothing if the token is empty.
 #[derive(Clone, Default)]
 pub struct Bearer {
     token: String,
 }
 
 impl Bearer {
-    /// Makes a signer from a token.
+    /// Creates a signer from a token.
     pub fn new(token: impl Into<String>) -> Self {
         Self { token: token.into() }
     }
 }
 
-// The token must not show in logs.
+// Omits the token, which must not appear in logs.
 impl Debug for Bearer {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.debug_struct("Bearer").finish_non_exhaustive()
--- a/bergamotshift-platform/src/http/table/answer.rs
+++ b/bergamotshift-platform/src/http/table/answer.rs
@@ -1,4 +1,4 @@
-//! Answers of the protocol, read with suspicion: what is not understood counts as lost.
+//! Answers of the DynamoDB JSON protocol; an answer that cannot be parsed counts as lost.
 
 use std::collections::BTreeMap;
 
@@ -31,7 +31,7 @@
     code: String,
 }
 
-/// A successful transaction's answer, which tells nothing but may hold statistics.
+/// Answer to a successful transaction, which may only contain statistics.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct Transacted {
@@ -107,45 +107,47 @@
                 .v
                 .value
                 .parse()
-                .map_err(|cause| Error::Unknown(format!("a version is no number: {cause}")))?,
+                .map_err(|cause| Error::Unknown(format!("invalid row version: {cause}")))?,
             body: STANDARD
                 .decode(&self.b.value)
-                .map_err(|cause| Error::Unknown(format!("a body is no base64: {cause}")))?,
+                .map_err(|cause| Error::Unknown(format!("invalid base64 in a row body: {cause}")))?,
         })
     }
 }
 
-fn lost(what: &str) -> Error {
-    Error::Unknown(what.to_owned())
+/// Returns the error for an answer that counts as lost.
+fn lost(cause: &str) -> Error {
+    Error::Unknown(cause.to_owned())
 }
 
-/// Returns how a transaction ended that was answered with this status and body.
+/// Returns the result of a transaction that was answered with this status and body.
 ///
-/// `places` gives the place of each operation's write.
-pub(super) fn ending(status: u16, body: &[u8], places: &[usize]) -> Ending {
+/// `indices` holds the index of each operation's write.
+pub(super) fn ending(status: u16, body: &[u8], indices: &[usize]) -> Ending {
     if status == OK {
-        // `Value` would do for the shape, but a list is no object and no answer of this service.
-        let understood = body.first() == Some(&b'{') && serde_json::from_slice::<Transacted>(body).is_ok();
-        return if understood { Ending::Applied } else { Ending::Unknown };
+        // A struct can also be deserialized from a JSON array, which is not a valid answer.
+        let is_valid = body.first() == Some(&b'{') && serde_json::from_slice::<Transacted>(body).is_ok();
+        return if is_valid { Ending::Applied } else { Ending::Unknown };
     }
     let Some(failure) = failure(status, body) else {
         return Ending::Unknown;
     };
     match failure.name() {
-        "TransactionCanceledException" => cancelled(&failure.reasons, places),
-        // The first send of this token is still being worked on.
+        "TransactionCanceledException" => cancelled(&failure.reasons, indices),
+        // The first attempt with this token is still in progress.
         "TransactionInProgressException" => Ending::Unknown,
         _ => Ending::Refused,
     }
 }
 
-fn cancelled(reasons: &[Reason], places: &[usize]) -> Ending {
-    let failed = places
+/// Returns the result of a cancelled transaction.
+fn cancelled(reasons: &[Reason], indices: &[usize]) -> Ending {
+    let failed = indices
         .iter()
         .zip(reasons)
         .filter(|(_, reason)| reason.code == "ConditionalCheckFailed");
-    let failed: Vec<_> = failed.map(|(place, _)| *place).collect();
-    // Without such a reason it met another transaction or a limit; either way it took no effect.
+    let failed: Vec<_> = failed.map(|(index, _)| *index).collect();
+    // Without such a reason, the transaction met a concurrent one or a limit, and had no effect either way.
     if failed.is_empty() {
         Ending::Refused
     } else {
@@ -153,9 +155,9 @@
     }
 }
 
-/// Returns the service's own refusal; `None` when the answer is not one.
+/// Parses an error of the service itself; returns `None` for any other answer.
 ///
-/// A gateway's error page, also one with a client error's status, says nothing about the transaction.
+/// An error page of a gateway, even with the status of a client error, says nothing about the transaction.
 fn failure(status: u16, body: &[u8]) -> Option<Failure> {
     CLIENT_ERRORS
         .contains(&status)
@@ -164,14 +166,14 @@
 }
 
 impl Failure {
-    /// Returns the error's name without its namespace.
+    /// Returns the name of the error without its namespace.
     fn name(&self) -> &str {
         self.kind.rsplit_once('#').map_or(self.kind.as_str(), |(_, name)| name)
     }
 }
 
-/// Returns the body of a successful read.
-pub(super) fn checked(status: u16, body: &[u8]) -> Result<&[u8], Error> {
+/// Returns the body of a successful read, or the error that the answer stands for.
+pub(super) fn success_body(status: u16, body: &[u8]) -> Result<&[u8], Error> {
     if status == OK {
         return Ok(body);
     }
@@ -186,87 +188,90 @@
     }
 }
 
-/// What is known of a row that was asked for.
+/// State of a requested row.
 #[derive(Clone, Debug)]
-enum Found {
+enum Lookup {
     Unanswered,
     Absent,
     Present(Row),
 }
 
-/// Rows asked for, as far as they were answered.
+/// Requested rows, with the answers received so far.
 #[derive(Debug)]
 pub(super) struct Rows {
-    rows: BTreeMap<Key, Found>,
+    rows: BTreeMap<Key, Lookup>,
 }
 
 impl Rows {
     pub(super) fn new(keys: &[Key]) -> Self {
         Self {
-            rows: keys.iter().map(|key| (key.clone(), Found::Unanswered)).collect(),
+            rows: keys.iter().map(|key| (key.clone(), Lookup::Unanswered)).collect(),
         }
     }
 
-    /// Returns the keys not answered yet.
+    /// Returns the keys that are still unanswered.
     pub(super) fn missing(&self) -> Vec<Key> {
-        let missing = self.rows.iter().filter(|(_, found)| matches!(found, Found::Unanswered));
+        let missing = self
+            .rows
+            .iter()
+            .filter(|(_, lookup)| matches!(lookup, Lookup::Unanswered));
         missing.map(|(key, _)| key.clone()).collect()
     }
 
-    /// Returns a row that was answered.
+    /// Returns a row; `None` if it is absent or still unanswered.
     pub(super) fn row(&self, key: &Key) -> Option<Row> {
         match self.rows.get(key)? {
-            Found::Present(row) => Some(row.clone()),
-            Found::Absent | Found::Unanswered => None,
+            Lookup::Present(row) => Some(row.clone()),
+            Lookup::Absent | Lookup::Unanswered => None,
         }
     }
 
-    /// Takes the answer to a batch that asked for these keys.
+    /// Records the answer to a batch that requested these keys.
     ///
-    /// A row that was not asked for belongs to someone else's answer, so nothing of it is believed.
-    pub(super) fn take(&mut self, table: &str, asked: &[Key], body: &[u8]) -> Result<(), Error> {
+    /// An answer with a row that was not requested belongs to another call, so all of it is rejected.
+    pub(super) fn record(&mut self, table: &str, requested: &[Key], body: &[u8]) -> Result<(), Error> {
         let batch: Batch = serde_json::from_slice(body).map_err(|cause| Error::Unknown(cause.to_string()))?;
-        let mut found: BTreeMap<Key, Found> = asked.iter().map(|key| (key.clone(), Found::Absent)).collect();
+        let mut lookups: BTreeMap<Key, Lookup> = requested.iter().map(|key| (key.clone(), Lookup::Absent)).collect();
         let items = batch
             .responses
             .get(table)
-            .ok_or_else(|| lost("the table's rows are missing"))?;
+            .ok_or_else(|| lost("the answer contains no rows of the table"))?;
         for item in items {
             let key = Key::new(&item.pk.value, &item.sk.value);
-            let place = found
+            let lookup = lookups
                 .get_mut(&key)
-                .ok_or_else(|| lost("a row that was not asked for"))?;
-            *place = Found::Present(item.row()?);
+                .ok_or_else(|| lost("the answer contains a row that was not requested"))?;
+            *lookup = Lookup::Present(item.row()?);
         }
         for key in batch.unprocessed_keys.values().flat_map(|keys| &keys.keys) {
-            if found.remove(&key.key()).is_none() {
-                return Err(lost("a key that was not asked for"));
+            if lookups.remove(&key.key()).is_none() {
+                return Err(lost("the answer contains a key that was not requested"));
             }
         }
-        self.rows.extend(found);
+        self.rows.extend(lookups);
         Ok(())
     }
 }
 
-/// Returns the page that a query of this partition after this sort key was answered with.
+/// Parses the answer to a query of this partition after this sort key.
 pub(super) fn page(body: &[u8], partition: &str, after: Option<&str>) -> Result<Page, Error> {
     let queried: Queried = serde_json::from_slice(body).map_err(|cause| Error::Unknown(cause.to_string()))?;
     let mut rows: Vec<(SmolStr, Row)> = Vec::with_capacity(queried.items.len());
     for item in queried.items {
         let last = rows.last().map(|(sort, _)| sort.as_str()).or(after);
         if item.pk.value != partition || last.is_some_and(|last| item.sk.value.as_str() <= last) {
-            return Err(lost("a row that was not asked for"));
+            return Err(lost("the answer contains a row that was not requested"));
         }
         let row = item.row()?;
         rows.push((item.sk.value, row));
     }
     let next = queried.last_evaluated_key.map(|key| key.sk.value);
-    // A page that does not go forward would be read for ever.
+    // Following a page that does not advance would never end.
     if next
         .as_deref()
         .is_some_and(|next| after.is_some_and(|after| next <= after))
     {
-        return Err(lost("a page that goes back"));
+        return Err(lost("the next page does not advance"));
     }
     Ok(Page { rows, next })
 }
--- a/bergamotshift-platform/src/http/table/mod.rs
+++ b/bergamotshift-platform/src/http/table/mod.rs
@@ -1,4 +1,4 @@
-//! The table service over the DynamoDB JSON protocol.
+//! Table service over the DynamoDB JSON protocol.
 //!
 //! A row is an item with the attributes `pk`, `sk`, `v` (its version) and `b` (its body).
 
@@ -28,17 +28,17 @@
 use crate::Future;
 use crate::table::Page;
 
-/// The most operations of one transaction, and the most keys of one batch.
-const MOST: usize = 100;
-/// How often the keys that a batch left out are asked for again.
-const BATCH_ROUNDS: usize = 8;
+/// Maximum number of operations in a transaction, and of keys in a batch.
+const MAX_ITEMS: usize = 100;
+/// Maximum number of rounds of a batch read; each round requests the keys that are still unanswered.
+const MAX_BATCH_ROUNDS: usize = 8;
 
 /// Settings of the table adapter.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Settings {
-    /// The table's name.
+    /// Name of the table.
     pub table: SmolStr,
-    /// How often a transaction whose answer was lost is sent again under the same token.
+    /// Maximum number of retries of a transaction whose answer was lost, all with the same idempotency token.
     pub retries: u32,
 }
 
@@ -51,26 +51,26 @@
     }
 }
 
-/// Reads and writes rows over the DynamoDB JSON protocol.
+/// Table service over the DynamoDB JSON protocol.
 #[derive(Debug)]
 pub struct Table {
     client: Client,
     settings: Settings,
-    random: RefCell<Pcg64Mcg>,
+    rng: RefCell<Pcg64Mcg>,
 }
 
 impl Table {
-    /// Makes the adapter from a client.
+    /// Creates the adapter from a client.
     ///
     /// # Errors
     ///
-    /// Returns [`Error::Refused`] when the system gives no random bits.
+    /// Returns [`Error::Refused`] if the operating system's rng number generator fails.
     pub fn new(client: Client, settings: Settings) -> Result<Self, Error> {
-        let random = Pcg64Mcg::try_from_rng(&mut SysRng).map_err(|cause| Error::Refused(cause.to_string()))?;
+        let rng = Pcg64Mcg::try_from_rng(&mut SysRng).map_err(|cause| Error::Refused(cause.to_string()))?;
         Ok(Self {
             client,
             settings,
-            random: RefCell::new(random),
+            rng: RefCell::new(rng),
         })
     }
 
@@ -88,56 +88,56 @@
         self.client.send(request, body).await
     }
 
-    /// Sends one transaction, again under the same token while its answer is lost.
+    /// Sends a transaction, and retries it with the same idempotency token if its answer is lost.
     ///
-    /// The service takes a token's second use within 10 minutes as the same transaction, so a repeat cannot take
-    /// effect twice. Once an answer was lost only `Applied` is believed: the first send may still have taken effect
-    /// when a repeat is refused, and a conflict may be with the first send's own writes.
+    /// The service treats a token that is used again within 10 minutes as the same transaction, so a retry cannot take
+    /// effect twice. After a lost answer, `Applied` is the only result of a retry that is conclusive: if a retry is
+    /// refused, the first attempt may still have taken effect, and a conflict may be with its own writes.
     async fn transact(&self, writes: Vec<Write>) -> Ending {
-        let (operations, places) = request::operations(&self.settings.table, writes);
+        let (operations, indices) = request::operations(&self.settings.table, writes);
         if operations.is_empty() {
             return Ending::Applied;
         }
-        if operations.len() > MOST {
+        if operations.len() > MAX_ITEMS {
             return Ending::Refused;
         }
-        let token = format!("{:032x}", self.random.borrow_mut().random::<u128>());
+        let token = format!("{:032x}", self.rng.borrow_mut().random::<u128>());
         let Ok(body) = serde_json::to_vec(&request::transaction(&operations, &token)) else {
             return Ending::Refused;
         };
         let body = Bytes::from(body);
-        let first = self.send(&body, &places).await;
-        if first != Ending::Unknown {
-            return first;
+        let result = self.send(&body, &indices).await;
+        if result != Ending::Unknown {
+            return result;
         }
         for _ in 0..self.settings.retries {
-            if self.send(&body, &places).await == Ending::Applied {
+            if self.send(&body, &indices).await == Ending::Applied {
                 return Ending::Applied;
             }
         }
         Ending::Unknown
     }
 
-    async fn send(&self, body: &Bytes, places: &[usize]) -> Ending {
+    async fn send(&self, body: &Bytes, indices: &[usize]) -> Ending {
         match self.post("TransactWriteItems", body.clone()).await {
-            Ok(answer) => answer::ending(answer.status.as_u16(), &answer.body, places),
+            Ok(answer) => answer::ending(answer.status.as_u16(), &answer.body, indices),
             Err(error) if error.had_no_effect() => Ending::Refused,
             Err(_) => Ending::Unknown,
         }
     }
 
     async fn get(&self, keys: Vec<Key>) -> Result<Vec<Option<Row>>, Error> {
-        let mut found = answer::Rows::new(&keys);
-        for _ in 0..BATCH_ROUNDS {
-            let missing = found.missing();
+        let mut rows = answer::Rows::new(&keys);
+        for _ in 0..MAX_BATCH_ROUNDS {
+            let missing = rows.missing();
             if missing.is_empty() {
-                return Ok(keys.iter().map(|key| found.row(key)).collect());
+                return Ok(keys.iter().map(|key| rows.row(key)).collect());
             }
-            for chunk in missing.chunks(MOST) {
+            for chunk in missing.chunks(MAX_ITEMS) {
                 let body = request::batch(&self.settings.table, chunk);
                 let answer = self.call("BatchGetItem", &body).await?;
-                let answer = answer::checked(answer.status.as_u16(), &answer.body)?;
-                found.take(&self.settings.table, chunk, answer)?;
+                let answer = answer::success_body(answer.status.as_u16(), &answer.body)?;
+                rows.record(&self.settings.table, chunk, answer)?;
             }
         }
         Err(Error::Throttled { retry_after: None })
@@ -146,7 +146,7 @@
     async fn query(&self, partition: SmolStr, after: Option<SmolStr>, limit: u32) -> Result<Page, Error> {
         let body = request::query(&self.settings.table, &partition, after.as_deref(), limit);
         let answer = self.call("Query", &body).await?;
-        let answer = answer::checked(answer.status.as_u16(), &answer.body)?;
+        let answer = answer::success_body(answer.status.as_u16(), &answer.body)?;
         answer::page(answer, &partition, after.as_deref())
     }
 }
--- a/bergamotshift-platform/src/http/table/request.rs
+++ b/bergamotshift-platform/src/http/table/request.rs
@@ -1,4 +1,4 @@
-//! Requests of the protocol.
+//! Request bodies of the DynamoDB JSON protocol.
 
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD;
@@ -9,12 +9,12 @@
 use serde_json::Value;
 use serde_json::json;
 
-/// Turns writes into operations, each with the place of its write.
+/// Converts writes into operations, and returns the index of each operation's write.
 ///
-/// A check of nothing is left out: the protocol has no such operation.
+/// A check without a condition is left out, because the protocol has no such operation.
 pub(super) fn operations(table: &str, writes: Vec<Write>) -> (Vec<Value>, Vec<usize>) {
     let all = writes.into_iter().enumerate();
-    all.filter_map(|(place, write)| Some((operation(table, &write)?, place)))
+    all.filter_map(|(index, write)| Some((operation(table, &write)?, index)))
         .unzip()
 }
 
@@ -23,13 +23,13 @@
     json!({"TransactItems": operations, "ClientRequestToken": token})
 }
 
-/// Returns the body that reads these rows.
+/// Returns the body of a batch read of these rows.
 pub(super) fn batch(table: &str, keys: &[Key]) -> Value {
-    let keys: Vec<_> = keys.iter().map(key_item).collect();
+    let keys: Vec<_> = keys.iter().map(key_attributes).collect();
     json!({"RequestItems": {table: {"Keys": keys, "ConsistentRead": true}}})
 }
 
-/// Returns the body that lists a partition.
+/// Returns the body of a query that lists a partition.
 pub(super) fn query(table: &str, partition: &str, after: Option<&str>, limit: u32) -> Value {
     let mut body = json!({
         "TableName": table,
@@ -39,11 +39,12 @@
         "Limit": limit,
     });
     if let Some(after) = after {
-        body["ExclusiveStartKey"] = key_item(&Key::new(partition, after));
+        body["ExclusiveStartKey"] = key_attributes(&Key::new(partition, after));
     }
     body
 }
 
+/// Returns the operation of a write, or `None` for a check without a condition.
 fn operation(table: &str, write: &Write) -> Option<Value> {
     let mut values = json!({});
     let mut body = json!({"TableName": table});
@@ -62,7 +63,7 @@
         (Change::Put(content), condition) => put(&mut body, &mut values, &write.key, condition, content),
     };
     if kind != "Put" {
-        body["Key"] = key_item(&write.key);
+        body["Key"] = key_attributes(&write.key);
     }
     if values.as_object().is_some_and(|values| !values.is_empty()) {
         body["ExpressionAttributeValues"] = values;
@@ -70,7 +71,9 @@
     Some(json!({kind: body}))
 }
 
-/// Fills in what a put changes; without a known version the service itself has to count it up.
+/// Adds the new row to an operation, and returns the kind of the operation.
+///
+/// With [`Condition::Any`] the current version is not known, so an update lets the service increment it.
 fn put(body: &mut Value, values: &mut Value, key: &Key, condition: Condition, content: &[u8]) -> &'static str {
     let content = json!({"B": STANDARD.encode(content)});
     let version = match condition {
@@ -92,6 +95,6 @@
     "Put"
 }
 
-fn key_item(key: &Key) -> Value {
+fn key_attributes(key: &Key) -> Value {
     json!({"pk": {"S": key.partition}, "sk": {"S": key.sort}})
 }
--- a/bergamotshift-platform/src/http/table/tests.rs
+++ b/bergamotshift-platform/src/http/table/tests.rs
@@ -1,4 +1,4 @@
-//! Answers that the service gives, and bytes that it never gives.
+//! Parsing of valid, corrupt and arbitrary answers of the table service.
 
 use bergamotshift_core::table::Ending;
 use bergamotshift_core::table::Key;
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn endings_by_answer() {
+fn endings_follow_from_answers() {
     let cases = [
         (200, b"{}".to_vec(), Ending::Applied),
         (200, b"{\"ConsumedCapacity\":[]}".to_vec(), Ending::Applied),
@@ -52,20 +52,20 @@
         (500, failed("InternalServerError"), Ending::Unknown),
         (503, b"{}".to_vec(), Ending::Unknown),
     ];
-    for (status, body, wanted) in cases {
+    for (status, body, expected) in cases {
         let text = String::from_utf8_lossy(&body);
-        assert_eq!(answer::ending(status, &body, &[2, 5, 7]), wanted, "{status} {text}");
+        assert_eq!(answer::ending(status, &body, &[2, 5, 7]), expected, "{status} {text}");
     }
 }
 
 #[test]
-fn rows_of_another_answer_are_not_believed() {
+fn rows_of_another_answer_are_rejected() {
     let item = json!({"pk": {"S": "p"}, "sk": {"S": "x"}, "v": {"N": "1"}, "b": {"B": ""}});
     let batch = json!({"Responses": {"t": [item]}}).to_string();
-    let asked = [Key::new("p", "a")];
-    let mut rows = answer::Rows::new(&asked);
-    rows.take("t", &asked, batch.as_bytes()).unwrap_err();
-    assert_eq!(rows.missing(), asked);
+    let requested = [Key::new("p", "a")];
+    let mut rows = answer::Rows::new(&requested);
+    rows.record("t", &requested, batch.as_bytes()).unwrap_err();
+    assert_eq!(rows.missing(), requested);
 
     let page = json!({"Items": [item]}).to_string();
     assert_eq!(answer::page(page.as_bytes(), "p", None).unwrap().rows.len(), 1);
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn page_that_goes_back_is_not_believed() {
+fn page_that_does_not_advance_is_rejected() {
     let page = json!({"Items": [], "LastEvaluatedKey": {"pk": {"S": "p"}, "sk": {"S": "a"}}}).to_string();
     answer::page(page.as_bytes(), "p", Some("a")).unwrap_err();
     assert_eq!(
@@ -83,12 +83,12 @@
     );
 }
 
-/// Puts other bytes into a true answer.
+/// Overwrites bytes of a valid answer.
 fn corrupt(answer: &str, changes: &[(usize, u8)]) -> Vec<u8> {
     let mut bytes = answer.as_bytes().to_vec();
-    for (at, byte) in changes {
-        let at = at % bytes.len();
-        bytes[at] = *byte;
+    for (offset, byte) in changes {
+        let offset = offset % bytes.len();
+        bytes[offset] = *byte;
     }
     bytes
 }
@@ -99,44 +99,44 @@
     "LastEvaluatedKey":{"pk":{"S":"p"},"sk":{"S":"a"}}}"#;
 
 quickcheck! {
-    fn corrupt_batches_give_only_rows_asked_for(changes: Vec<(usize, u8)>) -> bool {
-        let asked = [Key::new("p", "a"), Key::new("p", "b")];
-        let mut rows = answer::Rows::new(&asked);
-        let taken = rows.take("t", &asked, &corrupt(BATCH, &changes)).is_ok();
-        taken || rows.missing() == asked
+    fn corrupt_batches_return_only_requested_rows(changes: Vec<(usize, u8)>) -> bool {
+        let requested = [Key::new("p", "a"), Key::new("p", "b")];
+        let mut rows = answer::Rows::new(&requested);
+        let accepted = rows.record("t", &requested, &corrupt(BATCH, &changes)).is_ok();
+        accepted || rows.missing() == requested
     }
 
-    fn corrupt_pages_go_forward_in_their_partition(changes: Vec<(usize, u8)>) -> bool {
+    fn corrupt_pages_advance_in_their_partition(changes: Vec<(usize, u8)>) -> bool {
         let page = answer::page(&corrupt(PAGE, &changes), "p", Some("A"));
         page.is_err() || page.is_ok_and(|page| {
             page.rows.iter().all(|(sort, _)| sort > "A") && page.next.is_none_or(|next| next > "A")
         })
     }
 
-    fn corrupt_cancellations_never_apply(changes: Vec<(usize, u8)>, places: Vec<usize>) -> bool {
+    fn corrupt_cancellations_never_apply(changes: Vec<(usize, u8)>, indices: Vec<usize>) -> bool {
         let whole = String::from_utf8(cancelled(&["None", "ConditionalCheckFailed"])).expect("JSON is UTF-8");
-        answer::ending(400, &corrupt(&whole, &changes), &places) != Ending::Applied
+        answer::ending(400, &corrupt(&whole, &changes), &indices) != Ending::Applied
     }
 
-    fn garbage_never_applies(status: u16, body: Vec<u8>, places: Vec<usize>) -> bool {
-        let wanted = status == 200 && body.trim_ascii() == b"{}";
-        wanted || answer::ending(status, &body, &places) != Ending::Applied
+    fn garbage_never_applies(status: u16, body: Vec<u8>, indices: Vec<usize>) -> bool {
+        let expected = status == 200 && body.trim_ascii() == b"{}";
+        expected || answer::ending(status, &body, &indices) != Ending::Applied
     }
 
     fn garbage_with_status_200_never_applies(body: Vec<u8>) -> bool {
         body.trim_ascii() == b"{}" || answer::ending(200, &body, &[0]) != Ending::Applied
     }
 
-    fn cut_answers_are_unknown_or_no_less_true(at: usize) -> bool {
+    fn truncated_cancellations_are_unknown(offset: usize) -> bool {
         let whole = cancelled(&["None", "ConditionalCheckFailed"]);
-        let cut = &whole[..at % whole.len()];
+        let cut = &whole[..offset % whole.len()];
         answer::ending(400, cut, &[0, 1]) == Ending::Unknown
     }
 
     fn garbage_rows_are_an_error_or_absent(body: Vec<u8>, sort: String) -> bool {
-        let asked = [Key::new("p", sort)];
-        let mut rows = answer::Rows::new(&asked);
-        rows.take("t", &asked, &body).is_err() || rows.row(&asked[0]).is_none()
+        let requested = [Key::new("p", sort)];
+        let mut rows = answer::Rows::new(&requested);
+        rows.record("t", &requested, &body).is_err() || rows.row(&requested[0]).is_none()
     }
 
     fn garbage_pages_are_errors(body: Vec<u8>) -> bool {
--- a/bergamotshift-platform/src/http/vms/mod.rs
+++ b/bergamotshift-platform/src/http/vms/mod.rs
@@ -1,4 +1,4 @@
-//! The VM list over HTTP: `GET /vms` and `GET /notices?since=N`, with JSON answers.
+//! VM list over HTTP: `GET /vms` and `GET /notices?since=N`, with JSON answers.
 
 use bergamotshift_core::vm::Listing;
 use bytes::Bytes;
@@ -10,7 +10,7 @@
 use crate::Future;
 use crate::vms::Notice;
 
-/// Reads the VM list over HTTP.
+/// VM list and reclaim notices over HTTP.
 #[derive(Clone, Debug)]
 pub struct Vms {
     client: Client,
@@ -27,7 +27,7 @@
 }
 
 impl Vms {
-    /// Makes the adapter from a client.
+    /// Creates the adapter from a client.
     pub const fn new(client: Client) -> Self {
         Self { client }
     }
--- a/bergamotshift-platform/src/http/weights/mod.rs
+++ b/bergamotshift-platform/src/http/weights/mod.rs
@@ -1,4 +1,4 @@
-//! The weight store over HTTP: `POST /tickets` with a model and version.
+//! Weight store over HTTP: `POST /tickets` with a model and version.
 
 use bytes::Bytes;
 use ntex::http::Method;
@@ -9,14 +9,14 @@
 use crate::weights::Spec;
 use crate::weights::Ticket;
 
-/// Asks for leave to load weights over HTTP.
+/// Weight store over HTTP.
 #[derive(Clone, Debug)]
 pub struct Weights {
     client: Client,
 }
 
 impl Weights {
-    /// Makes the adapter from a client.
+    /// Creates the adapter from a client.
     pub const fn new(client: Client) -> Self {
         Self { client }
     }
--- a/bergamotshift-platform/src/kind.rs
+++ b/bergamotshift-platform/src/kind.rs
@@ -1,4 +1,4 @@
-//! Kinds of platform, chosen by name in the settings of a process.
+//! Kinds of platform: named implementations of the traits, registered as plug-ins.
 
 use core::time::Duration;
 
@@ -10,26 +10,26 @@
 use crate::Future;
 use crate::Platform;
 
-/// Where a process finds the platform; a part without an address is away for good.
+/// Addresses and credentials of the platform; a service without an address is not used.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Settings {
-    /// The table service.
+    /// Base URL of the table service.
     pub table: Option<SmolStr>,
-    /// The object store.
+    /// Base URL of the object store.
     pub objects: Option<SmolStr>,
-    /// The VM list and the notices.
+    /// Base URL of the VM list and the reclaim notices.
     pub vms: Option<SmolStr>,
-    /// The cloud API.
+    /// Base URL of the cloud API.
     pub cloud: Option<SmolStr>,
-    /// The weight store.
+    /// Base URL of the weight store.
     pub weights: Option<SmolStr>,
-    /// The name of the table.
+    /// Name of the table.
     pub table_name: SmolStr,
-    /// The name of the bucket.
+    /// Name of the bucket.
     pub bucket: SmolStr,
-    /// A file's content or a variable's value that proves who asks; empty sends nothing.
+    /// Bearer token that authenticates the process; no token is sent if it is empty.
     pub token: Secret,
-    /// How long to wait for an answer.
+    /// Timeout of a call.
     pub timeout: Duration,
 }
 
@@ -49,17 +49,17 @@
     }
 }
 
-/// Text that must not show in logs.
+/// Text whose `Debug` output is redacted, so that it does not appear in logs.
 #[derive(Clone, Default, PartialEq, Eq)]
 pub struct Secret(String);
 
 impl Secret {
-    /// Hides a text.
+    /// Creates a secret from a text.
     pub fn new(text: impl Into<String>) -> Self {
         Self(text.into())
     }
 
-    /// Returns the text.
+    /// Returns the text in clear.
     pub fn expose(&self) -> &str {
         &self.0
     }
@@ -71,12 +71,12 @@
     }
 }
 
-/// A kind of platform, which registers itself.
+/// Kind of platform, registered as a plug-in.
 #[derive(Clone, Copy, Debug)]
 pub struct Kind {
-    /// The name by which settings choose it.
+    /// Name that selects this kind.
     pub name: &'static str,
-    /// Makes the clients of one thread.
+    /// Creates the clients for the current thread.
     pub connect: fn(Settings) -> Future<'static, Result<Platform, Error>>,
 }
 
--- a/bergamotshift-platform/src/lib.rs
+++ b/bergamotshift-platform/src/lib.rs
@@ -1,8 +1,8 @@
 //! Adapters for the platform: table service, object store, VM list, cloud and weight store.
 //!
-//! Each part of the platform is a trait in the words of [`bergamotshift_core`]; an adapter carries it over some
-//! protocol. Nothing else of the project knows a protocol of the platform. Futures stay on the thread that made them:
-//! each thread makes its own [`Platform`].
+//! Each service of the platform is a trait that uses the types of [`bergamotshift_core`], and an adapter implements it
+//! over a protocol. The traits hide the protocols from their callers. Futures are not `Send`, so each thread creates
+//! its own [`Platform`].
 
 pub mod cloud;
 pub mod error;
@@ -21,20 +21,20 @@
 pub use kind::Kind;
 pub use kind::Settings;
 
-/// A future that stays on its thread.
+/// Boxed future that is not `Send`.
 pub type Future<'a, T> = futures_util::future::LocalBoxFuture<'a, T>;
 
-/// The parts of the platform that a process was given addresses of.
+/// Clients of the platform's services; a service without a configured address is `None`.
 #[derive(Clone, Debug, Default)]
 pub struct Platform {
-    /// The transactional table service.
+    /// Transactional table service.
     pub table: Option<Rc<dyn table::Table>>,
-    /// The object store.
+    /// Object store.
     pub objects: Option<Rc<dyn objects::Objects>>,
-    /// The VM list and the notices.
+    /// VM list and reclaim notices.
     pub vms: Option<Rc<dyn vms::Vms>>,
-    /// The cloud API.
+    /// Cloud API.
     pub cloud: Option<Rc<dyn cloud::Cloud>>,
-    /// The weight store.
+    /// Weight store.
     pub weights: Option<Rc<dyn weights::Weights>>,
 }
--- a/bergamotshift-platform/src/objects/mod.rs
+++ b/bergamotshift-platform/src/objects/mod.rs
@@ -1,4 +1,4 @@
-//! The object store.
+//! Object store.
 
 use core::fmt::Debug;
 
@@ -8,55 +8,55 @@
 use crate::Error;
 use crate::Future;
 
-/// What must hold for an object to be written.
+/// Precondition of writing an object.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub enum Precondition {
-    /// Nothing.
+    /// The object is written unconditionally.
     #[default]
     None,
-    /// There is no object of that key.
+    /// No object with this key exists.
     Absent,
-    /// The object is the one with this tag.
+    /// The current object has this tag.
     Match(SmolStr),
 }
 
-/// An object as it was read.
+/// Object as read from the store.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Object {
-    /// Its content.
+    /// Content of the object.
     pub body: Bytes,
-    /// Its tag, which changes with its content.
+    /// Entity tag (`ETag`), which changes with the content.
     pub tag: SmolStr,
 }
 
-/// A store of whole objects under keys.
+/// Store of objects, which are read and written as a whole.
 pub trait Objects: Debug {
-    /// Reads an object; `None` when there is none.
+    /// Reads an object; returns `None` if it does not exist.
     ///
     /// # Errors
     ///
-    /// Returns an error when it is not known whether there is one.
+    /// Returns an error if the object could not be read or its absence could not be confirmed.
     fn get(&self, key: SmolStr) -> Future<'_, Result<Option<Object>, Error>>;
 
     /// Writes an object and returns its tag.
     ///
     /// # Errors
     ///
-    /// Returns [`Error::Conflict`] when the precondition does not hold, and [`Error::Unknown`] when the object may
-    /// have been written.
+    /// Returns [`Error::Conflict`] if the precondition does not hold, and [`Error::Unknown`] if the object may have
+    /// been written.
     fn put(&self, key: SmolStr, body: Bytes, precondition: Precondition) -> Future<'_, Result<SmolStr, Error>>;
 
-    /// Deletes an object; one that does not exist counts as deleted.
+    /// Deletes an object; succeeds if it does not exist.
     ///
     /// # Errors
     ///
-    /// Returns [`Error::Unknown`] when the object may have been deleted.
+    /// Returns [`Error::Unknown`] if the object may have been deleted.
     fn delete(&self, key: SmolStr) -> Future<'_, Result<(), Error>>;
 
-    /// Lists keys that begin with `prefix`, after the key `after`, in order, at most `limit`.
+    /// Lists up to `limit` keys that start with `prefix` and sort after `after`, in ascending order.
     ///
     /// # Errors
     ///
-    /// Returns an error when the list could not be read.
+    /// Returns an error if the list could not be read.
     fn list(&self, prefix: SmolStr, after: Option<SmolStr>, limit: u32) -> Future<'_, Result<Vec<SmolStr>, Error>>;
 }
--- a/bergamotshift-platform/src/prelude.rs
+++ b/bergamotshift-platform/src/prelude.rs
@@ -1,4 +1,4 @@
-//! The traits and types that most users of the platform need.
+//! Commonly used traits and types of this crate.
 
 pub use crate::Platform;
 pub use crate::cloud::Cloud;
--- a/bergamotshift-platform/src/table/mod.rs
+++ b/bergamotshift-platform/src/table/mod.rs
@@ -1,4 +1,4 @@
-//! The transactional table service.
+//! Transactional table service.
 
 use core::fmt::Debug;
 
@@ -11,34 +11,34 @@
 use crate::Error;
 use crate::Future;
 
-/// Rows of a partition, in the order of their sort keys.
+/// Page of rows of a partition, ordered by sort key.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Page {
-    /// The sort keys and rows.
+    /// Sort keys and rows.
     pub rows: Vec<(SmolStr, Row)>,
-    /// Where to go on, when the partition holds more.
+    /// Sort key to continue after, if the partition holds more rows.
     pub next: Option<SmolStr>,
 }
 
-/// A transactional table service with consistent reads.
+/// Transactional table service with consistent reads.
 pub trait Table: Debug {
-    /// Carries out all writes or none of them.
+    /// Applies all writes or none of them.
     ///
-    /// The ending is told as the sender can know it: [`Ending::Unknown`] whenever an answer was lost, also when the
-    /// platform was slower than the timeout. At most 100 writes go into one transaction.
+    /// Returns [`Ending::Unknown`] whenever the answer was lost, which includes a platform that was slower than the
+    /// timeout. A transaction holds at most 100 writes.
     fn transact(&self, writes: Vec<Write>) -> Future<'_, Ending>;
 
-    /// Reads rows, each as of its last write; absent rows are `None`, in the order of the keys.
+    /// Reads the latest version of rows, in the order of the keys; a missing row is `None`.
     ///
     /// # Errors
     ///
-    /// Returns an error when not all rows could be read.
+    /// Returns an error if any of the rows could not be read.
     fn get(&self, keys: Vec<Key>) -> Future<'_, Result<Vec<Option<Row>>, Error>>;
 
-    /// Lists a partition after the sort key `after`, at most `limit` rows.
+    /// Lists up to `limit` rows of a partition whose sort keys follow `after`.
     ///
     /// # Errors
     ///
-    /// Returns an error when the page could not be read.
+    /// Returns an error if the page could not be read.
     fn query(&self, partition: SmolStr, after: Option<SmolStr>, limit: u32) -> Future<'_, Result<Page, Error>>;
 }
--- a/bergamotshift-platform/src/vms/mod.rs
+++ b/bergamotshift-platform/src/vms/mod.rs
@@ -1,4 +1,4 @@
-//! The list of live and leaving VMs, which lags, and the notices, which come at once.
+//! The list of live and leaving VMs, which may lag, and reclaim notices, which do not.
 
 use core::fmt::Debug;
 
@@ -9,29 +9,29 @@
 use crate::Error;
 use crate::Future;
 
-/// A notice that a VM is going to be reclaimed.
+/// Notice that a VM is about to be reclaimed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Notice {
-    /// Counts the notices of the platform, from 1.
+    /// Sequence number of the notice, counted from 1.
     pub sequence: u64,
-    /// The VM as it stands, leaving.
+    /// Listing of the VM, in its leaving state.
     pub vm: Listing,
 }
 
-/// The platform's view of its VMs.
+/// VM list and reclaim notices of the platform.
 pub trait Vms: Debug {
-    /// Lists the VMs; the list may lag behind the truth.
+    /// Lists the VMs; the list may lag behind their actual state.
     ///
     /// # Errors
     ///
-    /// Returns an error when the list could not be read.
+    /// Returns an error if the list could not be read.
     fn list(&self) -> Future<'_, Result<Vec<Listing>, Error>>;
 
-    /// Returns the notices whose sequence number is above `since`, in order.
+    /// Returns the notices with a sequence number above `since`, in ascending order.
     ///
     /// # Errors
     ///
-    /// Returns an error when the notices could not be read.
+    /// Returns an error if the notices could not be read.
     fn notices(&self, since: u64) -> Future<'_, Result<Vec<Notice>, Error>>;
 }
--- a/bergamotshift-platform/src/weights/mod.rs
+++ b/bergamotshift-platform/src/weights/mod.rs
@@ -1,4 +1,4 @@
-//! The weight store, which limits how fast models are loaded.
+//! Weight store, which limits the rate at which model weights are loaded.
 
 use core::fmt::Debug;
 
@@ -10,34 +10,34 @@
 use crate::Error;
 use crate::Future;
 
-/// A model's weights of one version.
+/// Version of the weights of a model.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 #[derive(Serialize, Deserialize)]
 pub struct Spec {
-    /// The model or adapter.
+    /// Name of the model or adapter.
     pub model: name::Model,
-    /// The version.
+    /// Version of the weights.
     pub version: SmolStr,
 }
 
-/// Leave to load weights, given out at the store's rate.
+/// Permission to load weights, issued at the rate limit of the store.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Ticket {
-    /// Where an endpoint fetches them.
+    /// URL from which an endpoint loads the weights.
     pub url: String,
-    /// Their size in bytes.
+    /// Size of the weights, in bytes.
     pub bytes: u64,
-    /// How long the fetch takes at the store's rate, in milliseconds.
+    /// Estimated loading time at the rate of the store, in milliseconds.
     pub estimate_ms: u64,
 }
 
-/// Gives leave to load weights.
+/// Store that issues tickets to load weights.
 pub trait Weights: Debug {
-    /// Asks for leave to load weights.
+    /// Requests a ticket to load weights.
     ///
     /// # Errors
     ///
-    /// Returns [`Error::Throttled`] with the time to wait when the store's rate is used up.
+    /// Returns [`Error::Throttled`] with the time to wait if the rate limit of the store is reached.
     fn fetch(&self, spec: Spec) -> Future<'_, Result<Ticket, Error>>;
 }
