--- a/bergamotshift-platform/tests/abandoned.rs
+++ b/bergamotshift-platform/tests/abandoned.rs
@@ -1,4 +1,4 @@
-//! Calls that are given up.
+//! Undelivered data of aborted calls.
 
 use core::time::Duration;
 use std::io::ErrorKind;
@@ -10,10 +10,10 @@
 use bytes::Bytes;
 use ntex::http::Method;
 
-/// The operator sees an order carried out that its sender had given up and its successor had replaced.
+/// Guards against an aborted order that still takes effect after its sender's successor has replaced it.
 ///
-/// The receiver is silent, so the rest of a call waits at the sender; the sender gives the call up; then the receiver
-/// reads again. What was written and not delivered must not come any more, or an order counts after its time.
+/// While the receiver does not read, a part of the call stays in the sender's buffer. The sender aborts the call, and
+/// then the receiver reads again; the undelivered part must not arrive any more.
 #[ntex::test]
 async fn call_that_is_given_up_delivers_nothing_more() {
     let receiver = silent::Receiver::start().unwrap();
@@ -24,11 +24,11 @@
     };
     let client = Client::new(settings).await.unwrap();
     let request = client.request(Method::POST, "/order");
-    let ending = client
+    let result = client
         .send(request, Bytes::from(vec![b'x'; silent::MORE_THAN_BUFFERED]))
         .await;
-    assert!(matches!(ending, Err(Error::Unknown(_))), "{ending:?}");
-    // The connection is closed by a task of its own, which the next turns of this thread run.
+    assert!(matches!(result, Err(Error::Unknown(_))), "{result:?}");
+    // A separate task closes the connection; yielding lets this thread run it.
     for _ in 0..16 {
         tokio::task::yield_now().await;
     }
--- a/bergamotshift-platform/tests/cloud.rs
+++ b/bergamotshift-platform/tests/cloud.rs
@@ -1,4 +1,4 @@
-//! The cloud's and the weight store's adapters against their stand-ins, and the kind of platform that holds them.
+//! Adapters of the cloud API and the weight store against their stand-ins, created by the `http` kind of platform.
 
 use core::time::Duration;
 use std::sync::mpsc;
@@ -39,7 +39,7 @@
     platform.await.cloud.expect("it has an address")
 }
 
-/// Returns the next event, which is on its way.
+/// Waits for the next event.
 fn next(events: &mpsc::Receiver<Event>) -> Event {
     events.recv_timeout(Duration::from_secs(30)).expect("the event comes")
 }
@@ -74,7 +74,8 @@
     assert_eq!(cloud.start(other).await, Err(Error::Conflict));
 }
 
-// Replacement starts are refused just when they are needed: the zone has room for one VM of the class until one goes.
+// Guards against misreading the refusal of a replacement VM. The zone has room for one VM of the class, so the second
+// start is refused for lack of capacity until the first VM is reclaimed.
 #[ntex::test]
 async fn start_beyond_the_capacity_is_refused_until_room_is_free() {
     let server = standin::cloud::Server::start(standin::cloud::Settings::default(), drop).unwrap();
--- a/bergamotshift-platform/tests/objects.rs
+++ b/bergamotshift-platform/tests/objects.rs
@@ -1,4 +1,4 @@
-//! The object store's adapter against its stand-in, with each fault of the store.
+//! Adapter of the object store against its stand-in, with injected faults.
 
 use bergamotshift_platform::http;
 use bergamotshift_platform::prelude::*;
@@ -41,7 +41,7 @@
 }
 
 #[ntex::test]
-async fn list_goes_through_a_prefix_in_order() {
+async fn list_returns_keys_of_a_prefix_in_order() {
     let server = server();
     let adapter = adapter(&server).await;
     let objects: &dyn Objects = &adapter;
@@ -65,9 +65,9 @@
     );
 }
 
-// The writer does not know whether its object is there; reading it back shows that it is.
+// The answer to a write is lost after it took effect. The result is unknown, and reading the object shows the write.
 #[ntex::test]
-async fn lost_answer_is_unknown_and_read_back() {
+async fn lost_answer_is_unknown_until_read_back() {
     let server = server();
     let adapter = adapter(&server).await;
     let objects: &dyn Objects = &adapter;
@@ -80,7 +80,7 @@
 }
 
 #[ntex::test]
-async fn faults_by_what_may_be_concluded() {
+async fn faults_are_classified_by_their_effect() {
     let cases = [
         (Fault::Down, true),
         (Fault::Refuse { count: 1 }, true),
@@ -100,7 +100,7 @@
 }
 
 #[ntex::test]
-async fn half_an_object_is_no_object() {
+async fn incomplete_object_is_an_error() {
     let server = server();
     let adapter = adapter(&server).await;
     let objects: &dyn Objects = &adapter;
@@ -114,7 +114,7 @@
 }
 
 #[ntex::test]
-async fn too_large_an_object_is_refused() {
+async fn oversized_object_is_refused() {
     let server = objects::Server::start(objects::Settings { max_bytes: 3 }).unwrap();
     let adapter = adapter(&server).await;
     let put = Objects::put(&adapter, "a".into(), Bytes::from_static(b"1234"), Precondition::None).await;
--- a/bergamotshift-platform/tests/table.rs
+++ b/bergamotshift-platform/tests/table.rs
@@ -1,4 +1,4 @@
-//! The table's adapter against its stand-in, with each fault of the service.
+//! Adapter of the table service against its stand-in, with injected faults.
 
 use core::time::Duration;
 
@@ -68,7 +68,7 @@
 }
 
 #[ntex::test]
-async fn versions_count_up_and_guard() {
+async fn versions_increment_and_guard_writes() {
     let server = server();
     let table = adapter(&server, NO_RETRY).await;
     let table: &dyn Table = &table;
@@ -105,7 +105,7 @@
     let table = adapter(&server, NO_RETRY).await;
     transact(&table, [put("a", Condition::Absent, b"1")]).await;
     let before = server.rows();
-    let ending = transact(
+    let result = transact(
         &table,
         [
             write("free", Condition::Any, Change::Check),
@@ -114,14 +114,14 @@
             put("c", Condition::Version(7), b"3"),
         ],
     );
-    assert_eq!(ending.await, Ending::Conflict(vec![2, 3]));
+    assert_eq!(result.await, Ending::Conflict(vec![2, 3]));
     assert_eq!(server.rows(), before);
     let nothing = transact(&table, [write("free", Condition::Any, Change::Check)]).await;
     assert_eq!(nothing, Ending::Applied);
 }
 
 #[ntex::test]
-async fn pages_go_through_a_partition_in_order() {
+async fn pages_list_a_partition_in_order() {
     let server = server();
     let table = adapter(&server, NO_RETRY).await;
     for sort in ["c", "a", "b"] {
@@ -140,7 +140,7 @@
 }
 
 #[ntex::test]
-async fn batches_left_half_done_are_asked_for_again() {
+async fn unprocessed_keys_of_a_batch_are_requested_again() {
     let server = table::Server::start(table::Settings {
         batch_rows: 40,
         ..Default::default()
@@ -166,7 +166,7 @@
 }
 
 #[ntex::test]
-async fn too_large_a_transaction_is_refused() {
+async fn oversized_transaction_is_refused() {
     let server = server();
     let table = adapter(&server, NO_RETRY).await;
     let writes = (0..101)
@@ -176,10 +176,9 @@
     assert!(server.counts().is_empty());
 }
 
-// The sender does not know whether its write took effect. The service writes, then its answer is lost; reading the
-// row back shows the write.
+// The answer to a transaction is lost after it took effect. The result is unknown, and reading the row shows the write.
 #[ntex::test]
-async fn lost_answer_is_unknown_and_read_back() {
+async fn lost_answer_is_unknown_until_read_back() {
     let server = server();
     let table = adapter(&server, NO_RETRY).await;
     server.fault(Fault::LoseAnswerAfterWrite { count: 1 });
@@ -193,10 +192,10 @@
     );
 }
 
-// The sender is told that its write applied, once. The first answer is lost after the effect; the repeat carries the
-// same token, so the service answers success in place of a conflict with the first send's own row.
+// The answer is lost after the transaction took effect. The retry has the same token, so the service reports success
+// instead of a conflict with the row of the first attempt, and the write takes effect once.
 #[ntex::test]
-async fn lost_answer_is_settled_by_a_repeat_under_the_same_token() {
+async fn lost_answer_is_settled_by_a_retry_with_the_same_token() {
     let server = server();
     let table = adapter(&server, settings(1)).await;
     server.fault(Fault::LoseAnswerAfterWrite { count: 1 });
@@ -208,10 +207,10 @@
     assert_eq!(server.rows(), [(key("a"), row(1, b"1"))]);
 }
 
-// The first send's answer is lost, and the service refuses the repeat. The first may have taken effect all the same,
-// so nothing better than unknown may be said.
+// The answer to the first attempt is lost, and the service refuses the retry. The first attempt may have taken effect,
+// so the result has to stay unknown.
 #[ntex::test]
-async fn refused_repeat_does_not_hide_a_first_send() {
+async fn refused_retry_does_not_hide_the_first_attempt() {
     let server = server();
     let table = adapter(&server, settings(1)).await;
     server.fault(Fault::LoseAnswerAfterWrite { count: 1 });
@@ -224,7 +223,7 @@
 }
 
 #[ntex::test]
-async fn faults_by_what_may_be_concluded() {
+async fn faults_are_classified_by_their_effect() {
     let cases = [
         (Fault::Down, Ending::Refused),
         (Fault::Refuse { count: 1 }, Ending::Refused),
@@ -232,23 +231,23 @@
         (Fault::ShortBody { count: 1 }, Ending::Unknown),
         (Fault::LoseAnswerAfterWrite { count: 1 }, Ending::Unknown),
     ];
-    for (fault, wanted) in cases {
+    for (fault, expected) in cases {
         let server = server();
         let table = adapter(&server, NO_RETRY).await;
         server.fault(fault.clone());
         assert_eq!(
             transact(&table, [put("a", Condition::Absent, b"1")]).await,
-            wanted,
+            expected,
             "{fault:?}"
         );
-        if wanted == Ending::Refused {
+        if expected == Ending::Refused {
             assert_eq!(server.rows(), [], "{fault:?}");
         }
     }
 }
 
 #[ntex::test]
-async fn reads_fail_by_what_may_be_concluded() {
+async fn errors_of_reads_are_classified() {
     let server = server();
     let table = adapter(&server, NO_RETRY).await;
     server.fault(Fault::Refuse { count: 2 });
@@ -270,10 +269,10 @@
     ));
 }
 
-// The service is paused beyond the sender's timeout, then takes the write: the sender was told unknown, and the row
-// shows up afterwards, under its first version.
+// The service is paused for longer than the sender's timeout and then applies the write. The sender's result is
+// unknown, and the row appears afterwards with its first version.
 #[ntex::test]
-async fn write_that_outlives_its_timeout_was_unknown() {
+async fn write_applied_after_its_timeout_is_unknown() {
     let server = server();
     let table = adapter_with(&server, NO_RETRY, Duration::from_millis(50)).await;
     server.pause();
@@ -282,17 +281,17 @@
         Ending::Unknown
     );
     server.resume();
-    let patient = adapter(&server, NO_RETRY).await;
-    // A second write to the row meets the first.
+    let long_timeout = adapter(&server, NO_RETRY).await;
+    // A second write to the row conflicts with the first.
     assert_eq!(
-        transact(&patient, [put("a", Condition::Absent, b"2")]).await,
+        transact(&long_timeout, [put("a", Condition::Absent, b"2")]).await,
         Ending::Conflict(vec![0])
     );
     assert_eq!(server.rows(), [(key("a"), row(1, b"1"))]);
 }
 
 #[ntex::test]
-async fn limits_throttle_rows_and_count_them() {
+async fn rate_limit_applies_to_rows() {
     let server = table::Server::start(table::Settings {
         writes_per_second: Some(2),
         ..Default::default()
--- a/bergamotshift-platform/tests/vms.rs
+++ b/bergamotshift-platform/tests/vms.rs
@@ -1,4 +1,4 @@
-//! The VM list's adapter against its stand-in.
+//! Adapter of the VM list against its stand-in.
 
 use bergamotshift_core::vm::Incarnation;
 use bergamotshift_core::vm::Listing;
@@ -56,7 +56,7 @@
 }
 
 #[ntex::test]
-async fn down_list_is_refused_and_a_short_one_unknown() {
+async fn unreachable_list_is_refused_and_truncated_list_is_unknown() {
     let server = vms::Server::start(vms::Settings::default()).unwrap();
     let adapter = adapter(&server).await;
     server.put(listing("vm-1"));
