--- a/bergamotshift-entry/src/api/error.rs
+++ b/bergamotshift-entry/src/api/error.rs
@@ -204,7 +204,9 @@
             Reason::MissingKey => (StatusCode::BAD_REQUEST, "idempotency_key_missing"),
             Reason::NotReady => (StatusCode::SERVICE_UNAVAILABLE, "starting"),
             Reason::Stopping => (StatusCode::SERVICE_UNAVAILABLE, "stopping"),
-            Reason::Refused(refusal) if refusal.is_organisations() => (StatusCode::TOO_MANY_REQUESTS, refusal.code()),
+            Reason::Refused(refusal) if refusal.is_caused_by_organisation() => {
+                (StatusCode::TOO_MANY_REQUESTS, refusal.code())
+            }
             Reason::Refused(refusal) => (StatusCode::SERVICE_UNAVAILABLE, refusal.code()),
             Reason::Claim(error) => error.status_and_code(),
             Reason::Job(error) => error.row(),
--- a/bergamotshift-entry/src/api/request.rs
+++ b/bergamotshift-entry/src/api/request.rs
@@ -121,7 +121,7 @@
 }
 
 /// Returns a service's target for the first token or the whole plain answer.
-pub fn first(service: &Service) -> Duration {
+pub fn latency_target(service: &Service) -> Duration {
     let target = service.target;
     target.first_token.or(target.answer).unwrap_or(FIRST)
 }
@@ -133,7 +133,7 @@
 /// Returns an error when the caller's deadline makes no sense.
 pub fn times(headers: &HeaderMap, handling: &Handling, service: &Service, now: Instant) -> Result<Times, Error> {
     let target = service.target;
-    let first = first(service);
+    let first = latency_target(service);
     let between = target.between_tokens.unwrap_or(BETWEEN);
     let allowed = match headers.get(DEADLINE_MS) {
         None => handling.deadline,
--- a/bergamotshift-entry/src/control/publish.rs
+++ b/bergamotshift-entry/src/control/publish.rs
@@ -36,7 +36,7 @@
             services,
             zones,
             quarantine: self.quarantine.table(),
-            sharing: self.sharing.follow(self.shared.now(), &self.config),
+            sharing: self.sharing.update_config(self.shared.now(), &self.config),
             ready: self.is_configured(),
         };
         self.shared.publisher.publish(snapshot);
--- a/bergamotshift-entry/src/duties/picture.rs
+++ b/bergamotshift-entry/src/duties/picture.rs
@@ -37,7 +37,7 @@
 impl Picture {
     /// Takes a service's picture; there is none before one of its endpoints has said what it can do.
     pub fn take(snapshot: &Snapshot, service: &Service) -> Option<Self> {
-        let (urgent, rate) = snapshot.sharing.supply(&service.name)?;
+        let (urgent, rate) = snapshot.sharing.demand_and_rate(&service.name)?;
         let numbers = snapshot.services.get(&service.name)?;
         let mut reached = BTreeMap::new();
         for row in snapshot.view.rows() {
--- a/bergamotshift-entry/src/exchange/attempts.rs
+++ b/bergamotshift-entry/src/exchange/attempts.rs
@@ -20,7 +20,7 @@
 use crate::observe::Record;
 use crate::observe::Span;
 use crate::observe::Trace;
-use crate::sharing::Taken;
+use crate::sharing::Guard;
 use crate::sharing::Ticket;
 use crate::snapshot::Endpoint;
 use crate::snapshot::Snapshot;
@@ -47,7 +47,7 @@
     pub(super) key: key::Endpoint,
     pub(super) span: Span,
     pub(super) _guard: flight::Guard,
-    pub(super) _seat: Option<Taken>,
+    pub(super) _seat: Option<Guard>,
 }
 
 /// Attempts of a request.
--- a/bergamotshift-entry/src/jobs/run.rs
+++ b/bergamotshift-entry/src/jobs/run.rs
@@ -146,7 +146,7 @@
             return Completion::Unsendable;
         };
         let snapshot = worker.snapshot();
-        let Admission::Now(ticket) = sharing::weigh(worker, &snapshot, &call, true) else {
+        let Admission::Admitted(ticket) = sharing::decide(worker, &snapshot, &call, true) else {
             tokio::time::sleep(RETRY_INTERVAL).await;
             continue;
         };
--- a/bergamotshift-entry/src/sharing/control.rs
+++ b/bergamotshift-entry/src/sharing/control.rs
@@ -56,7 +56,7 @@
     }
 
     /// Follows the configuration in force, when it is another one, and returns the table for workers.
-    pub fn follow(&mut self, now: Instant, config: &Arc<Config>) -> Table {
+    pub fn update_config(&mut self, now: Instant, config: &Arc<Config>) -> Table {
         let followed = self.followed.as_ref();
         if followed.is_none_or(|followed| !Arc::ptr_eq(followed, config)) {
             self.configure(now, config);
@@ -95,7 +95,7 @@
             let load = Load::of(now, size.kind(), &snapshot.view, service.number, &mut self.flows);
             if load.capacity > 0.0 {
                 size.set_price(load.price, load.capacity);
-                size.set_supply(self.kernel.demand(now, name), load.rate());
+                size.set_demand_and_rate(self.kernel.demand(now, name), load.rate());
             }
             let reading = load.reading(size.tick());
             readings.extend(reading.map(|reading| (name.clone(), reading)));
@@ -154,6 +154,6 @@
 fn service(service: &config::Service) -> limiter::Service {
     limiter::Service {
         name: service.name.clone(),
-        target: request::first(service),
+        target: request::latency_target(service),
     }
 }
--- a/bergamotshift-entry/src/sharing/seat.rs
+++ b/bergamotshift-entry/src/sharing/isolation.rs
@@ -10,26 +10,26 @@
 /// guilty request with it. Symptom: that endpoint dies too, and innocent requests are refused with the guilty one. With
 /// one suspect an endpoint, the second death accuses nobody else for the second time.
 #[derive(Clone, Debug, Default)]
-pub struct Seat(Arc<AtomicBool>);
+pub struct Isolation(Arc<AtomicBool>);
 
-impl Seat {
+impl Isolation {
     /// Takes the place until the result is dropped, unless another request has it.
-    pub fn take(&self) -> Option<Taken> {
+    pub fn try_acquire(&self) -> Option<Guard> {
         let taken = self.0.swap(true, Ordering::AcqRel);
-        (!taken).then(|| Taken(self.clone()))
+        (!taken).then(|| Guard(self.clone()))
     }
 
     /// Returns whether a request has the place.
-    pub fn is_taken(&self) -> bool {
+    pub fn is_acquired(&self) -> bool {
         self.0.load(Ordering::Acquire)
     }
 }
 
 /// The place is taken until this is dropped.
 #[derive(Debug)]
-pub struct Taken(Seat);
+pub struct Guard(Isolation);
 
-impl Drop for Taken {
+impl Drop for Guard {
     fn drop(&mut self) {
         self.0.0.store(false, Ordering::Release);
     }
--- a/bergamotshift-entry/src/sharing/mod.rs
+++ b/bergamotshift-entry/src/sharing/mod.rs
@@ -10,8 +10,8 @@
 
 mod control;
 mod flow;
+mod isolation;
 mod load;
-mod seat;
 mod size;
 mod table;
 mod ticket;
@@ -23,13 +23,13 @@
 use thiserror::Error as ThisError;
 
 pub use self::control::Control;
-pub use self::seat::Seat;
-pub use self::seat::Taken;
+pub use self::isolation::Guard;
+pub use self::isolation::Isolation;
 pub use self::table::Table;
 pub use self::ticket::Admission;
 pub use self::ticket::Ticket;
 pub use self::ticket::admit;
-pub use self::ticket::weigh;
+pub use self::ticket::decide;
 
 /// A request is turned away before any byte of it went towards an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -44,7 +44,7 @@
 
 impl Refusal {
     /// Returns whether the caller's organisation is the cause, and not the service's load.
-    pub const fn is_organisations(&self) -> bool {
+    pub const fn is_caused_by_organisation(&self) -> bool {
         matches!(self.reason, Reason::Limit(_) | Reason::Share)
     }
 
--- a/bergamotshift-entry/src/sharing/size.rs
+++ b/bergamotshift-entry/src/sharing/size.rs
@@ -121,7 +121,7 @@
     }
 
     /// Sets the work asked for and what one endpoint does, both per second.
-    pub(super) fn set_supply(&self, demand: f64, rate: f64) {
+    pub(super) fn set_demand_and_rate(&self, demand: f64, rate: f64) {
         self.demand.store(demand.to_bits(), Relaxed);
         self.rate.store(rate.to_bits(), Relaxed);
     }
--- a/bergamotshift-entry/src/sharing/table.rs
+++ b/bergamotshift-entry/src/sharing/table.rs
@@ -19,7 +19,7 @@
     /// Returns the work that a service is asked for, and what one of its endpoints does, both per second.
     ///
     /// Nothing is returned while no endpoint has reported.
-    pub fn supply(&self, service: &name::Service) -> Option<(f64, f64)> {
+    pub fn demand_and_rate(&self, service: &name::Service) -> Option<(f64, f64)> {
         let size = self.sizes.get(service)?;
         let rate = size.rate();
         (rate > 0.0).then(|| (size.demand(), rate))
--- a/bergamotshift-entry/src/sharing/ticket.rs
+++ b/bergamotshift-entry/src/sharing/ticket.rs
@@ -21,19 +21,19 @@
 #[derive(Debug)]
 pub enum Admission {
     /// It goes on to an endpoint now.
-    Now(Ticket),
+    Admitted(Ticket),
     /// It is to be kept for later.
-    Later,
+    Deferred,
     /// It gets its final answer now: not run.
     Refused(Refusal),
 }
 
 /// Decides on a request; `deferrable` says whether rules and caller let it run later.
-pub fn weigh(worker: &Worker, snapshot: &Snapshot, call: &Rc<Call>, deferrable: bool) -> Admission {
+pub fn decide(worker: &Worker, snapshot: &Snapshot, call: &Rc<Call>, deferrable: bool) -> Admission {
     let now = worker.shared.now();
     let table = &snapshot.sharing;
     let Some(size) = table.sizes.get(&call.service) else {
-        return Admission::Now(Ticket::free(call));
+        return Admission::Admitted(Ticket::free(call));
     };
     let work = size.work(&call.work);
     let expected = size.cost(&call.work);
@@ -57,14 +57,14 @@
                 work,
                 charged: expected,
             };
-            Admission::Now(Ticket {
+            Admission::Admitted(Ticket {
                 account: Some(account),
                 ..Ticket::free(call)
             })
         }
-        Some(Decision::Defer) => Admission::Later,
+        Some(Decision::Defer) => Admission::Deferred,
         Some(Decision::Refuse { reason, retry_after }) => Admission::Refused(Refusal { reason, retry_after }),
-        None => Admission::Now(Ticket::free(call)),
+        None => Admission::Admitted(Ticket::free(call)),
     }
 }
 
@@ -74,11 +74,11 @@
 ///
 /// Returns the refusal that its caller is told of; no byte went towards an endpoint.
 pub fn admit(worker: &Worker, snapshot: &Snapshot, call: &Rc<Call>) -> Result<Ticket, Refusal> {
-    match weigh(worker, snapshot, call, false) {
-        Admission::Now(ticket) => Ok(ticket),
+    match decide(worker, snapshot, call, false) {
+        Admission::Admitted(ticket) => Ok(ticket),
         Admission::Refused(refusal) => Err(refusal),
         // Only what is deferrable is kept for later; were it not so, the service would be too busy.
-        Admission::Later => Err(Refusal {
+        Admission::Deferred => Err(Refusal {
             reason: Reason::Target,
             retry_after: call.times.first_token,
         }),
--- a/bergamotshift-entry/src/snapshot/mod.rs
+++ b/bergamotshift-entry/src/snapshot/mod.rs
@@ -36,7 +36,7 @@
     /// Where it listens.
     pub target: Target,
     /// Its place for suspected work.
-    pub seat: sharing::Seat,
+    pub seat: sharing::Isolation,
 }
 
 /// What the request path needs of a service beside its configuration.
