--- a/bergamotshift-entry/src/api/body.rs
+++ b/bergamotshift-entry/src/api/body.rs
@@ -1,4 +1,4 @@
-//! Callers' bodies: held whole when small, else passed through once.
+//! Request bodies: read into memory when small, streamed to the endpoint otherwise.
 
 use core::future::poll_fn;
 use core::pin::Pin;
@@ -23,54 +23,57 @@
 use crate::worker::Upload;
 use crate::worker::Worker;
 
-/// The most that is read of a body that nobody wants.
-const DISCARDED: usize = 1024 * 1024;
+/// Maximum number of bytes that [`discard`] reads.
+const MAX_DISCARDED_BYTES: usize = 1024 * 1024;
 
-/// How long that may take, for each kilobyte.
-const DISCARD_TIME: Duration = Duration::from_millis(500);
+/// Timeout of [`discard`] for each kilobyte.
+const DISCARD_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// A body may take its time once more for each of these many bytes.
-const PACE_BYTES: usize = 1024;
+/// Number of received bytes after which the timeout of a body restarts.
+const TIMEOUT_RESET_BYTES: usize = 1024;
 
-/// Reads a caller's body piece by piece and breaks it off when it is too large or too slow.
+/// Reader of a request body that fails when the body is too large or arrives too slowly.
 ///
-/// Failure: a caller sends a byte now and then, or without end. Symptom: memory and connections are held for nothing.
-/// Each kilobyte earns the caller its time again, so honest slow lines pass; the bound on the size ends the rest.
+/// A caller that sends a byte now and then, or sends without end, would hold memory and a connection for nothing. The
+/// timeout restarts with each kilobyte received, so callers on slow connections are served, and the size limit ends
+/// bodies without end.
 #[derive(Debug)]
 pub struct Reader {
     payload: Payload,
-    left: usize,
-    pace: Duration,
+    remaining: usize,
+    timeout: Duration,
     received: usize,
-    patience: Deadline,
+    deadline: Deadline,
 }
 
 impl Reader {
-    /// Makes a reader of a body of at most `bound` bytes.
-    pub fn new(payload: Payload, bound: usize, pace: Duration) -> Self {
+    /// Creates a reader for a body of at most `bound` bytes.
+    pub fn new(payload: Payload, bound: usize, timeout: Duration) -> Self {
         Self {
             payload,
-            left: bound,
-            pace,
+            remaining: bound,
+            timeout,
             received: 0,
-            patience: Deadline::new(millis(pace)),
+            deadline: Deadline::new(millis(timeout)),
         }
     }
 
     fn poll(&mut self, context: &mut Context<'_>) -> Poll<Option<Result<Bytes, PayloadError>>> {
         match self.payload.poll_recv(context) {
-            Poll::Ready(Some(Ok(chunk))) if chunk.len() > self.left => Poll::Ready(Some(Err(PayloadError::Overflow))),
+            Poll::Ready(Some(Ok(chunk))) if chunk.len() > self.remaining => {
+                Poll::Ready(Some(Err(PayloadError::Overflow)))
+            }
             Poll::Ready(Some(Ok(chunk))) => {
-                self.left -= chunk.len();
+                self.remaining -= chunk.len();
                 self.received += chunk.len();
-                if self.received >= PACE_BYTES {
+                if self.received >= TIMEOUT_RESET_BYTES {
                     self.received = 0;
-                    self.patience.reset(millis(self.pace));
+                    self.deadline.reset(millis(self.timeout));
                 }
                 Poll::Ready(Some(Ok(chunk)))
             }
             Poll::Ready(other) => Poll::Ready(other),
-            Poll::Pending => match self.patience.poll_elapsed(context) {
+            Poll::Pending => match self.deadline.poll_elapsed(context) {
                 Poll::Ready(()) => Poll::Ready(Some(Err(too_slow()))),
                 Poll::Pending => Poll::Pending,
             },
@@ -82,11 +85,11 @@
     }
 }
 
-/// Reads a whole body.
+/// Reads a whole request body into memory.
 ///
 /// # Errors
 ///
-/// Returns an error when the body is larger than `bound`, too slow, or broke off.
+/// Returns an error if the body is larger than `bound`, arrives too slowly, or ends early.
 pub async fn read(worker: &Worker, request: &mut Request, bound: usize) -> Result<Bytes, Error> {
     let declared = whole::length(request.headers());
     if declared.is_some_and(|length| length > bound) {
@@ -96,7 +99,7 @@
     if matches!(payload, Payload::None) {
         return Ok(Bytes::new());
     }
-    let mut reader = Reader::new(payload, bound, pace(worker));
+    let mut reader = Reader::new(payload, bound, body_timeout(worker));
     let mut body = BytesMut::new();
     while let Some(chunk) = reader.next().await {
         let chunk = match chunk {
@@ -109,7 +112,7 @@
             }
         };
         if body.is_empty() && Some(chunk.len()) == declared {
-            // The common small body comes in one piece and need not be copied.
+            // Small bodies usually arrive in one chunk, which is returned without a copy.
             return Ok(chunk);
         }
         body.extend_from_slice(&chunk);
@@ -120,20 +123,19 @@
     Ok(body.freeze())
 }
 
-/// Reads and forgets what a caller still sends, within bounds.
+/// Reads and drops the rest of a request body, up to a size limit and a timeout.
 ///
-/// Failure: an answer is written and the connection closed while the caller still sends its body. Symptom: the
-/// caller's system resets the connection and the answer that says what was wrong is lost. Whoever sends more than the
-/// bound, or slowly, is not waited for.
+/// If the connection is closed while the caller still sends its body, the caller's system resets the connection and
+/// the error response is lost. Bodies beyond the limit and slow callers are not waited for.
 pub async fn discard(payload: Payload) {
     if matches!(payload, Payload::None) {
         return;
     }
-    let mut reader = Reader::new(payload, DISCARDED, DISCARD_TIME);
+    let mut reader = Reader::new(payload, MAX_DISCARDED_BYTES, DISCARD_TIMEOUT);
     while let Some(Ok(_)) = reader.next().await {}
 }
 
-/// Returns why a body could not be read.
+/// Converts an error of the payload into the reason reported to the caller.
 fn reason(error: &PayloadError, bound: usize) -> Reason {
     match error {
         PayloadError::Overflow => Reason::BodyTooLarge(bound),
@@ -142,13 +144,13 @@
     }
 }
 
-/// A body that streams through, counted as an upload until it is dropped.
-struct Passing {
+/// Request body that is streamed to an endpoint, counted as an upload until it is dropped.
+struct Passthrough {
     reader: Reader,
     _upload: Upload,
 }
 
-impl Stream for Passing {
+impl Stream for Passthrough {
     type Item = Result<Bytes, PayloadError>;
 
     fn poll_next(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Option<Self::Item>> {
@@ -156,15 +158,15 @@
     }
 }
 
-/// Passes a body through and breaks it off when it grows beyond `bound`.
-pub fn pass(worker: &Rc<Worker>, payload: Payload, bound: usize) -> Payload {
-    Payload::from_stream(Passing {
-        reader: Reader::new(payload, bound, pace(worker)),
+/// Streams a request body and fails it when it grows beyond `bound` bytes or arrives too slowly.
+pub fn stream(worker: &Rc<Worker>, payload: Payload, bound: usize) -> Payload {
+    Payload::from_stream(Passthrough {
+        reader: Reader::new(payload, bound, body_timeout(worker)),
         _upload: Upload::start(worker),
     })
 }
 
-fn pace(worker: &Worker) -> Duration {
+fn body_timeout(worker: &Worker) -> Duration {
     Duration::from_secs(u64::from(worker.shared.settings.bounds.body_time))
 }
 
--- a/bergamotshift-entry/src/api/error.rs
+++ b/bergamotshift-entry/src/api/error.rs
@@ -1,4 +1,4 @@
-//! Failures as callers see them: the OpenAI API's error object, with what is known about whether the request ran.
+//! Error responses: the error object of the OpenAI API, extended by whether the request ran.
 
 use core::time::Duration;
 
@@ -19,82 +19,82 @@
 use crate::jobs;
 use crate::sharing;
 
-/// What went wrong.
+/// Cause of a failure.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(ThisError)]
 pub enum Reason {
-    /// The caller is not known.
+    /// The caller could not be authenticated.
     #[error("{0}")]
     Unauthenticated(#[from] auth::Error),
-    /// The organisation may not use the service.
+    /// The organisation has no access to the service.
     #[error("the organisation may not use the service `{0}`")]
     Forbidden(name::Service),
-    /// No service answers for the path.
+    /// No service is configured for the path.
     #[error("no service answers for `{0}`")]
     UnknownPath(String),
-    /// No service serves the model.
+    /// No service offers the model.
     #[error("the model `{0}` does not exist or you do not have access to it")]
     UnknownModel(String),
-    /// The method is not offered here.
+    /// The path does not support the method.
     #[error("the method is not offered at `{0}`")]
     Method(String),
-    /// The request's head is too large.
+    /// The request's head exceeds the limit, in bytes.
     #[error("the request's head is larger than {0} bytes")]
     HeadTooLarge(usize),
-    /// The body is too large.
+    /// The request's body exceeds the limit, in bytes.
     #[error("the request's body is larger than {0} bytes")]
     BodyTooLarge(usize),
-    /// The body broke off.
+    /// The request's body ended early or is malformed.
     #[error("the request's body broke off or is malformed: {0}")]
     Body(String),
-    /// The body is not the JSON that the API asks for.
+    /// The request's body is not the JSON that the API expects.
     #[error("the request's body is not valid: {0}")]
     Json(String),
-    /// A header of the system's own makes no sense.
+    /// A header that this system interprets has an invalid value.
     #[error("the header `{0}` makes no sense")]
     Header(&'static str),
-    /// The message is no valid HTTP.
+    /// The message is not valid HTTP.
     #[error("the request is not valid HTTP: {0}")]
     Protocol(String),
-    /// The caller sends too slowly.
+    /// The request arrived too slowly.
     #[error("the request took too long to arrive")]
     TooSlow,
-    /// The request must not run twice and carries no key.
+    /// The request is not repeatable and has no idempotency key.
     #[error("a request that must not run twice needs an `Idempotency-Key`")]
     MissingKey,
-    /// The entry does not know any endpoints yet.
+    /// The entry is starting and cannot route requests yet.
     #[error("this entry is starting")]
     NotReady,
-    /// The entry ends once the requests under way are served.
+    /// The entry is shutting down and accepts no new requests.
     #[error("this entry is stopping; another one serves the request")]
     Stopping,
-    /// The organisation or the service has no room for it now.
+    /// Admission control refused the request.
     #[error("{0}")]
     Refused(#[from] sharing::Refusal),
-    /// The idempotency key stands in the way.
+    /// The claim on the request's idempotency key failed.
     #[error("{0}")]
     Claim(#[from] claims::Error),
-    /// The deferred job stands in the way.
+    /// An operation on a deferred job failed.
     #[error("{0}")]
     Job(#[from] jobs::Error),
-    /// The way to an endpoint and back failed.
+    /// The exchange with endpoints failed.
     #[error("{0}")]
     Exchange(#[from] exchange::Error),
 }
 
-/// A failure with everything a caller is told of it.
+/// Failure of a request, as reported to its caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(ThisError)]
 #[error("{reason}")]
 pub struct Error {
-    /// What went wrong.
+    /// Cause of the failure.
     pub reason: Reason,
-    /// Whether the request ran.
+    /// Knowledge about whether the request ran.
     pub outcome: Outcome,
 }
 
 impl Error {
-    /// Makes the failure of a request of which no byte went towards an endpoint.
+    /// Creates the failure of a request of which no byte was sent to an endpoint.
     pub const fn not_run(reason: Reason) -> Self {
         Self {
             reason,
@@ -102,7 +102,7 @@
         }
     }
 
-    /// Makes the failure of a request that may have gone towards endpoints.
+    /// Creates the failure of a request that may have been sent to endpoints.
     pub fn from_exchange(error: &exchange::Error, outcome: Outcome) -> Self {
         Self {
             reason: Reason::Exchange(error.clone()),
@@ -110,7 +110,7 @@
         }
     }
 
-    /// Makes the failure of a request under an idempotency key.
+    /// Creates the failure of a request with an idempotency key.
     pub const fn from_claim(error: claims::Error) -> Self {
         Self {
             reason: Reason::Claim(error),
@@ -118,7 +118,7 @@
         }
     }
 
-    /// Makes the failure of a request about a deferred job.
+    /// Creates the failure of an operation on a deferred job.
     pub const fn from_job(error: jobs::Error) -> Self {
         Self {
             reason: Reason::Job(error),
@@ -128,15 +128,15 @@
 
     /// Returns the HTTP status.
     pub const fn status(&self) -> StatusCode {
-        self.row().0
+        self.status_and_code().0
     }
 
-    /// Returns the API's code.
+    /// Returns the error code of the API.
     pub const fn code(&self) -> &'static str {
-        self.row().1
+        self.status_and_code().1
     }
 
-    /// Returns the body of the answer.
+    /// Returns the body of the error response.
     pub fn body(&self, id: attempt::Id) -> String {
         json!({
             "error": {
@@ -151,7 +151,7 @@
         .to_string()
     }
 
-    /// Returns the whole answer.
+    /// Returns the error response.
     pub fn response(&self, id: attempt::Id) -> Response {
         let mut response = Response::build(self.status());
         response
@@ -167,7 +167,7 @@
     const fn retry_after(&self) -> Option<Duration> {
         match &self.reason {
             Reason::NotReady => Some(Duration::from_secs(1)),
-            // Another entry serves the request now; waiting would only cost time.
+            // Another entry can serve the request at once.
             Reason::Stopping => Some(Duration::ZERO),
             Reason::Refused(refusal) => Some(refusal.retry_after),
             Reason::Claim(error) => error.retry_after(),
@@ -187,7 +187,7 @@
         }
     }
 
-    const fn row(&self) -> (StatusCode, &'static str) {
+    const fn status_and_code(&self) -> (StatusCode, &'static str) {
         match &self.reason {
             Reason::Unauthenticated(_) => (StatusCode::UNAUTHORIZED, "invalid_api_key"),
             Reason::Forbidden(_) => (StatusCode::FORBIDDEN, "service_forbidden"),
@@ -210,12 +210,12 @@
             Reason::Refused(refusal) => (StatusCode::SERVICE_UNAVAILABLE, refusal.code()),
             Reason::Claim(error) => error.status_and_code(),
             Reason::Job(error) => error.row(),
-            Reason::Exchange(error) => exchange_row(error),
+            Reason::Exchange(error) => exchange_status_and_code(error),
         }
     }
 }
 
-const fn exchange_row(error: &exchange::Error) -> (StatusCode, &'static str) {
+const fn exchange_status_and_code(error: &exchange::Error) -> (StatusCode, &'static str) {
     match error {
         exchange::Error::NoService => (StatusCode::NOT_FOUND, "unknown_service"),
         exchange::Error::NoEndpoint => (StatusCode::SERVICE_UNAVAILABLE, "no_endpoint"),
@@ -238,7 +238,7 @@
     }
 }
 
-/// Returns whole seconds, rounded up, as `Retry-After` takes them.
+/// Converts a duration to whole seconds, rounded up, for the header `Retry-After`.
 const fn seconds(span: Duration) -> u64 {
     let whole = span.as_secs();
     if span.subsec_nanos() > 0 { whole + 1 } else { whole }
--- a/bergamotshift-entry/src/api/header.rs
+++ b/bergamotshift-entry/src/api/header.rs
@@ -1,18 +1,18 @@
-//! The system's own headers.
+//! Names of the headers that this system defines or interprets.
 
 pub use bergamotshift_endpoint::header::OUTCOME;
 
-/// Identifies a request towards its caller and operators.
+/// Response header with the identifier of the request, for callers and operators.
 pub const REQUEST_ID: &str = "x-bergamotshift-request-id";
 
-/// Asks for another urgency than the service's own.
+/// Request header that overrides the urgency configured for the service.
 pub const URGENCY: &str = "x-bergamotshift-urgency";
 
-/// Bounds how long the request may take, in milliseconds.
+/// Request header with the maximum duration of the request, in milliseconds.
 pub const DEADLINE_MS: &str = "x-bergamotshift-deadline-ms";
 
-/// Tells that an answer is that of an earlier request under the same key.
+/// Response header that marks the answer as that of an earlier request with the same idempotency key.
 pub const REPLAYED: &str = "idempotency-replayed";
 
-/// Recognises a request that is sent again.
+/// Request header with the idempotency key, by which repeated requests are recognised.
 pub const IDEMPOTENCY_KEY: &str = "idempotency-key";
--- a/bergamotshift-entry/src/api/mod.rs
+++ b/bergamotshift-entry/src/api/mod.rs
@@ -1,4 +1,4 @@
-//! What callers see: the OpenAI-compatible API of model services, plain services as they are, and health.
+//! HTTP interface for callers: the OpenAI-compatible API, proxied plain services, and health checks.
 
 pub mod body;
 pub mod error;
@@ -25,7 +25,7 @@
 use crate::jobs;
 use crate::worker::Worker;
 
-/// Answers one request of a caller.
+/// Handles a request of a caller and returns the response.
 pub async fn serve(worker: Rc<Worker>, request: Request) -> Response {
     let draining = worker.shared.is_draining();
     let mut response = match request.path() {
@@ -35,7 +35,8 @@
         _ => answer(worker, request).await,
     };
     if draining {
-        // The caller's next request then goes through the balancer, which knows better by then.
+        // The caller then sends its next request over a new connection, which the load balancer routes to an entry that
+        // is not draining.
         response
             .headers_mut()
             .insert(CONNECTION, HeaderValue::from_static("close"));
--- a/bergamotshift-entry/src/api/openai/answer.rs
+++ b/bergamotshift-entry/src/api/openai/answer.rs
@@ -1,4 +1,4 @@
-//! Answers of model engines: streamed, or added up to one.
+//! Answers of model engines: streamed to the caller, or assembled from a stream.
 
 use std::rc::Rc;
 
@@ -23,12 +23,12 @@
 use crate::exchange::whole;
 use crate::exchange::whole::Whole;
 
-/// Fetches a whole answer: as a stream whose pieces are added up when a body for that is given.
+/// Fetches a complete answer. With a `streamed` body, requests a stream and assembles the answer from its events.
 pub(super) async fn fetch(mut attempts: Attempts, adapter: &str, streamed: Option<Bytes>) -> Result<Whole, Error> {
     if let (Some(body), Some(adapter)) = (streamed, attempts.worker().adapter(adapter)) {
         return match open(attempts, adapter, body).await? {
-            Opened::Whole(whole) => Ok(whole),
-            Opened::Stream(head, events) => collect(head, *events).await,
+            Answer::Whole(whole) => Ok(whole),
+            Answer::Stream(head, events) => collect(head, *events).await,
         };
     }
     match whole::fetch(&mut attempts).await {
@@ -40,7 +40,7 @@
     }
 }
 
-/// Reads a stream to its end.
+/// Reads a stream to its end and returns the assembled answer.
 async fn collect(head: Head, mut events: Events) -> Result<Whole, Error> {
     match assemble::read(&mut events).await {
         Ok(body) => {
@@ -49,9 +49,9 @@
             Ok(Whole { status, headers, body })
         }
         Err(error) => {
-            let begun = events.has_started();
+            let has_started = events.has_started();
             let attempts = events.attempts();
-            if begun {
+            if has_started {
                 attempts.mark_ran();
             }
             Err(attempts.fail(&error))
@@ -59,15 +59,15 @@
     }
 }
 
-/// Passes a stream on, event by event.
+/// Streams an answer to the caller, event by event.
 pub(super) async fn stream(attempts: Attempts, adapter: &str, active: Active) -> Result<Response, Error> {
     let call = Rc::clone(attempts.call());
     let Some(adapter) = attempts.worker().adapter(adapter) else {
         return Err(Error::not_run(Reason::Exchange(exchange::Error::NoService)));
     };
     match open(attempts, adapter, call.body.clone()).await? {
-        Opened::Whole(whole) => Ok(reply::whole(whole, call.id)),
-        Opened::Stream(head, events) => {
+        Answer::Whole(whole) => Ok(reply::whole(whole, call.id)),
+        Answer::Stream(head, events) => {
             let relay = Relay::new(*events).into_stream();
             Ok(reply::streaming(
                 head.status,
@@ -81,21 +81,22 @@
     }
 }
 
-/// The head of an engine's answer.
+/// Head of an engine's answer.
 struct Head {
     status: StatusCode,
     headers: HeaderMap,
 }
 
-enum Opened {
-    /// The engine streams.
+/// Answer of an engine to a request for a stream.
+enum Answer {
+    /// Head and events of a stream.
     Stream(Head, Box<Events>),
-    /// The engine refused the request, or answered it whole.
+    /// Complete answer, for example a refusal.
     Whole(Whole),
 }
 
-/// Sends a body that asks for a stream, until the head of one is there.
-async fn open(mut attempts: Attempts, adapter: Rc<dyn Adapter>, body: Bytes) -> Result<Opened, Error> {
+/// Sends a body that requests a stream, and retries until an endpoint starts a stream or answers completely.
+async fn open(mut attempts: Attempts, adapter: Rc<dyn Adapter>, body: Bytes) -> Result<Answer, Error> {
     loop {
         let held = Outgoing::Buffered(body.clone());
         let open = match attempts.open(held).await {
@@ -105,13 +106,13 @@
         if is_stream(&open.answer.headers) {
             let (status, headers) = (open.answer.status, open.answer.headers.clone());
             let events = Events::new(attempts, adapter, body, open);
-            return Ok(Opened::Stream(Head { status, headers }, Box::new(events)));
+            return Ok(Answer::Stream(Head { status, headers }, Box::new(events)));
         }
-        // An engine that refuses a request answers it whole.
+        // An engine refuses a request with a complete answer instead of a stream.
         match whole::finish(&mut attempts, open.answer, open.running).await {
             Ok(Some(whole)) => {
                 attempts.count_whole(&whole.body);
-                return Ok(Opened::Whole(whole));
+                return Ok(Answer::Whole(whole));
             }
             Ok(None) => {}
             Err(error) => return Err(attempts.fail(&error)),
@@ -120,6 +121,6 @@
 }
 
 fn is_stream(headers: &HeaderMap) -> bool {
-    let kind = headers.get(header::CONTENT_TYPE).and_then(|value| value.to_str().ok());
-    kind.is_some_and(|kind| kind.starts_with("text/event-stream"))
+    let content_type = headers.get(header::CONTENT_TYPE).and_then(|value| value.to_str().ok());
+    content_type.is_some_and(|content_type| content_type.starts_with("text/event-stream"))
 }
--- a/bergamotshift-entry/src/api/openai/complete.rs
+++ b/bergamotshift-entry/src/api/openai/complete.rs
@@ -1,4 +1,4 @@
-//! Completion requests: read, checked and let in.
+//! Completion requests: parsing, validation, admission and dispatch.
 
 use std::borrow::Cow;
 use std::rc::Rc;
@@ -37,16 +37,16 @@
 use crate::snapshot::Snapshot;
 use crate::worker::Worker;
 
-/// Tokens that an answer is taken to have when its request sets no bound.
-const ANSWER_TOKENS: u32 = 256;
+/// Assumed number of tokens of an answer if its request sets no limit.
+const DEFAULT_ANSWER_TOKENS: u32 = 256;
 
-/// A whole answer may take this many times its target before another attempt is made.
-const SLOWDOWN: u32 = 4;
+/// Factor of the expected generation time that an answer which is not streamed may take.
+const GENERATION_TIMEOUT_FACTOR: u32 = 4;
 
-/// Bytes of a prompt that make up a token, on the whole.
+/// Average number of prompt bytes per token.
 const BYTES_PER_TOKEN: usize = 4;
 
-/// What an entry needs to know of a completion request; the rest goes through as it is.
+/// Fields of a completion request that an entry reads for routing and admission.
 #[derive(Debug)]
 #[derive(Deserialize)]
 struct Completion<'a> {
@@ -64,7 +64,7 @@
     prompt: Option<&'a RawValue>,
 }
 
-/// Answers a completion request.
+/// Handles a completion request.
 pub(super) async fn complete(
     worker: &Rc<Worker>,
     snapshot: &Arc<Snapshot>,
@@ -91,8 +91,8 @@
     }
     request::check_head(request, service.max_header)?;
     let streams = completion.stream.unwrap_or(false);
-    let work = work(&completion);
-    let mut call = call(
+    let work = estimate_work(&completion);
+    let mut call = build_call(
         request,
         organisation,
         service,
@@ -108,12 +108,12 @@
     if service.deferrable && !streams && jobs::prefers_async(request.headers()) {
         return jobs::accept(worker, &call).await;
     }
-    let joined = if call.repeatable && !streams {
+    let lookup = if call.repeatable && !streams {
         Lookup::find_answer(worker, &call).await?
     } else {
         Lookup::Run(None)
     };
-    let started = match joined {
+    let started = match lookup {
         Lookup::Run(started) => started,
         Lookup::Answered(response) => return Ok(response),
     };
@@ -123,9 +123,9 @@
         assemble::streaming_body(&call.body)
     };
     if !streams && streamed.is_none() {
-        // The head of such an answer comes only when all of it is generated.
+        // The head of an answer that is not streamed arrives only after all its tokens are generated.
         let generated = call.times.between_tokens.saturating_mul(call.work.answer_tokens);
-        call.times.head_timeout += generated.saturating_mul(SLOWDOWN);
+        call.times.head_timeout += generated.saturating_mul(GENERATION_TIMEOUT_FACTOR);
     }
     let call = Rc::new(call);
     let ticket = sharing::admit(worker, snapshot, &call).map_err(|refusal| Error::not_run(refusal.into()))?;
@@ -146,7 +146,7 @@
     }
 }
 
-/// Returns the largest body that any model service takes: which one is asked is known only from the body.
+/// Returns the largest body limit of all model services, because the service is known only after the body is read.
 fn largest_body(snapshot: &Snapshot) -> usize {
     let services = snapshot.config.services.values();
     let models = services.filter(|service| service.kind == Kind::Model);
@@ -157,7 +157,7 @@
     clippy::too_many_arguments,
     reason = "each is a different part of one request, gathered once"
 )]
-fn call(
+fn build_call(
     request: &Request,
     organisation: &Organisation,
     service: &Service,
@@ -170,17 +170,17 @@
     let headers = request.headers();
     let path = request.path();
     let handling = snapshot.config.handling(service, request.method().as_str(), path);
-    let mut passed = hop::towards_endpoint(headers);
-    // An encoded answer could not be split into events.
-    passed.remove(header::ACCEPT_ENCODING);
+    let mut forwarded = hop::towards_endpoint(headers);
+    // A compressed answer could not be split into events.
+    forwarded.remove(header::ACCEPT_ENCODING);
     Ok(Call {
         id,
         organisation: organisation.name.clone(),
         service: service.name.clone(),
         method: request.method().clone(),
         path: request::path_and_query(request),
-        headers: passed,
-        key: request::key(headers)?,
+        headers: forwarded,
+        key: request::idempotency_key(headers)?,
         repeatable: handling.repeatable,
         urgency: request::urgency(headers, &handling)?,
         times: request::times(headers, &handling, service, arrived)?,
@@ -190,8 +190,8 @@
     })
 }
 
-/// Estimates a completion's size, and hashes its prompt in blocks for the engines' prefix caches.
-fn work(completion: &Completion<'_>) -> Work {
+/// Estimates the size of a completion and hashes its prompt in blocks, to find engines with a cached prefix.
+fn estimate_work(completion: &Completion<'_>) -> Work {
     let prompt = completion.messages.or(completion.prompt).map_or("", RawValue::get);
     let mut hasher = Xxh3::new();
     let prefix = prompt
@@ -205,7 +205,7 @@
     let bound = completion.max_completion_tokens.or(completion.max_tokens);
     Work {
         prompt_tokens: (prompt.len() / BYTES_PER_TOKEN) as u32,
-        answer_tokens: bound.unwrap_or(ANSWER_TOKENS),
+        answer_tokens: bound.unwrap_or(DEFAULT_ANSWER_TOKENS),
         prefix,
     }
 }
--- a/bergamotshift-entry/src/api/openai/mod.rs
+++ b/bergamotshift-entry/src/api/openai/mod.rs
@@ -1,4 +1,4 @@
-//! The OpenAI-compatible API of model services.
+//! OpenAI-compatible API of model services.
 
 mod answer;
 mod complete;
@@ -29,11 +29,11 @@
 const MODELS: &str = "/v1/models";
 const MODEL_PREFIX: &str = "/v1/models/";
 
-/// Answers a request to the models' API.
+/// Handles a request to the OpenAI-compatible API.
 ///
 /// # Errors
 ///
-/// Returns the failure that the caller is told of.
+/// Returns the failure to report to the caller.
 pub async fn serve(
     worker: &Rc<Worker>,
     snapshot: &Arc<Snapshot>,
@@ -44,9 +44,9 @@
 ) -> Result<Response, Error> {
     let path = request.path();
     match (request.method(), path) {
-        (&Method::GET, MODELS) => Ok(models(snapshot, organisation)),
+        (&Method::GET, MODELS) => Ok(list_models(snapshot, organisation)),
         (&Method::GET, _) if path.starts_with(MODEL_PREFIX) => {
-            model(snapshot, organisation, &path[MODEL_PREFIX.len()..])
+            find_model(snapshot, organisation, &path[MODEL_PREFIX.len()..])
         }
         (&Method::POST, CHAT | COMPLETIONS) => complete(worker, snapshot, organisation, request, id, active).await,
         (_, MODELS | CHAT | COMPLETIONS) => Err(Error::not_run(Reason::Method(path.to_owned()))),
@@ -54,7 +54,8 @@
     }
 }
 
-fn offered<'a>(
+/// Returns the models that an organisation may use, with their services.
+fn offered_models<'a>(
     snapshot: &'a Snapshot,
     organisation: &'a Organisation,
 ) -> impl Iterator<Item = (&'a name::Model, &'a Service)> {
@@ -68,15 +69,15 @@
     json!({ "id": model, "object": "model", "created": 0, "owned_by": service.name })
 }
 
-fn models(snapshot: &Snapshot, organisation: &Organisation) -> Response {
-    let data: Vec<_> = offered(snapshot, organisation)
+fn list_models(snapshot: &Snapshot, organisation: &Organisation) -> Response {
+    let data: Vec<_> = offered_models(snapshot, organisation)
         .map(|(model, service)| describe(model, service))
         .collect();
     Response::build(StatusCode::OK).json(&json!({ "object": "list", "data": data }))
 }
 
-fn model(snapshot: &Snapshot, organisation: &Organisation, wanted: &str) -> Result<Response, Error> {
-    offered(snapshot, organisation)
+fn find_model(snapshot: &Snapshot, organisation: &Organisation, wanted: &str) -> Result<Response, Error> {
+    offered_models(snapshot, organisation)
         .find(|(model, _)| model.as_str() == wanted)
         .map(|(model, service)| Response::build(StatusCode::OK).json(&describe(model, service)))
         .ok_or_else(|| Error::not_run(Reason::UnknownModel(wanted.to_owned())))
--- a/bergamotshift-entry/src/api/plain.rs
+++ b/bergamotshift-entry/src/api/plain.rs
@@ -1,4 +1,4 @@
-//! Plain services: HTTP routed as it is.
+//! Plain services: HTTP requests that are forwarded unchanged.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -35,11 +35,11 @@
 use crate::snapshot::Snapshot;
 use crate::worker::Worker;
 
-/// Answers a request to a plain service.
+/// Handles a request to a plain service.
 ///
 /// # Errors
 ///
-/// Returns the failure that the caller is told of.
+/// Returns the failure to report to the caller.
 pub async fn serve(
     worker: &Rc<Worker>,
     snapshot: &Arc<Snapshot>,
@@ -55,10 +55,10 @@
     }
     request::check_head(request, service.max_header)?;
     let headers = request.headers();
-    // An endpoint decodes paths, so a rule must not be evaded by another spelling of the same one.
+    // Endpoints decode paths, so rules are matched against the decoded path and other encodings cannot evade them.
     let path = request::decoded_path(request.path())?;
     let handling = snapshot.config.handling(service, request.method().as_str(), &path);
-    let key = request::key(headers)?;
+    let key = request::idempotency_key(headers)?;
     if !handling.repeatable && key.is_none() && handling.key_fields.is_empty() {
         return Err(Error::not_run(Reason::MissingKey));
     }
@@ -78,19 +78,19 @@
         work: Work::default(),
     };
     let outgoing = if call.repeatable {
-        outgoing(worker, service, request).await?
+        prepare_body(worker, service, request).await?
     } else {
-        // The claim holds a digest of the whole body, so none of it may leave before all of it is here.
+        // The claim contains a digest of the whole body, so the body is read completely before any of it is sent.
         Outgoing::Buffered(body::read(worker, request, service.max_body).await?)
     };
-    if let Outgoing::Buffered(held) = &outgoing {
-        call.body = held.clone();
+    if let Outgoing::Buffered(body) = &outgoing {
+        call.body = body.clone();
     }
     call.fingerprint = match &outgoing {
         Outgoing::Buffered(body) => {
             Fingerprint::of(service.name.as_str(), call.method.as_str(), call.path.as_str(), body)
         }
-        // What streams through cannot be recognised again, and must not be taken for another upload to the path.
+        // A streamed body has no digest. A unique fingerprint keeps it apart from other uploads to the same path.
         Outgoing::Streamed(_) => Fingerprint::new(id.get()),
     };
     if !call.repeatable {
@@ -98,17 +98,17 @@
         let key = key.or_else(|| claims::key_from_fields(&handling.key_fields, &call.body));
         call.key = Some(key.ok_or_else(|| Error::not_run(Reason::MissingKey))?);
     }
-    let held = matches!(outgoing, Outgoing::Buffered(_));
-    if held && service.deferrable && jobs::prefers_async(request.headers()) {
+    let is_buffered = matches!(outgoing, Outgoing::Buffered(_));
+    if is_buffered && service.deferrable && jobs::prefers_async(request.headers()) {
         return jobs::accept(worker, &call).await;
     }
-    // A body that streams through has no digest to compare, so it neither joins nor replays.
-    let joined = if held && call.repeatable {
+    // A streamed body has no digest to compare, so the request neither joins a running one nor replays an answer.
+    let lookup = if is_buffered && call.repeatable {
         Lookup::find_answer(worker, &call).await?
     } else {
         Lookup::Run(None)
     };
-    let started = match joined {
+    let started = match lookup {
         Lookup::Run(started) => started,
         Lookup::Answered(response) => return Ok(response),
     };
@@ -122,38 +122,41 @@
         return claims::send_once(worker, call, ticket, key, active.trace()).await;
     }
     let mut attempts = Attempts::new(Rc::clone(worker), call, ticket).with_trace(active.trace());
-    match pass(&mut attempts, outgoing).await {
-        Ok(Passed::Whole(whole)) => {
+    match fetch(&mut attempts, outgoing).await {
+        Ok(Answer::Whole(whole)) => {
             claims::share_answer(started, &whole);
             Ok(reply::whole(whole, id))
         }
-        Ok(Passed::Large(open)) => Ok(large(attempts, open, id, active)),
+        Ok(Answer::Streamed(open)) => Ok(stream_answer(attempts, open, id, active)),
         Err(error) => Err(attempts.fail(&error)),
     }
 }
 
-/// Holds a small body, so that it can be sent again; a large one passes through.
-async fn outgoing(worker: &Rc<Worker>, service: &Service, request: &mut Request) -> Result<Outgoing, Error> {
-    let held = worker.shared.settings.bounds.held_body.min(service.max_body);
+/// Buffers a small body, so that it can be sent again, and streams a large one.
+async fn prepare_body(worker: &Rc<Worker>, service: &Service, request: &mut Request) -> Result<Outgoing, Error> {
+    let max_buffered = worker.shared.settings.bounds.held_body.min(service.max_body);
     let declared = whole::length(request.headers());
     if declared.is_some_and(|length| length > service.max_body) {
         return Err(Error::not_run(Reason::BodyTooLarge(service.max_body)));
     }
-    if declared.is_some_and(|length| length > held) {
+    if declared.is_some_and(|length| length > max_buffered) {
         let payload = request.take_payload();
-        return Ok(Outgoing::Streamed(body::pass(worker, payload, service.max_body)));
+        return Ok(Outgoing::Streamed(body::stream(worker, payload, service.max_body)));
     }
     let body = body::read(worker, request, service.max_body).await?;
     Ok(Outgoing::Buffered(body))
 }
 
-enum Passed {
+/// Answer of an endpoint to a plain request.
+enum Answer {
+    /// Complete answer.
     Whole(whole::Whole),
-    Large(Open),
+    /// Head of an answer whose body is streamed.
+    Streamed(Open),
 }
 
-/// Gets an answer: a small one whole, of a large one the head.
-async fn pass(attempts: &mut Attempts, outgoing: Outgoing) -> Result<Passed, exchange::Error> {
+/// Fetches an answer: a small one completely, only the head of a large one.
+async fn fetch(attempts: &mut Attempts, outgoing: Outgoing) -> Result<Answer, exchange::Error> {
     let bound = attempts.worker().shared.settings.bounds.held_answer;
     let mut outgoing = Some(outgoing);
     loop {
@@ -162,10 +165,10 @@
             .unwrap_or_else(|| Outgoing::Buffered(attempts.call().body.clone()));
         let open = attempts.open(body).await?;
         if !is_small(attempts.call(), &open, bound) {
-            return Ok(Passed::Large(open));
+            return Ok(Answer::Streamed(open));
         }
         if let Some(whole) = whole::finish(attempts, open.answer, open.running).await? {
-            return Ok(Passed::Whole(whole));
+            return Ok(Answer::Whole(whole));
         }
     }
 }
@@ -178,7 +181,7 @@
     call.method == Method::HEAD || status == StatusCode::NO_CONTENT || status == StatusCode::NOT_MODIFIED
 }
 
-fn large(attempts: Attempts, open: Open, id: attempt::Id, active: Active) -> Response {
+fn stream_answer(attempts: Attempts, open: Open, id: attempt::Id, active: Active) -> Response {
     let Open { answer, running } = open;
     let length = whole::length(&answer.headers).map(|length| length as u64);
     let stream = Relay::new(attempts, answer.body, running).into_stream();
--- a/bergamotshift-entry/src/api/protocol.rs
+++ b/bergamotshift-entry/src/api/protocol.rs
@@ -1,4 +1,4 @@
-//! Messages that are no valid HTTP, or arrive too slowly: answered in the API's error shape, never with silence.
+//! Responses in the API's error format to messages that are invalid HTTP or arrive too slowly.
 
 use std::io;
 use std::rc::Rc;
@@ -16,7 +16,7 @@
 use super::error::Reason;
 use crate::worker::Worker;
 
-/// Answers what happens on a caller's connection beside its requests.
+/// Handles events of a caller's connection other than requests, and answers protocol errors.
 pub fn control<F: Filter>(worker: &Rc<Worker>, event: Control<F, io::Error>) -> ControlAck<F> {
     match event {
         Control::Disconnect(Disconnect::ProtocolError(error)) => {
@@ -35,8 +35,8 @@
         ProtocolError::SlowRequestTimeout | ProtocolError::SlowPayloadTimeout => Reason::TooSlow,
         other => Reason::Protocol(other.to_string()),
     };
-    // A malformed body may belong to a request that streams through, of which an endpoint has the beginning. The
-    // library does not say which request it speaks of, so while any body streams through, nothing is promised.
+    // A malformed body may belong to a request that is being streamed and has partly reached an endpoint. The HTTP
+    // library does not name the request, so the outcome is unknown while any upload is in flight.
     let outcome = if worker.is_uploading() {
         Outcome::Unknown
     } else {
--- a/bergamotshift-entry/src/api/reply.rs
+++ b/bergamotshift-entry/src/api/reply.rs
@@ -1,4 +1,4 @@
-//! Answers to callers.
+//! Responses to callers.
 
 use core::error;
 use core::mem;
@@ -36,7 +36,7 @@
 use crate::observe::Trace;
 use crate::worker::Shared;
 
-/// Counts one request as being served until it is dropped.
+/// Guard that counts a request as in flight until it is dropped.
 #[derive(Debug)]
 pub struct Active {
     shared: Arc<Shared>,
@@ -45,7 +45,7 @@
 }
 
 impl Active {
-    /// Counts a request that came on a connection.
+    /// Counts a request as in flight and starts its trace.
     pub fn new(shared: &Arc<Shared>, request: &Request, id: attempt::Id) -> Self {
         shared.metrics.active.inc();
         let trace = match &shared.traces {
@@ -67,59 +67,61 @@
 
 impl Drop for Active {
     fn drop(&mut self) {
-        // A drain that sees no request any more sends the last spans, so this one ends before it is uncounted.
+        // A drain exports the last spans once no request is in flight, so the trace ends before the count decreases.
         drop(mem::take(&mut self.trace));
         self.shared.metrics.active.dec();
     }
 }
 
-/// A body that streams to a caller over its connection, and counts its request as being served until it ends.
-struct Passing<S> {
+/// Response body that is streamed to a caller and terminates the connection when the stream fails.
+///
+/// The request counts as in flight until the body is dropped.
+struct Passthrough<S> {
     stream: Pin<Box<S>>,
-    cut: Option<(LocalBoxFuture<'static, ()>, Rc<dyn error::Error>)>,
+    termination: Option<(LocalBoxFuture<'static, ()>, Rc<dyn error::Error>)>,
     active: Active,
 }
 
-impl<S> Stream for Passing<S>
+impl<S> Stream for Passthrough<S>
 where
     S: Stream<Item = Result<Bytes, Rc<dyn error::Error>>>,
 {
     type Item = S::Item;
 
     fn poll_next(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Option<S::Item>> {
-        if self.cut.is_none() {
+        if self.termination.is_none() {
             let item = ready!(self.stream.as_mut().poll_next(cx));
             let (Some(Err(error)), Some(connection)) = (&item, &self.active.connection) else {
                 return Poll::Ready(item);
             };
-            self.cut = Some((flush_and_terminate(connection.clone()).boxed_local(), Rc::clone(error)));
+            self.termination = Some((flush_and_terminate(connection.clone()).boxed_local(), Rc::clone(error)));
         }
-        let Some((cut, error)) = &mut self.cut else {
+        let Some((termination, error)) = &mut self.termination else {
             return Poll::Ready(None);
         };
-        ready!(cut.as_mut().poll(cx));
+        ready!(termination.as_mut().poll(cx));
         Poll::Ready(Some(Err(Rc::clone(error))))
     }
 }
 
-/// Returns a short plain answer.
+/// Returns a plain-text response.
 pub fn text(status: StatusCode, text: &'static str) -> Response {
     Response::build(status)
         .content_type("text/plain; charset=utf-8")
         .body(text)
 }
 
-/// Returns a complete answer of an endpoint.
+/// Returns a response with a complete answer of an endpoint.
 pub fn whole(whole: Whole, id: attempt::Id) -> Response {
     let Whole { status, headers, body } = whole;
     let mut response = head(status, &headers, id);
     response.headers_mut().remove(header::CONTENT_LENGTH);
-    // The answer to a HEAD declares the length of a body that does not follow; it is not an empty one.
-    let follows = !body.is_empty() || length(&headers) == Some(0);
-    response.set_body(if follows { Body::Bytes(body) } else { Body::None })
+    // A response to HEAD declares the length of a body that is not sent, so it has no body rather than an empty one.
+    let has_body = !body.is_empty() || length(&headers) == Some(0);
+    response.set_body(if has_body { Body::Bytes(body) } else { Body::None })
 }
 
-/// Returns an answer that streams through, with its length when that is known.
+/// Returns a response whose body is streamed from an endpoint, with its length if known.
 pub fn streaming<S>(
     status: StatusCode,
     headers: &HeaderMap,
@@ -133,21 +135,21 @@
 {
     let mut response = head(status, headers, id);
     response.headers_mut().remove(header::CONTENT_LENGTH);
-    let passing = Passing {
+    let body = Passthrough {
         stream: Box::pin(stream),
-        cut: None,
+        termination: None,
         active,
     };
     let body = match length {
-        Some(length) => Body::from_message(SizedStream::new(length, passing)),
-        None => Body::from_message(BoxedBodyStream::new(passing)),
+        Some(length) => Body::from_message(SizedStream::new(length, body)),
+        None => Body::from_message(BoxedBodyStream::new(body)),
     };
     response.set_body(body)
 }
 
-/// Returns the head of an answer of an endpoint, with the request's identifier.
+/// Returns the response head for an endpoint's answer, with the request's identifier.
 ///
-/// An answer that tells a failure also tells whether the request ran.
+/// Error responses also state whether the request ran.
 pub fn head(status: StatusCode, headers: &HeaderMap, id: attempt::Id) -> Response {
     let mut response = Response::new(status);
     *response.headers_mut() = hop::towards_caller(headers);
@@ -163,9 +165,9 @@
     response
 }
 
-/// Returns what an endpoint's failure says of whether the request ran.
+/// Determines from an error response of an endpoint whether the request ran.
 ///
-/// An answer that carries no attempt comes from something in front of the endpoint, which cannot know.
+/// A response without an attempt identifier comes from a proxy in front of the endpoint, so the outcome is unknown.
 fn outcome(headers: &HeaderMap) -> Outcome {
     if hop::says_not_run(headers) {
         Outcome::NotRun
--- a/bergamotshift-entry/src/api/request.rs
+++ b/bergamotshift-entry/src/api/request.rs
@@ -1,4 +1,4 @@
-//! What a request's head says beside its HTTP meaning.
+//! Parsing and validation of request heads.
 
 use core::time::Duration;
 use std::borrow::Cow;
@@ -19,22 +19,28 @@
 use super::header::URGENCY;
 use crate::exchange::Times;
 
-/// The longest idempotency key.
-const LONGEST_KEY: usize = 255;
+/// Maximum length of an idempotency key, in bytes.
+const MAX_KEY_BYTES: usize = 255;
 
-/// Targets that hold where a service names none.
-const FIRST: Duration = Duration::from_secs(2);
-const BETWEEN: Duration = Duration::from_millis(77);
+/// Default latency target for the first token or a plain answer.
+const DEFAULT_FIRST_TOKEN_TARGET: Duration = Duration::from_secs(2);
 
-/// An attempt may take this many times its target before another is tried, and at least this long.
-const HEAD_FACTOR: u32 = 8;
-const HEAD_FLOOR: Duration = Duration::from_secs(1);
+/// Default latency target between two tokens.
+const DEFAULT_BETWEEN_TOKENS_TARGET: Duration = Duration::from_millis(77);
 
-/// A stream may stand still this many times its target, and at least this long.
-const STALL_FACTOR: u32 = 40;
-const STALL_FLOOR: Duration = Duration::from_secs(3);
+/// Factor of the latency target after which an attempt without a response head times out.
+const HEAD_TIMEOUT_FACTOR: u32 = 8;
 
-/// Returns the host that a request names.
+/// Minimum timeout for the response head of an attempt.
+const MIN_HEAD_TIMEOUT: Duration = Duration::from_secs(1);
+
+/// Factor of the latency target between two tokens after which a stalled stream times out.
+const STALL_TIMEOUT_FACTOR: u32 = 40;
+
+/// Minimum timeout for a stalled stream.
+const MIN_STALL_TIMEOUT: Duration = Duration::from_secs(3);
+
+/// Returns the host from the `Host` header or else from the request's URI.
 pub fn host(request: &Request) -> &str {
     let named = request
         .headers()
@@ -43,22 +49,22 @@
     named.or_else(|| request.uri().host()).unwrap_or_default()
 }
 
-/// Places at which the system itself asks and orders endpoints; callers have no business there.
-const RESERVED: [&str; 5] = ["_drain", "_events", "_kv", "_load", "_orders"];
+/// First path segments reserved for the system's own requests to endpoints. Callers have no access to them.
+const RESERVED_SEGMENTS: [&str; 5] = ["_drain", "_events", "_kv", "_load", "_orders"];
 
-/// Checks that a path means the same to the entry and to an endpoint, and returns it decoded.
+/// Decodes a path and checks that the entry and an endpoint interpret it alike.
 ///
-/// Failure: an endpoint decodes a path and follows its dot segments. Symptom: a caller reaches another service than the
-/// one that its organisation was checked for, or tells an endpoint to drain. Such paths are refused in every spelling.
+/// An endpoint may decode a path and resolve its dot segments. A caller could then reach a service that its
+/// organisation has no access to, or order an endpoint to drain. Such paths are refused in every encoding.
 ///
 /// # Errors
 ///
-/// Returns an error when the path has dot segments or control characters, or leads to a reserved place.
+/// Returns an error if the path has dot segments or control characters, or starts with a reserved segment.
 pub fn decoded_path(path: &str) -> Result<Cow<'_, str>, Error> {
     let decoded = percent_encoding::percent_decode_str(path).decode_utf8_lossy();
     let mut segments = decoded.split(['/', '\\']).filter(|segment| !segment.is_empty());
     let first = segments.clone().next().unwrap_or_default();
-    if RESERVED.contains(&first) {
+    if RESERVED_SEGMENTS.contains(&first) {
         return Err(Error::not_run(Reason::UnknownPath(path.to_owned())));
     }
     if segments.any(|segment| matches!(segment, "." | "..")) || decoded.contains(char::is_control) {
@@ -68,11 +74,11 @@
     Ok(decoded)
 }
 
-/// Checks the size of a request's head against its service's bound.
+/// Checks that the size of a request's head is at most `bound` bytes.
 ///
 /// # Errors
 ///
-/// Returns an error when the head is too large.
+/// Returns an error if the head is too large.
 pub fn check_head(request: &Request, bound: usize) -> Result<(), Error> {
     let fields: usize = request
         .headers()
@@ -86,28 +92,28 @@
     Ok(())
 }
 
-/// Returns the idempotency key that a caller sent.
+/// Returns the idempotency key of a request, if it has one.
 ///
 /// # Errors
 ///
-/// Returns an error when the key is no text or too long.
-pub fn key(headers: &HeaderMap) -> Result<Option<SmolStr>, Error> {
+/// Returns an error if the key is empty, not text, or too long.
+pub fn idempotency_key(headers: &HeaderMap) -> Result<Option<SmolStr>, Error> {
     let Some(value) = headers.get(IDEMPOTENCY_KEY) else {
         return Ok(None);
     };
     let text = value.to_str().ok().map(str::trim).filter(|text| !text.is_empty());
-    let text = text.filter(|text| text.len() <= LONGEST_KEY);
+    let text = text.filter(|text| text.len() <= MAX_KEY_BYTES);
     match text {
         Some(text) => Ok(Some(SmolStr::new(text))),
         None => Err(Error::not_run(Reason::Header("Idempotency-Key"))),
     }
 }
 
-/// Returns how soon the answer is needed: what the caller says, else what the rules say.
+/// Returns the urgency from the request's header or else from the rules of its service.
 ///
 /// # Errors
 ///
-/// Returns an error when the caller's word makes no sense.
+/// Returns an error if the header has an unknown value.
 pub fn urgency(headers: &HeaderMap, handling: &Handling) -> Result<Urgency, Error> {
     let Some(value) = headers.get(URGENCY) else {
         return Ok(handling.urgency);
@@ -120,21 +126,24 @@
     }
 }
 
-/// Returns a service's target for the first token or the whole plain answer.
+/// Returns a service's latency target for the first token or for a plain answer.
 pub fn latency_target(service: &Service) -> Duration {
     let target = service.target;
-    target.first_token.or(target.answer).unwrap_or(FIRST)
+    target
+        .first_token
+        .or(target.answer)
+        .unwrap_or(DEFAULT_FIRST_TOKEN_TARGET)
 }
 
-/// Returns the targets and bounds of a request that arrived at `now`.
+/// Returns the latency targets, timeouts and deadline of a request that arrived at `now`.
 ///
 /// # Errors
 ///
-/// Returns an error when the caller's deadline makes no sense.
+/// Returns an error if the deadline header is not a positive number of milliseconds.
 pub fn times(headers: &HeaderMap, handling: &Handling, service: &Service, now: Instant) -> Result<Times, Error> {
     let target = service.target;
-    let first = latency_target(service);
-    let between = target.between_tokens.unwrap_or(BETWEEN);
+    let first_token = latency_target(service);
+    let between_tokens = target.between_tokens.unwrap_or(DEFAULT_BETWEEN_TOKENS_TARGET);
     let allowed = match headers.get(DEADLINE_MS) {
         None => handling.deadline,
         Some(value) => {
@@ -145,10 +154,12 @@
         }
     };
     Ok(Times {
-        first_token: first,
-        between_tokens: between,
-        head_timeout: first.saturating_mul(HEAD_FACTOR).max(HEAD_FLOOR),
-        stall_timeout: between.saturating_mul(STALL_FACTOR).max(STALL_FLOOR),
+        first_token,
+        between_tokens,
+        head_timeout: first_token.saturating_mul(HEAD_TIMEOUT_FACTOR).max(MIN_HEAD_TIMEOUT),
+        stall_timeout: between_tokens
+            .saturating_mul(STALL_TIMEOUT_FACTOR)
+            .max(MIN_STALL_TIMEOUT),
         deadline: now + allowed,
     })
 }
