--- a/bergamotshift-entry/src/sharing/isolation.rs
+++ b/bergamotshift-entry/src/sharing/isolation.rs
@@ -1,31 +1,31 @@
-//! The one place that an endpoint has for suspected work.
+//! Isolation of requests that are suspected of killing endpoints.
 
 use core::sync::atomic::AtomicBool;
 use core::sync::atomic::Ordering;
 use std::sync::Arc;
 
-/// An endpoint's place for one request that is suspected of killing endpoints.
+/// Lock of an endpoint that at most one suspected request holds at a time.
 ///
-/// Failure: an endpoint dies and everything that ran there is suspected; all of it goes on at one other endpoint, the
-/// guilty request with it. Symptom: that endpoint dies too, and innocent requests are refused with the guilty one. With
-/// one suspect an endpoint, the second death accuses nobody else for the second time.
+/// If an endpoint dies, all requests that ran there are suspected of having killed it. If they were all retried at one
+/// other endpoint and killed it too, innocent requests would be refused with the faulty one. With one suspected
+/// request per endpoint, a second death affects no other request that is already suspected.
 #[derive(Clone, Debug, Default)]
 pub struct Isolation(Arc<AtomicBool>);
 
 impl Isolation {
-    /// Takes the place until the result is dropped, unless another request has it.
+    /// Acquires the lock until the guard is dropped; returns `None` if another request holds it.
     pub fn try_acquire(&self) -> Option<Guard> {
-        let taken = self.0.swap(true, Ordering::AcqRel);
-        (!taken).then(|| Guard(self.clone()))
+        let was_acquired = self.0.swap(true, Ordering::AcqRel);
+        (!was_acquired).then(|| Guard(self.clone()))
     }
 
-    /// Returns whether a request has the place.
+    /// Returns whether a request holds the lock.
     pub fn is_acquired(&self) -> bool {
         self.0.load(Ordering::Acquire)
     }
 }
 
-/// The place is taken until this is dropped.
+/// Guard that releases the lock when it is dropped.
 #[derive(Debug)]
 pub struct Guard(Isolation);
 
--- a/bergamotshift-entry/src/sharing/load/tests.rs
+++ b/bergamotshift-entry/src/sharing/load/tests.rs
@@ -1,4 +1,4 @@
-//! Loads from reports that are late.
+//! Tests of the load estimate with delayed reports.
 
 use bergamotshift_config::config::Kind;
 use bergamotshift_core::load::Report;
@@ -13,8 +13,8 @@
 use rand_pcg::Pcg64Mcg;
 use slotmap::SecondaryMap;
 
-use super::Flow;
 use super::Load;
+use super::Throughput;
 
 const REPORTED: Instant = Instant::from_secs(1);
 const NOW: Instant = Instant::from_millis(1_400);
@@ -24,7 +24,7 @@
     service: view::Service,
     key: key::Endpoint,
     reports: u64,
-    flows: SecondaryMap<key::Endpoint, Flow>,
+    throughputs: SecondaryMap<key::Endpoint, Throughput>,
 }
 
 impl Engine {
@@ -37,13 +37,13 @@
             ..view::Endpoint::default()
         };
         let key = registry.insert(endpoint).unwrap();
-        let flows = SecondaryMap::new();
+        let throughputs = SecondaryMap::new();
         Self {
             registry,
             service,
             key,
             reports: 0,
-            flows,
+            throughputs,
         }
     }
 
@@ -66,7 +66,7 @@
 
     fn send(&mut self, count: usize) -> Vec<Guard> {
         let view = self.view();
-        let ask = Request {
+        let request = Request {
             service: self.service,
             zones: Set::ALL,
             classes: Set::ALL,
@@ -76,21 +76,21 @@
             .or_else(|| policy::build(policy::DEFAULT))
             .unwrap();
         let mut generator = Pcg64Mcg::new(1);
-        let mut choose = || policy.choose(&view, &ask, &mut generator).unwrap();
-        (0..count).map(|_| view.record_sent(&choose(), &ask)).collect()
+        let mut choose = || policy.choose(&view, &request, &mut generator).unwrap();
+        (0..count).map(|_| view.record_sent(&choose(), &request)).collect()
     }
 
     fn ahead(&mut self) -> f64 {
         let view = self.view();
-        let load = Load::of(NOW, Kind::Model, &view, self.service, &mut self.flows);
+        let load = Load::of(NOW, Kind::Model, &view, self.service, &mut self.throughputs);
         load.ahead[Urgency::Deferrable as usize]
     }
 }
 
 #[test]
-fn what_ended_since_the_report_counts_no_longer() {
-    // Four requests run when the report is made, end, and four others take their place before the next report. Were
-    // the report taken as it is, eight would be seen, and whoever comes next be refused.
+fn requests_that_ended_after_the_report_are_not_counted() {
+    // Four reported requests end and four others replace them before the next report. If the report were used
+    // unchanged, eight requests would be counted and the next caller refused.
     let mut engine = Engine::new(1);
     let first = engine.send(4);
     engine.report(4, 0);
@@ -102,9 +102,9 @@
 }
 
 #[test]
-fn what_ended_while_the_report_came_counts_no_longer() {
-    // Four requests run when the report is made and end while it is on its way, so it is first seen after their end.
-    // Were it taken for the state at that time, the next four would make eight, and be refused before idle engines.
+fn requests_that_ended_before_the_report_arrived_are_not_counted() {
+    // Four requests run when the report is made and end before it arrives. If the report were taken for the state at
+    // its arrival, the next four requests would make eight and be refused although the engine is idle.
     let mut engine = Engine::new(1);
     let first = engine.send(4);
     engine.report(4, 0);
@@ -117,8 +117,8 @@
 }
 
 #[test]
-fn what_others_have_there_stays_counted() {
-    // Another entry's four requests run and two wait. This entry's own two ended while the report came.
+fn requests_of_other_entries_stay_counted() {
+    // The report counts six requests, two of them of this entry. These two end before the next report arrives.
     let mut engine = Engine::new(2);
     let own = engine.send(2);
     engine.report(4, 2);
@@ -129,8 +129,8 @@
 }
 
 #[test]
-fn other_entries_are_taken_to_do_alike() {
-    // Two entries have two requests each at an engine. This one sends two more, so the other one has too.
+fn changes_are_extrapolated_to_other_entries() {
+    // Two entries have two requests each at an engine. This entry sends two more, so the other is assumed to as well.
     let mut engine = Engine::new(2);
     let _first = engine.send(2);
     engine.report(4, 0);
@@ -140,9 +140,9 @@
 }
 
 #[test]
-fn a_service_that_reports_nothing_has_no_reading() {
+fn a_service_without_reports_has_no_reading() {
     let mut engine = Engine::new(1);
     let view = engine.view();
-    let load = Load::of(NOW, Kind::Model, &view, engine.service, &mut engine.flows);
+    let load = Load::of(NOW, Kind::Model, &view, engine.service, &mut engine.throughputs);
     assert!(load.reading(1.0).is_none());
 }
--- a/bergamotshift-entry/src/sharing/mod.rs
+++ b/bergamotshift-entry/src/sharing/mod.rs
@@ -1,19 +1,19 @@
-//! Sharing a service among organisations, and turning away what cannot be served in time.
+//! Admission control: shares services among organisations and refuses requests that cannot be served in time.
 //!
-//! The control thread owns a [`Control`]: it follows the configuration, reads the load that endpoints report, and
-//! hears what other entries are asked for. Workers ask its [`Table`], which each snapshot carries: [`admit`] decides
-//! before the first byte of a request goes towards an endpoint, with a few atomic operations and no lock, and the
-//! [`Ticket`] that it gives counts the answer's tokens and corrects the organisation's account when it is dropped.
+//! The control thread owns a [`Control`], which applies the configuration, the load reported by endpoints, and the
+//! demand announced by other entries. Workers use its [`Table`], which is part of each snapshot: [`admit`] decides
+//! before the first byte of a request is sent to an endpoint, with a few atomic operations and no lock. The returned
+//! [`Ticket`] counts the tokens of the answer and corrects the organisation's account when the request ends.
 //!
-//! Work is counted in tokens for model services, a prompt's token as the part of an answer's token that it takes an
-//! engine, and in requests for plain services.
+//! The unit of work is a request for plain services and an answer token for model services. A prompt token counts as
+//! the fraction of an answer token's engine time that it takes.
 
 mod control;
-mod flow;
 mod isolation;
 mod load;
 mod size;
 mod table;
+mod throughput;
 mod ticket;
 
 use core::time::Duration;
@@ -31,24 +31,24 @@
 pub use self::ticket::admit;
 pub use self::ticket::decide;
 
-/// A request is turned away before any byte of it went towards an endpoint.
+/// Refusal of a request before any byte of it was sent to an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(ThisError)]
-#[error("{}", text(*.reason))]
+#[error("{}", describe(*.reason))]
 pub struct Refusal {
-    /// Why.
+    /// Reason for the refusal.
     pub reason: Reason,
-    /// When it may come back.
+    /// Time after which the caller may retry.
     pub retry_after: Duration,
 }
 
 impl Refusal {
-    /// Returns whether the caller's organisation is the cause, and not the service's load.
+    /// Returns whether the organisation's own use is the cause rather than the service's load.
     pub const fn is_caused_by_organisation(&self) -> bool {
         matches!(self.reason, Reason::Limit(_) | Reason::Share)
     }
 
-    /// Returns the API's code.
+    /// Returns the error code of the API.
     pub const fn code(&self) -> &'static str {
         match self.reason {
             Reason::Limit(Limit::Requests) => "request_limit",
@@ -61,7 +61,8 @@
     }
 }
 
-const fn text(reason: Reason) -> &'static str {
+/// Returns the message for a reason.
+const fn describe(reason: Reason) -> &'static str {
     match reason {
         Reason::Limit(Limit::Requests) => "the organisation has reached its limit of requests per second",
         Reason::Limit(Limit::Tokens) => "the organisation has reached its limit of tokens per second",
--- a/bergamotshift-entry/src/sharing/table.rs
+++ b/bergamotshift-entry/src/sharing/table.rs
@@ -1,4 +1,4 @@
-//! What workers ask.
+//! Table of limits, shares and request sizes that workers use.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -8,25 +8,25 @@
 
 use super::size::Size;
 
-/// One configuration's organisations, services and sizes; cheap to clone.
+/// Limits, shares and request sizes under one configuration; cheap to clone.
 #[derive(Clone, Debug, Default)]
 pub struct Table {
-    pub(super) desk: limiter::Table,
+    pub(super) limiter: limiter::Table,
     pub(super) sizes: Arc<BTreeMap<name::Service, Arc<Size>>>,
 }
 
 impl Table {
-    /// Returns the work that a service is asked for, and what one of its endpoints does, both per second.
+    /// Returns the demand for a service and the average work of one of its endpoints, both in units of work per second.
     ///
-    /// Nothing is returned while no endpoint has reported.
+    /// Returns `None` while no endpoint has reported.
     pub fn demand_and_rate(&self, service: &name::Service) -> Option<(f64, f64)> {
         let size = self.sizes.get(service)?;
-        let rate = size.rate();
-        (rate > 0.0).then(|| (size.demand(), rate))
+        let endpoint_rate = size.endpoint_rate();
+        (endpoint_rate > 0.0).then(|| (size.demand(), endpoint_rate))
     }
 
-    /// Returns the limits, shares and gates, for releasing deferred jobs and for metrics.
-    pub const fn desk(&self) -> &limiter::Table {
-        &self.desk
+    /// Returns the table of limits, shares and admission gates.
+    pub const fn limiter(&self) -> &limiter::Table {
+        &self.limiter
     }
 }
--- a/bergamotshift-entry/src/sharing/ticket.rs
+++ b/bergamotshift-entry/src/sharing/ticket.rs
@@ -1,4 +1,4 @@
-//! The decision on a request, and the account of what it used.
+//! Admission decisions and the accounting of admitted requests.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -17,26 +17,26 @@
 use crate::snapshot::Snapshot;
 use crate::worker::Worker;
 
-/// Whether a request goes on.
+/// Result of the admission decision on a request.
 #[derive(Debug)]
 pub enum Admission {
-    /// It goes on to an endpoint now.
+    /// The request may be sent to an endpoint now.
     Admitted(Ticket),
-    /// It is to be kept for later.
+    /// The request is deferred.
     Deferred,
-    /// It gets its final answer now: not run.
+    /// The request is refused without having run.
     Refused(Refusal),
 }
 
-/// Decides on a request; `deferrable` says whether rules and caller let it run later.
+/// Decides on a request; `deferrable` states whether the rules and the caller allow it to run later.
 pub fn decide(worker: &Worker, snapshot: &Snapshot, call: &Rc<Call>, deferrable: bool) -> Admission {
     let now = worker.shared.now();
     let table = &snapshot.sharing;
     let Some(size) = table.sizes.get(&call.service) else {
-        return Admission::Admitted(Ticket::free(call));
+        return Admission::Admitted(Ticket::unaccounted(call));
     };
-    let work = size.work(&call.work);
-    let expected = size.cost(&call.work);
+    let work = size.expected_work(&call.work);
+    let expected = size.expected_cost(&call.work);
     let request = Request {
         urgency: call.urgency,
         target: call.times.first_token,
@@ -45,12 +45,12 @@
         work,
     };
     let decision = worker.with_generator(|generator| {
-        let desk = &table.desk;
-        desk.decide(now, &call.organisation, &call.service, request, expected, generator)
+        let limiter = &table.limiter;
+        limiter.decide(now, &call.organisation, &call.service, request, expected, generator)
     });
     match decision {
         Some(Decision::Admit) => {
-            size.admitted(work);
+            size.record_admitted(work);
             let account = Account {
                 table: table.clone(),
                 size: Arc::clone(size),
@@ -59,25 +59,25 @@
             };
             Admission::Admitted(Ticket {
                 account: Some(account),
-                ..Ticket::free(call)
+                ..Ticket::unaccounted(call)
             })
         }
         Some(Decision::Defer) => Admission::Deferred,
         Some(Decision::Refuse { reason, retry_after }) => Admission::Refused(Refusal { reason, retry_after }),
-        None => Admission::Admitted(Ticket::free(call)),
+        None => Admission::Admitted(Ticket::unaccounted(call)),
     }
 }
 
-/// Decides on a request that cannot be kept for later.
+/// Decides on a request that cannot be deferred.
 ///
 /// # Errors
 ///
-/// Returns the refusal that its caller is told of; no byte went towards an endpoint.
+/// Returns the refusal to report to the caller; no byte was sent to an endpoint.
 pub fn admit(worker: &Worker, snapshot: &Snapshot, call: &Rc<Call>) -> Result<Ticket, Refusal> {
     match decide(worker, snapshot, call, false) {
         Admission::Admitted(ticket) => Ok(ticket),
         Admission::Refused(refusal) => Err(refusal),
-        // Only what is deferrable is kept for later; were it not so, the service would be too busy.
+        // Not expected, as the request is not deferrable. Treated as a service that is too busy.
         Admission::Deferred => Err(Refusal {
             reason: Reason::Target,
             retry_after: call.times.first_token,
@@ -85,7 +85,7 @@
     }
 }
 
-/// What an answer that came whole says of its size.
+/// Usage field of an answer that was not streamed.
 #[derive(Debug, Default)]
 #[derive(Deserialize)]
 #[serde(default)]
@@ -100,16 +100,17 @@
     completion_tokens: u64,
 }
 
+/// State for the accounting of one admitted request.
 #[derive(Debug)]
 struct Account {
     table: Table,
     size: Arc<Size>,
     work: u64,
-    /// What the organisation's account holds for this request so far.
+    /// Cost charged to the organisation's account for this request so far.
     charged: Cost,
 }
 
-/// Counts what an admitted request uses, and corrects its organisation's account at its end.
+/// Accounting of an admitted request, which corrects the organisation's account when the request ends.
 #[derive(Debug)]
 pub struct Ticket {
     call: Rc<Call>,
@@ -117,12 +118,12 @@
     tokens: u64,
 }
 
-/// Tokens beyond what was expected are charged so many at a time.
-const CHARGED_TOKENS: u64 = 64;
+/// Minimum number of tokens beyond the charged cost for which the account is charged again.
+const CHARGE_STEP_TOKENS: u64 = 64;
 
 impl Ticket {
-    /// Makes a ticket of a request that no account counts.
-    fn free(call: &Rc<Call>) -> Self {
+    /// Creates a ticket for a request that is not charged to an account.
+    fn unaccounted(call: &Rc<Call>) -> Self {
         let call = Rc::clone(call);
         Self {
             call,
@@ -131,39 +132,42 @@
         }
     }
 
-    /// Counts tokens of the answer as they arrive.
+    /// Counts tokens of a streamed answer as they arrive.
     pub fn count(&mut self, now: Instant, tokens: u64) {
         self.tokens += tokens;
         let Some(account) = &self.account else { return };
-        let used = account.size.used(&self.call.work, self.tokens);
-        if used.tokens >= account.charged.tokens + CHARGED_TOKENS {
+        let used = account.size.actual_cost(&self.call.work, self.tokens);
+        if used.tokens >= account.charged.tokens + CHARGE_STEP_TOKENS {
             self.charge(now, used);
         }
     }
 
-    /// Counts the tokens of an answer that came whole.
+    /// Counts the tokens of a complete answer.
     pub fn count_whole(&mut self, now: Instant, body: &[u8]) {
         let answer: Answer = serde_json::from_slice(body).unwrap_or_default();
         self.count(now, answer.usage.completion_tokens);
     }
 
-    /// Corrects the organisation's account to what the request did use; one that did not run used nothing.
+    /// Replaces the charged cost by the actual cost, which is zero for a request that did not run.
     pub fn settle(mut self, now: Instant, outcome: Outcome) {
         let Some(account) = &self.account else { return };
         let call = &self.call;
-        account.table.desk().complete(&call.service, call.urgency, account.work);
+        account
+            .table
+            .limiter()
+            .complete(&call.service, call.urgency, account.work);
         if outcome == Outcome::NotRun {
             return self.charge(now, Cost::default());
         }
-        account.size.answered(self.tokens);
-        let used = account.size.used(&self.call.work, self.tokens);
+        account.size.record_answered(self.tokens);
+        let used = account.size.actual_cost(&self.call.work, self.tokens);
         self.charge(now, used);
     }
 
     fn charge(&mut self, now: Instant, used: Cost) {
         let Some(account) = &mut self.account else { return };
-        let desk = account.table.desk();
-        desk.settle(now, &self.call.organisation, account.charged, used);
+        let limiter = account.table.limiter();
+        limiter.settle(now, &self.call.organisation, account.charged, used);
         account.charged = used;
     }
 }
--- a/bergamotshift-entry/tests/sharing/apart.rs
+++ b/bergamotshift-entry/tests/sharing/apart.rs
@@ -1,4 +1,4 @@
-//! Requests that ran beside one that kills endpoints.
+//! Isolation of requests that ran on an endpoint together with one that kills endpoints.
 
 use core::time::Duration;
 
@@ -15,13 +15,13 @@
 
 #[ntex::test]
 async fn innocent_requests_beside_a_poisonous_one_are_all_served() {
-    // Three engines run eight streams each when a poisonous request kills one of them. Its companions are suspected
-    // with it. Were they to go on beside it, the second death would accuse them for the second time and they would be
-    // refused; they go on apart from it, so it is refused alone and every stream is whole.
+    // A poisonous request kills one of three engines, each running eight streams, and all streams of that engine are
+    // suspected. If they were retried on the same engine as the poisonous request, its second kill would get them
+    // refused too. They are isolated from it, so only the poisonous request is refused and every stream is complete.
     let site = Site::start(Layout {
         engines: 3,
         plains: 0,
-        // Two deaths in a row hit most streams, which is more than the usual budget holds.
+        // Two engine failures in a row affect most streams, which exceeds the default retry budget.
         llm: "retry = { budget = 1.0, attempts = 6 }",
         engine: engine::Settings {
             token_interval: Duration::from_millis(4),
--- a/bergamotshift-entry/tests/sharing/flood.rs
+++ b/bergamotshift-entry/tests/sharing/flood.rs
@@ -1,4 +1,4 @@
-//! A large organisation that asks for far more than the engines can do.
+//! Admission control while a large organisation sends far more requests than the engines can serve.
 
 use core::cell::Cell;
 use core::time::Duration;
@@ -20,10 +20,10 @@
 
 const SMALL_KEY: &str = "a long random key of small";
 
-/// Tokens of an answer that takes a tenth of a second.
+/// Number of tokens of an answer that takes a tenth of a second.
 const TOKENS: u32 = 20;
 
-/// Two engines with room for eight requests, a token each five milliseconds.
+/// Returns the layout of a site with two engines of four slots each and a token every five milliseconds.
 fn layout(more: String) -> Layout {
     Layout {
         engines: 2,
@@ -48,7 +48,7 @@
 
 async fn chat(site: &Site, key: &str, content: &str, tokens: u32) -> Reply {
     let authorization = format!("Bearer {key}");
-    // Whoever waits behind the flood for so long gets no answer at all.
+    // Requests that wait behind the flood for longer than this get no answer.
     let headers = [
         ("authorization", authorization.as_str()),
         ("x-bergamotshift-deadline-ms", "3000"),
@@ -58,7 +58,7 @@
         .await
 }
 
-/// Checks that a reply says that the request did not run and when to come back.
+/// Checks that a reply reports a request that did not run and has a `Retry-After` header.
 fn assert_refused(reply: &Reply) {
     let code = reply.json()["error"]["code"].as_str().unwrap().to_owned();
     match code.as_str() {
@@ -72,9 +72,9 @@
 
 #[ntex::test]
 async fn a_flood_is_refused_early_while_a_small_organisation_is_served() {
-    // A large organisation sends three hundred requests at a time, each again as soon as it is refused. The engines
-    // do eighty a second, so without sharing everybody waits for seconds and the small organisation's requests pass
-    // their deadline. What is over the large one's share is refused at once and runs nowhere; the small one is served.
+    // A large organisation keeps three hundred requests in flight, while the engines serve eighty per second. Without
+    // sharing, the small organisation's requests would wait for seconds and exceed their deadline. Requests beyond the
+    // large organisation's share have to be refused at once without running, and the small organisation is served.
     const CALLERS: usize = 300;
     const WANTED: usize = 5;
     const EARLIER: usize = 8;
@@ -83,7 +83,7 @@
         "[[organisation]]\nname = \"small\"\nkeys = [\"{small}\"]\n"
     )))
     .await;
-    // Both were there before, so the entry knows how large requests are.
+    // Earlier requests of both organisations let the entry learn the size of requests.
     for number in 0..EARLIER / 2 {
         for key in [KEY, SMALL_KEY] {
             assert!(
@@ -95,13 +95,13 @@
         }
     }
     let served = Cell::new(0);
-    let over = Cell::new(false);
+    let finished = Cell::new(false);
     let flood = join_all((0..CALLERS).map(|caller| {
-        let (site, served, over) = (&site, &served, &over);
+        let (site, served, finished) = (&site, &served, &finished);
         async move {
             let mut refused = 0_usize;
             let mut round = 0;
-            while !over.get() {
+            while !finished.get() {
                 let reply = chat(site, KEY, &format!("flood {caller} {round}"), TOKENS).await;
                 round += 1;
                 if reply.status.is_success() {
@@ -119,7 +119,7 @@
         for number in 0..WANTED {
             replies.push(chat(&site, SMALL_KEY, &format!("draft {number}"), TOKENS).await);
         }
-        over.set(true);
+        finished.set(true);
         replies
     };
     let (refused, replies) = join(flood, steady).await;
@@ -141,8 +141,8 @@
 
 #[ntex::test]
 async fn requests_that_fill_free_slots_are_not_refused() {
-    // Eight callers come at once and the engines have eight slots: nobody waits, though the work takes them longer than
-    // the target. All are served.
+    // Eight callers send at once and the engines have eight slots. No request waits, although the work takes longer
+    // than the latency target, so none may be refused.
     const LONG: u32 = 220;
     let site = Site::start(layout(String::new())).await;
     for round in 0..2 {
--- a/bergamotshift-entry/tests/sharing/limits.rs
+++ b/bergamotshift-entry/tests/sharing/limits.rs
@@ -1,4 +1,4 @@
-//! Limits of one organisation.
+//! Limits of an organisation.
 
 use bergamotshift_config::digest::Digest;
 use ntex::http::Method;
@@ -11,7 +11,7 @@
 
 const LIMITED_KEY: &str = "a long random key of limited";
 
-/// A site with an organisation that has these limits.
+/// Starts a site with an organisation that has the given limits.
 async fn site(limits: &str) -> Site {
     let key = Digest::of(LIMITED_KEY);
     let organisation = format!("[[organisation]]\nname = \"limited\"\nkeys = [\"{key}\"]\nlimits = {limits}\n");
@@ -43,9 +43,9 @@
 
 #[ntex::test]
 async fn requests_over_an_organisations_limit_are_refused_and_run_nowhere() {
-    // An organisation with one request in a thousand seconds and a burst of three sends five to each kind of service.
-    // Three pass in all; the others are told when to come back, in the API's shape, and no endpoint sees them. Another
-    // organisation is not touched.
+    // An organisation is limited to one request per thousand seconds with a burst of three. After three requests, those
+    // to either kind of service are refused in the API's error format with a time to retry, and reach no endpoint.
+    // Another organisation is not affected.
     let site = site("{ requests_per_second = 0.001, burst = 3 }").await;
     for _ in 0..3 {
         assert!(get(&site, LIMITED_KEY).await.status.is_success());
@@ -68,9 +68,10 @@
 
 #[ntex::test]
 async fn tokens_are_counted_by_what_the_answers_held() {
-    // An organisation may use a token in a hundred seconds and a hundred at once. Its first request sets no bound, so
-    // far more is held back than its sixteen tokens and the prompt; that is given back, or the second would not pass.
-    // What the two did use is counted, so the third, of the same size, is refused.
+    // An organisation is limited to one token per hundred seconds with a burst of a hundred. Its first request sets no
+    // limit, so it is charged for far more than its sixteen tokens and the prompt. The difference has to be refunded,
+    // or the second request would be refused. The actual use of both is counted, so the third request, of the same
+    // size, is refused.
     for stream in [false, true] {
         let site = site("{ requests_per_second = 0.01, burst = 100, tokens_per_second = 0.01 }").await;
         assert!(chat(&site, stream, None).await.status.is_success());
--- a/bergamotshift-entry/tests/sharing/main.rs
+++ b/bergamotshift-entry/tests/sharing/main.rs
@@ -1,4 +1,4 @@
-//! Tests of sharing and early refusals against stand-in endpoints over loopback.
+//! Tests of admission control and isolation against stand-in endpoints over loopback.
 
 mod apart;
 mod flood;
