--- a/bergamotshift-endpoint/src/adapter.rs
+++ b/bergamotshift-endpoint/src/adapter.rs
@@ -31,7 +31,7 @@
     fn send(&self, call: Call) -> LocalBoxFuture<'_, Result<Answer, Failure>>;
 
     /// Returns whether the endpoint proves by this answer that it refused the request before any work.
-    fn refuses(&self, answer: &Answer) -> bool;
+    fn is_refusal(&self, answer: &Answer) -> bool;
 
     /// Asks the endpoint how loaded it is.
     ///
--- a/bergamotshift-endpoint/src/answer.rs
+++ b/bergamotshift-endpoint/src/answer.rs
@@ -54,7 +54,7 @@
     }
 
     /// Returns whether the failure speaks of the endpoint rather than of the caller.
-    pub const fn blames_endpoint(&self) -> bool {
+    pub const fn is_endpoint_fault(&self) -> bool {
         !matches!(self, Self::Caller(_) | Self::Encode(_))
     }
 }
--- a/bergamotshift-endpoint/src/call.rs
+++ b/bergamotshift-endpoint/src/call.rs
@@ -50,9 +50,9 @@
     #[default]
     Empty,
     /// A body that is held whole, so that it can be sent again.
-    Whole(Bytes),
+    Buffered(Bytes),
     /// A body that streams through once.
-    Stream(Payload),
+    Streamed(Payload),
 }
 
 /// One attempt of a request.
--- a/bergamotshift-endpoint/src/client.rs
+++ b/bergamotshift-endpoint/src/client.rs
@@ -45,7 +45,7 @@
     /// means that requests do not meet a connection that is just being closed.
     pub keep_alive: Duration,
     /// The largest number of connections open at once, over all endpoints.
-    pub connections: usize,
+    pub max_connections: usize,
     /// How endpoints prove themselves over TLS, when they do.
     pub tls: Option<Arc<rustls::ClientConfig>>,
 }
@@ -55,7 +55,7 @@
         Self {
             connect_timeout: Duration::from_secs(1),
             keep_alive: Duration::from_secs(4),
-            connections: 65_536,
+            max_connections: 65_536,
             tls: None,
         }
     }
@@ -112,8 +112,8 @@
         *request.headers_mut() = headers;
         let sent = match body {
             Body::Empty => request.send().await,
-            Body::Whole(bytes) => request.send_body(bytes).await,
-            Body::Stream(payload) => request.send_stream(payload).await,
+            Body::Buffered(bytes) => request.send_body(bytes).await,
+            Body::Streamed(payload) => request.send_stream(payload).await,
         };
         let response = sent.map_err(|error| failure(&error))?;
         let carried = header::attempt(response.headers());
@@ -123,7 +123,7 @@
         if carried != Some(attempt) && !bare_error {
             // A crossed answer means that this connection, or one that carried an empty body and is back in the
             // pool already, is out of step. A new pool leaves all of them behind.
-            self.renew();
+            self.reset_pool();
             return Err(Failure::Mismatch);
         }
         if !bodiless && !announces_end(response.status(), response.headers()) {
@@ -152,7 +152,7 @@
         if !matches!(first, Err(Failure::Broken(_))) {
             return first;
         }
-        self.renew();
+        self.reset_pool();
         self.ask_load(target, path, timeout).await
     }
 
@@ -208,7 +208,7 @@
     }
 
     /// Leaves every pooled connection behind; exchanges under way keep theirs.
-    fn renew(&self) {
+    fn reset_pool(&self) {
         if let Ok(fresh) = build(&self.settings) {
             self.inner.replace(fresh);
         }
@@ -230,7 +230,7 @@
         .keep_alive(Seconds(
             settings.keep_alive.as_secs().clamp(1, u64::from(u16::MAX)) as u16
         ))
-        .limit(settings.connections);
+        .limit(settings.max_connections);
     if let Some(tls) = &settings.tls {
         connector = connector.rustls(tls.as_ref().clone());
     }
--- a/bergamotshift-endpoint/src/engine/mod.rs
+++ b/bergamotshift-endpoint/src/engine/mod.rs
@@ -56,7 +56,7 @@
         self.client.send(call).boxed_local()
     }
 
-    fn refuses(&self, answer: &Answer) -> bool {
+    fn is_refusal(&self, answer: &Answer) -> bool {
         // An engine takes a request into its queue or answers one of these; it has no state that a refused one touches.
         matches!(
             answer.status,
--- a/bergamotshift-endpoint/src/engine/progress.rs
+++ b/bergamotshift-endpoint/src/engine/progress.rs
@@ -63,7 +63,7 @@
 
 impl Progress {
     /// Notes an event that went to the caller.
-    pub fn note(&mut self, event: &Event) {
+    pub fn record(&mut self, event: &Event) {
         self.events += 1;
         let Some(data) = event.data() else {
             self.opaque = true;
@@ -72,7 +72,7 @@
         self.raw.extend_from_slice(data);
         self.raw.push(b'\n');
         if self.raw.len() >= FOLD_BYTES {
-            self.fold();
+            self.parse_pending();
         }
     }
 
@@ -82,7 +82,7 @@
     }
 
     /// Parses what was only copied so far.
-    pub fn fold(&mut self) {
+    pub fn parse_pending(&mut self) {
         let raw = core::mem::take(&mut self.raw);
         for line in raw.split(|byte| *byte == b'\n').filter(|line| !line.is_empty()) {
             match serde_json::from_slice::<Chunk>(line) {
@@ -92,27 +92,27 @@
         }
     }
 
-    /// Returns the completion's identifier. Call [`Progress::fold`] first.
+    /// Returns the completion's identifier. Call [`Progress::parse_pending`] first.
     pub fn id(&self) -> &str {
         &self.id
     }
 
-    /// Returns the text delivered. Call [`Progress::fold`] first.
+    /// Returns the text delivered. Call [`Progress::parse_pending`] first.
     pub fn text(&self) -> &str {
         &self.text
     }
 
-    /// Returns the number of tokens delivered, counted as one per chunk with text. Call [`Progress::fold`] first.
+    /// Returns the number of tokens delivered, counted as one per chunk with text. Call [`Progress::parse_pending`] first.
     pub const fn tokens(&self) -> u32 {
         self.tokens
     }
 
-    /// Returns whether the last chunk of the completion itself was delivered. Call [`Progress::fold`] first.
+    /// Returns whether the last chunk of the completion itself was delivered. Call [`Progress::parse_pending`] first.
     pub const fn is_finished(&self) -> bool {
         self.finished
     }
 
-    /// Returns whether something was delivered that a continuation cannot take up. Call [`Progress::fold`] first.
+    /// Returns whether something was delivered that a continuation cannot take up. Call [`Progress::parse_pending`] first.
     pub const fn is_opaque(&self) -> bool {
         self.opaque
     }
--- a/bergamotshift-endpoint/src/engine/resume.rs
+++ b/bergamotshift-endpoint/src/engine/resume.rs
@@ -23,7 +23,7 @@
     /// Another endpoint gets this body and delivers what is missing.
     Body(Bytes),
     /// Every token was delivered; these events, if any, and the end of the stream are missing.
-    Whole(Vec<Event>),
+    Complete(Vec<Event>),
     /// The stream cannot go on; the request can only be started over.
     Impossible,
 }
@@ -36,7 +36,7 @@
         return Resumption::Impossible;
     }
     if progress.is_finished() {
-        return Resumption::Whole(Vec::new());
+        return Resumption::Complete(Vec::new());
     }
     let Ok(Value::Object(mut fields)) = serde_json::from_slice(body) else {
         return Resumption::Impossible;
@@ -46,7 +46,7 @@
     }
     match lessen(&mut fields, progress.tokens()) {
         Length::Left => {}
-        Length::Reached => return Resumption::Whole(vec![length_event(path, progress)]),
+        Length::Reached => return Resumption::Complete(vec![length_event(path, progress)]),
     }
     if extend(path, &mut fields, progress.text()).is_none() {
         return Resumption::Impossible;
--- a/bergamotshift-endpoint/src/plain/mod.rs
+++ b/bergamotshift-endpoint/src/plain/mod.rs
@@ -49,7 +49,7 @@
         self.client.send(call).boxed_local()
     }
 
-    fn refuses(&self, answer: &Answer) -> bool {
+    fn is_refusal(&self, answer: &Answer) -> bool {
         header::says_not_run(&answer.headers) && answer.status.is_server_error()
     }
 
--- a/bergamotshift-endpoint/tests/fuzz.rs
+++ b/bergamotshift-endpoint/tests/fuzz.rs
@@ -110,15 +110,15 @@
         let mut progress = Progress::default();
         for event in &events {
             let event = Event::new(Bytes::from(event.0.clone()));
-            progress.note(&event);
+            progress.record(&event);
             let _ = event.is_done();
             let _ = resume::rewrite(event, "other", 3);
         }
-        progress.fold();
+        progress.parse_pending();
         let path = if chat { CHAT } else { COMPLETIONS };
         match resume::plan(path, &Bytes::from(body.0), &progress) {
             Resumption::Body(body) => serde_json::from_slice::<serde_json::Value>(&body).is_ok(),
-            Resumption::Whole(events) => events.iter().all(|event| event.data().is_some()),
+            Resumption::Complete(events) => events.iter().all(|event| event.data().is_some()),
             Resumption::Impossible => true,
         }
     }
--- a/bergamotshift-endpoint/tests/stream.rs
+++ b/bergamotshift-endpoint/tests/stream.rs
@@ -56,8 +56,8 @@
     /// Progress over any bytes either knows the text or says that it does not.
     fn any_events_are_noted(bytes: Vec<u8>) -> bool {
         let mut progress = Progress::default();
-        progress.note(&Event::new(Bytes::from(bytes)));
-        progress.fold();
+        progress.record(&Event::new(Bytes::from(bytes)));
+        progress.parse_pending();
         progress.is_opaque() || progress.events() == 1
     }
 }
@@ -71,9 +71,9 @@
         let limit = u64::from(limit) + texts.len() as u64 + 1;
         let mut progress = Progress::default();
         for text in &texts {
-            progress.note(&chunk(text));
+            progress.record(&chunk(text));
         }
-        progress.fold();
+        progress.parse_pending();
         let body = json!({"model": "m", "messages": [{"role": "user", "content": "x"}], "max_tokens": limit});
         let Resumption::Body(next) = resume::plan(CHAT, &Bytes::from(body.to_string()), &progress) else {
             return TestResult::failed();
@@ -89,8 +89,8 @@
 #[test]
 fn only_what_an_engine_can_continue_is_continued() {
     let mut progress = Progress::default();
-    progress.note(&chunk("a"));
-    progress.fold();
+    progress.record(&chunk("a"));
+    progress.parse_pending();
     let plan = |path, body: Value| resume::plan(path, &Bytes::from(body.to_string()), &progress);
     let impossible = [
         json!({"messages": [], "n": 2}),
@@ -112,8 +112,8 @@
 #[test]
 fn an_answer_that_the_caller_began_is_extended() {
     let mut progress = Progress::default();
-    progress.note(&chunk(" b"));
-    progress.fold();
+    progress.record(&chunk(" b"));
+    progress.parse_pending();
     let body = json!({
         "messages": [{"role": "assistant", "content": "a"}],
         "continue_final_message": true,
@@ -128,19 +128,19 @@
 #[test]
 fn a_stream_that_lacks_only_its_end_is_whole() {
     let mut progress = Progress::default();
-    progress.note(&chunk("a"));
-    progress.fold();
+    progress.record(&chunk("a"));
+    progress.parse_pending();
     let body = Bytes::from(json!({"messages": [], "max_tokens": 1}).to_string());
-    let Resumption::Whole(events) = resume::plan(CHAT, &body, &progress) else {
+    let Resumption::Complete(events) = resume::plan(CHAT, &body, &progress) else {
         panic!("the bound is reached");
     };
     let last: Value = serde_json::from_slice(events[0].data().unwrap()).unwrap();
     assert_eq!(last["choices"][0]["finish_reason"], "length");
 
     let finish = json!({"id": "one", "choices": [{"index": 0, "delta": {}, "finish_reason": "stop"}]});
-    progress.note(&Event::new(Bytes::from(format!("data: {finish}"))));
-    progress.fold();
-    assert_eq!(resume::plan(CHAT, &body, &progress), Resumption::Whole(Vec::new()));
+    progress.record(&Event::new(Bytes::from(format!("data: {finish}"))));
+    progress.parse_pending();
+    assert_eq!(resume::plan(CHAT, &body, &progress), Resumption::Complete(Vec::new()));
 }
 
 #[test]
--- a/bergamotshift-entry/src/exchange/attempts.rs
+++ b/bergamotshift-entry/src/exchange/attempts.rs
@@ -175,8 +175,8 @@
             };
             let outgoing = match &mut body {
                 Outgoing::Buffered(bytes) if bytes.is_empty() => call::Body::Empty,
-                Outgoing::Buffered(bytes) => call::Body::Whole(bytes.clone()),
-                Outgoing::Streamed(payload) => call::Body::Stream(payload.take()),
+                Outgoing::Buffered(bytes) => call::Body::Buffered(bytes.clone()),
+                Outgoing::Streamed(payload) => call::Body::Streamed(payload.take()),
             };
             self.started += 1;
             queue = None;
--- a/bergamotshift-entry/src/exchange/events.rs
+++ b/bergamotshift-entry/src/exchange/events.rs
@@ -126,7 +126,7 @@
 
     /// Records an event in the progress and adds it to `events`.
     fn deliver(&mut self, event: Event, events: &mut Vec<Event>) {
-        self.progress.note(&event);
+        self.progress.record(&event);
         // Engines send one token per event, except in the first and the last.
         self.attempts.count_tokens(1);
         events.push(event);
@@ -173,11 +173,11 @@
         if !self.has_started() {
             return Ok(Some(self.sent.clone()));
         }
-        self.progress.fold();
+        self.progress.parse_pending();
         let path = self.attempts.call().path.path();
         match self.adapter.resume(path, &self.sent, &self.progress) {
             Resumption::Body(body) => Ok(Some(body)),
-            Resumption::Whole(rest) => {
+            Resumption::Complete(rest) => {
                 for event in rest {
                     self.deliver(event, events);
                 }
--- a/bergamotshift-entry/src/exchange/send.rs
+++ b/bergamotshift-entry/src/exchange/send.rs
@@ -65,7 +65,7 @@
     /// Returns whether an answer means that the endpoint refused the request before any work.
     pub(super) fn is_refusal(&self, service: &Service, answer: &Answer) -> bool {
         let adapter = self.worker.adapter(&service.adapter);
-        adapter.is_some_and(|adapter| adapter.refuses(answer))
+        adapter.is_some_and(|adapter| adapter.is_refusal(answer))
     }
 
     /// Asks the control thread what happened to an endpoint whose attempt failed.
--- a/bergamotshift-link/src/node/mod.rs
+++ b/bergamotshift-link/src/node/mod.rs
@@ -27,7 +27,7 @@
 
 /// How much of a question or an answer has to go over within each time that it may take, in bytes: a configuration's content
 /// and a caller's body may take longer than that over a narrow link, and are as good as lost when they hardly move.
-pub const PACE: usize = 64 * 1_024;
+pub const MIN_TRANSFER_BYTES: usize = 64 * 1_024;
 
 /// Why something did not go over the link.
 #[derive(Debug)]
@@ -68,23 +68,23 @@
     /// The UDP address; port 0 takes any free one.
     pub listen: SocketAddr,
     /// A connection without traffic is closed after this.
-    pub idle: Duration,
+    pub idle_timeout: Duration,
     /// A connection has to be there after this.
-    pub connect: Duration,
+    pub connect_timeout: Duration,
     /// Frames that wait for the kernel; more are dropped, as on a lossy network.
-    pub backlog: usize,
+    pub max_incoming: usize,
     /// Frames that wait for a connection to one peer; more are dropped.
-    pub queue: usize,
+    pub max_queued: usize,
 }
 
 impl Default for Settings {
     fn default() -> Self {
         Self {
             listen: ([0, 0, 0, 0], 7_100).into(),
-            idle: Duration::from_mins(10),
-            connect: Duration::from_secs(3),
-            backlog: 1_024,
-            queue: 64,
+            idle_timeout: Duration::from_mins(10),
+            connect_timeout: Duration::from_secs(3),
+            max_incoming: 1_024,
+            max_queued: 64,
         }
     }
 }
@@ -145,7 +145,7 @@
         log: Logger,
     ) -> Result<(Self, mpsc::Receiver<Incoming>), Error> {
         let (endpoint, client) = transport::bind(settings, identity)?;
-        let (sender, receiver) = mpsc::channel(settings.backlog);
+        let (sender, receiver) = mpsc::channel(settings.max_incoming);
         let peers = Peers::new(endpoint.clone(), client, settings.clone(), sender, log);
         tokio::spawn(receive::accept(Arc::clone(&peers), endpoint));
         Ok((Self { peers }, receiver))
@@ -171,7 +171,7 @@
     ///
     /// # Errors
     ///
-    /// Returns an error when the peer does not acknowledge it in time: `within`, and as much again for each [`PACE`].
+    /// Returns an error when the peer does not acknowledge it in time: `within`, and as much again for each [`MIN_TRANSFER_BYTES`].
     pub async fn deliver(&self, to: SocketAddr, bytes: &[u8], within: Duration) -> Result<(), Error> {
         let moved = AtomicUsize::new(0);
         moving(within, &moved, self.peers.deliver(to, bytes, &moved)).await
@@ -182,7 +182,7 @@
     /// # Errors
     ///
     /// Returns an error when the peer cannot be reached, does not trust this entry or is not trusted, or does not
-    /// answer in time: `within`, and as much again for each [`PACE`]. The question may have been acted on all the same.
+    /// answer in time: `within`, and as much again for each [`MIN_TRANSFER_BYTES`]. The question may have been acted on all the same.
     pub async fn ask(&self, to: SocketAddr, question: &[u8], within: Duration) -> Result<Vec<u8>, Error> {
         if question.len() > MAX_MESSAGE {
             return Err(Error::Size(question.len()));
@@ -221,7 +221,10 @@
     moved: &AtomicUsize,
     going: impl Future<Output = Result<T, Error>>,
 ) -> Result<T, Error> {
-    let pace = Throughput { bytes: PACE, within };
+    let pace = Throughput {
+        bytes: MIN_TRANSFER_BYTES,
+        within,
+    };
     let mut watch = pace.monitor();
     let mut going = pin!(going);
     loop {
--- a/bergamotshift-link/src/node/peers.rs
+++ b/bergamotshift-link/src/node/peers.rs
@@ -82,7 +82,7 @@
                 Err(mpsc::error::TrySendError::Closed(back)) => outgoing = back,
             }
         }
-        let (sender, receiver) = mpsc::channel(self.settings.queue);
+        let (sender, receiver) = mpsc::channel(self.settings.max_queued);
         // A fresh queue takes at least one frame.
         drop(sender.try_send(outgoing));
         state.queues.insert(to, sender);
@@ -92,7 +92,7 @@
 
     /// Carries frames to one peer until nothing was sent for as long as a connection may be idle.
     async fn carry(self: Arc<Self>, to: SocketAddr, mut queue: mpsc::Receiver<Outgoing>) {
-        while let Ok(Some((way, bytes))) = tokio::time::timeout(self.settings.idle, queue.recv()).await {
+        while let Ok(Some((way, bytes))) = tokio::time::timeout(self.settings.idle_timeout, queue.recv()).await {
             match self.connection(to).await {
                 Ok(connection) => self.put(&connection, way, bytes),
                 Err(error) => {
@@ -159,7 +159,7 @@
         }
         let client = self.lock().client.clone();
         let connecting = self.endpoint.connect_with(client, to, SERVER_NAME)?;
-        let connection = tokio::time::timeout(self.settings.connect, connecting)
+        let connection = tokio::time::timeout(self.settings.connect_timeout, connecting)
             .await
             .or(Err(Error::Timeout))??;
         self.adopt(connection.clone());
--- a/bergamotshift-link/src/node/transport.rs
+++ b/bergamotshift-link/src/node/transport.rs
@@ -38,7 +38,7 @@
     /// Frames that wait inside QUIC; older ones give way.
     const DATAGRAM_BUFFER: usize = 256 * 1_024;
     let mut transport = TransportConfig::default();
-    let idle = IdleTimeout::try_from(settings.idle).unwrap_or_else(|_| VarInt::MAX.into());
+    let idle = IdleTimeout::try_from(settings.idle_timeout).unwrap_or_else(|_| VarInt::MAX.into());
     transport.max_idle_timeout(Some(idle));
     // A zone's probes touch each connection often enough; keep-alives would only cost bytes.
     transport.keep_alive_interval(None);
