--- a/bergamotshift-endpoint/src/adapter.rs
+++ b/bergamotshift-endpoint/src/adapter.rs
@@ -1,4 +1,4 @@
-//! The trait behind which each kind of endpoint stands, and the descriptor by which it registers itself.
+//! Trait of the adapters for each kind of endpoint, and the descriptor with which an adapter registers itself.
 
 use core::fmt::Debug;
 use std::rc::Rc;
@@ -19,46 +19,46 @@
 use crate::order;
 use crate::order::Order;
 
-/// Carries requests to one kind of endpoint, from one thread.
+/// Sends requests to one kind of endpoint, from one thread.
 pub trait Adapter: Debug {
-    /// Sends one attempt and returns once the answer's head has arrived.
+    /// Sends one attempt and returns when the head of the answer has arrived.
     ///
-    /// Dropping the future or the answer cancels the attempt: its connection is closed and never used again.
+    /// Dropping the future or the answer cancels the attempt: its connection is closed and not reused.
     ///
     /// # Errors
     ///
-    /// Returns what went wrong and whether the endpoint can have run the request.
+    /// Returns the failure; [`Failure::outcome`] tells whether the endpoint may have run the request.
     fn send(&self, call: Call) -> LocalBoxFuture<'_, Result<Answer, Failure>>;
 
-    /// Returns whether the endpoint proves by this answer that it refused the request before any work.
+    /// Returns whether an answer proves that the endpoint refused the request before any work.
     fn is_refusal(&self, answer: &Answer) -> bool;
 
-    /// Asks the endpoint how loaded it is.
+    /// Fetches the load report of an endpoint.
     ///
     /// # Errors
     ///
-    /// Returns what went wrong on the way.
+    /// Returns the failure of the exchange.
     fn load<'a>(&'a self, target: &'a Target) -> LocalBoxFuture<'a, Result<load::Report, Failure>>;
 
-    /// Gives the endpoint an order.
+    /// Sends an order to an endpoint.
     ///
     /// # Errors
     ///
-    /// Returns why it had no effect; after a [`order::Error::Failed`] it may have had one.
+    /// Returns an error when the order is not known to have taken effect. After [`order::Error::Failed`] it may have.
     fn order<'a>(&'a self, target: &'a Target, order: Order) -> LocalBoxFuture<'a, Result<(), order::Error>>;
 
-    /// Returns how a broken stream goes on where it stopped.
+    /// Returns the continuation of a broken stream.
     ///
-    /// `path` and `body` are those of the request as its caller sent it.
+    /// `path` and `body` are those of the original request of the caller.
     fn resume(&self, path: &str, body: &Bytes, progress: &Progress) -> Resumption;
 }
 
-/// Describes a kind of adapter to the plug-in registry.
+/// Descriptor of a kind of adapter in the plug-in registry.
 #[derive(Debug)]
 pub struct Kind {
-    /// The name by which a service's configuration asks for it.
+    /// Name of the adapter in a service's configuration.
     pub name: &'static str,
-    /// Makes an adapter over a thread's connections.
+    /// Function that creates an adapter on a thread's connections.
     pub build: fn(Rc<Client>) -> Rc<dyn Adapter>,
 }
 
--- a/bergamotshift-endpoint/src/answer.rs
+++ b/bergamotshift-endpoint/src/answer.rs
@@ -1,4 +1,4 @@
-//! What comes back from an attempt.
+//! Result of an attempt: an answer or a failure.
 
 use bergamotshift_core::outcome::Outcome;
 use ntex::http::HeaderMap;
@@ -6,46 +6,46 @@
 use ntex::http::StatusCode;
 use thiserror::Error;
 
-/// The head of an answer whose attempt identifier matched, with its body still to be read.
+/// Head of an accepted answer, with its body still to be read.
 #[derive(Debug)]
 pub struct Answer {
-    /// The HTTP status.
+    /// HTTP status.
     pub status: StatusCode,
-    /// The headers.
+    /// Headers of the answer.
     pub headers: HeaderMap,
-    /// The body. It ends in an error, never quietly, when the connection broke before its declared end.
+    /// Body of the answer. It ends with an error when the connection breaks before the declared end.
     pub body: Payload,
 }
 
-/// Why an attempt brought no answer.
+/// Reason why an attempt has no usable answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Error)]
 pub enum Failure {
-    /// No connection came about, so no byte of the request left.
+    /// No connection could be opened, so no byte of the request was sent.
     #[error("cannot connect to the endpoint: {0}")]
     Connect(String),
-    /// The connection broke after it was opened.
+    /// The connection broke after it had been opened.
     #[error("the connection to the endpoint broke: {0}")]
     Broken(String),
-    /// The answer's head took too long.
+    /// The head of the answer did not arrive in time.
     #[error("the endpoint took too long to answer")]
     Timeout,
     /// The answer belongs to another attempt.
     #[error("the endpoint's answer belongs to another attempt")]
     Mismatch,
-    /// The caller's own body broke off or was malformed while it was being passed on.
-    #[error("the caller's body broke off: {0}")]
+    /// The caller's request body ended early or was malformed while it was forwarded.
+    #[error("the caller's request body could not be read: {0}")]
     Caller(String),
-    /// The request could not be put on the wire.
+    /// The request could not be encoded.
     #[error("the request cannot be encoded: {0}")]
     Encode(String),
-    /// The endpoint's answer makes no sense.
+    /// The endpoint's answer is malformed.
     #[error("the endpoint's answer is malformed: {0}")]
     Malformed(String),
 }
 
 impl Failure {
-    /// Returns what is known about whether the attempt ran.
+    /// Returns whether the attempt ran, as far as it is known.
     pub const fn outcome(&self) -> Outcome {
         match self {
             Self::Connect(_) | Self::Encode(_) => Outcome::NotRun,
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Returns whether the failure speaks of the endpoint rather than of the caller.
+    /// Returns whether the failure is attributed to the endpoint rather than to the request.
     pub const fn is_endpoint_fault(&self) -> bool {
         !matches!(self, Self::Caller(_) | Self::Encode(_))
     }
--- a/bergamotshift-endpoint/src/call.rs
+++ b/bergamotshift-endpoint/src/call.rs
@@ -1,4 +1,4 @@
-//! One attempt of a request, as it goes to an endpoint.
+//! One attempt of a request, as it is sent to an endpoint.
 
 use core::net::SocketAddr;
 use core::time::Duration;
@@ -11,7 +11,7 @@
 use ntex::http::uri::PathAndQuery;
 use ntex::util::Bytes;
 
-/// Where an endpoint listens.
+/// Address of an endpoint, with or without TLS.
 #[derive(Clone, Debug)]
 pub struct Target {
     authority: Authority,
@@ -19,7 +19,7 @@
 }
 
 impl Target {
-    /// Makes a target from an address, spoken to in clear text or over TLS.
+    /// Creates a target from a socket address, reached in clear text or over TLS.
     ///
     /// # Panics
     ///
@@ -43,33 +43,33 @@
     }
 }
 
-/// The body of a call.
+/// Body of a call.
 #[derive(Debug, Default)]
 pub enum Body {
-    /// Nothing.
+    /// No body.
     #[default]
     Empty,
-    /// A body that is held whole, so that it can be sent again.
+    /// Body in memory, so that it can be sent again.
     Buffered(Bytes),
-    /// A body that streams through once.
+    /// Body that is streamed and can be sent only once.
     Streamed(Payload),
 }
 
 /// One attempt of a request.
 #[derive(Debug)]
 pub struct Call {
-    /// Where it goes.
+    /// Endpoint that receives the attempt.
     pub target: Target,
-    /// Its identifier, which the answer has to carry.
+    /// Identifier of the attempt, expected in the answer.
     pub attempt: attempt::Id,
-    /// The HTTP method.
+    /// HTTP method.
     pub method: Method,
-    /// The path with its query.
+    /// Path with its query.
     pub path: PathAndQuery,
-    /// The end-to-end headers.
+    /// End-to-end headers.
     pub headers: HeaderMap,
-    /// The body.
+    /// Request body.
     pub body: Body,
-    /// How long the answer's head may take.
+    /// Timeout for the head of the answer.
     pub timeout: Duration,
 }
--- a/bergamotshift-endpoint/src/client.rs
+++ b/bergamotshift-endpoint/src/client.rs
@@ -1,4 +1,4 @@
-//! A thread's connections to endpoints.
+//! HTTP client for a thread's connections to endpoints.
 
 use core::cell::RefCell;
 use core::time::Duration;
@@ -33,20 +33,20 @@
 use crate::order::Action;
 use crate::order::Order;
 
-/// Statuses from here on are errors.
-const FIRST_ERROR: u16 = 400;
+/// Lowest HTTP status that is an error.
+const MIN_ERROR_STATUS: u16 = 400;
 
-/// How a thread's connections behave.
+/// Settings of a thread's connections.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// How long a connection may take to open.
+    /// Timeout for opening a connection.
     pub connect_timeout: Duration,
-    /// How long an idle connection is kept. Endpoints keep theirs for at least five seconds, so a shorter time here
-    /// means that requests do not meet a connection that is just being closed.
+    /// Time after which an idle connection is closed. It is shorter than the five seconds for which endpoints keep idle
+    /// connections at least, so that no request is sent on a connection that the endpoint is closing.
     pub keep_alive: Duration,
-    /// The largest number of connections open at once, over all endpoints.
+    /// Maximum number of open connections, over all endpoints.
     pub max_connections: usize,
-    /// How endpoints prove themselves over TLS, when they do.
+    /// TLS configuration for the verification of endpoints, if they use TLS.
     pub tls: Option<Arc<rustls::ClientConfig>>,
 }
 
@@ -61,13 +61,13 @@
     }
 }
 
-/// The HTTP client could not be made.
+/// Error for an HTTP client that could not be created.
 #[derive(Clone, Debug)]
 #[derive(Error)]
-#[error("cannot make the client for endpoints: {0}")]
+#[error("cannot create the HTTP client for endpoints: {0}")]
 pub struct Error(String);
 
-/// A thread's connections to endpoints, pooled by address.
+/// HTTP client with a thread's connections to endpoints, pooled by address.
 #[derive(Debug)]
 pub struct Client {
     settings: Settings,
@@ -75,21 +75,23 @@
 }
 
 impl Client {
-    /// Makes the connections of the current thread.
+    /// Creates the client of the current thread.
     ///
     /// # Errors
     ///
-    /// Returns an error when the client library refuses the settings.
+    /// Returns an error when the client library rejects the settings.
     pub fn new(settings: Settings) -> Result<Self, Error> {
         let inner = RefCell::new(build(&settings)?);
         Ok(Self { settings, inner })
     }
 
-    /// Sends a call and returns once the answer's head is there and carries the attempt's identifier.
+    /// Sends a call and returns when the head of the answer has arrived.
+    ///
+    /// The answer must carry the attempt's identifier, or be an error without any identifier.
     ///
     /// # Errors
     ///
-    /// Returns what went wrong and, by it, whether the endpoint can have run the request.
+    /// Returns the failure; [`Failure::outcome`] tells whether the endpoint may have run the request.
     pub async fn send(&self, call: Call) -> Result<Answer, Failure> {
         let Call {
             target,
@@ -115,20 +117,20 @@
             Body::Buffered(bytes) => request.send_body(bytes).await,
             Body::Streamed(payload) => request.send_stream(payload).await,
         };
-        let response = sent.map_err(|error| failure(&error))?;
-        let carried = header::attempt(response.headers());
-        // What stands in front of a service answers some errors itself and knows nothing of attempts. Such an answer
-        // cannot belong to another call: a connection whose exchange did not end is never used again.
-        let bare_error = carried.is_none() && response.status().as_u16() >= FIRST_ERROR;
-        if carried != Some(attempt) && !bare_error {
-            // A crossed answer means that this connection, or one that carried an empty body and is back in the
-            // pool already, is out of step. A new pool leaves all of them behind.
+        let response = sent.map_err(|error| classify(&error))?;
+        let answered_attempt = header::attempt(response.headers());
+        // A proxy in front of a service answers some errors itself and knows nothing of attempts. Such an answer
+        // cannot belong to another call, because a connection whose exchange did not end is never reused.
+        let bare_error = answered_attempt.is_none() && response.status().as_u16() >= MIN_ERROR_STATUS;
+        if answered_attempt != Some(attempt) && !bare_error {
+            // Either this connection or one that carried an empty body and is already back in the pool is out of step
+            // and delivers the answer to another request. A new pool discards all of them.
             self.reset_pool();
             return Err(Failure::Mismatch);
         }
-        if !bodiless && !announces_end(response.status(), response.headers()) {
+        if !bodiless && !declares_end(response.status(), response.headers()) {
             return Err(Failure::Malformed(
-                "the answer announces neither length nor chunks".to_owned(),
+                "the answer has neither Content-Length nor Transfer-Encoding".to_owned(),
             ));
         }
         Ok(Answer {
@@ -138,25 +140,31 @@
         })
     }
 
-    /// Asks an endpoint for its load report, over a new connection when a kept one breaks.
+    /// Fetches the load report of an endpoint, and retries on a new connection when the first attempt breaks.
     ///
-    /// Failure: an endpoint died and this thread has not yet seen its kept connection end. Symptom: the question breaks
-    /// like one that a living endpoint took and did not answer, so the death counts against nobody, and a request that
-    /// kills endpoints goes on to the next. A new connection tells whether anybody listens; asking twice does no harm.
+    /// When an endpoint has died and this thread still holds an idle connection to it, the request breaks as if a live
+    /// endpoint had accepted it without an answer. The death would then not be attributed to the request that caused
+    /// it, and that request would go on to the next endpoint. A new connection shows whether the endpoint still
+    /// listens. Fetching the report twice is harmless.
     ///
     /// # Errors
     ///
-    /// Returns what went wrong on the way; [`Failure::Connect`] only when nothing listens there.
+    /// Returns the failure of the exchange. It is [`Failure::Connect`] only when no connection could be opened.
     pub async fn load(&self, target: &Target, path: &'static str, timeout: Duration) -> Result<load::Report, Failure> {
-        let first = self.ask_load(target, path, timeout).await;
+        let first = self.fetch_load(target, path, timeout).await;
         if !matches!(first, Err(Failure::Broken(_))) {
             return first;
         }
         self.reset_pool();
-        self.ask_load(target, path, timeout).await
+        self.fetch_load(target, path, timeout).await
     }
 
-    async fn ask_load(&self, target: &Target, path: &'static str, timeout: Duration) -> Result<load::Report, Failure> {
+    async fn fetch_load(
+        &self,
+        target: &Target,
+        path: &'static str,
+        timeout: Duration,
+    ) -> Result<load::Report, Failure> {
         let uri = Uri::builder()
             .scheme(target.scheme())
             .authority(target.authority().clone())
@@ -164,13 +172,13 @@
             .build()
             .map_err(|error| Failure::Encode(error.to_string()))?;
         let request = self.inner.borrow().request(Method::GET, uri).timeout(millis(timeout));
-        let response = request.send().await.map_err(|error| failure(&error))?;
+        let response = request.send().await.map_err(|error| classify(&error))?;
         if response.status() != StatusCode::OK {
             return Err(Failure::Malformed(format!("status {}", response.status().as_u16())));
         }
         let body = response.body().timeout(millis(timeout)).await;
         let body = body.map_err(|error| match error {
-            // It answers, and its requests may go well; a report of that size is none.
+            // The endpoint answers and may serve requests well; only its report is too large.
             PayloadError::Overflow => Failure::Malformed(error.to_string()),
             error => Failure::Broken(error.to_string()),
         })?;
@@ -179,11 +187,11 @@
         Ok(report.bounded())
     }
 
-    /// Gives an endpoint an order.
+    /// Sends an order to an endpoint.
     ///
     /// # Errors
     ///
-    /// Returns why it had no effect; after a [`order::Error::Failed`] it may have had one.
+    /// Returns an error when the order is not known to have taken effect. After [`order::Error::Failed`] it may have.
     pub async fn order(&self, target: &Target, order: Order, timeout: Duration) -> Result<(), order::Error> {
         let path = match order.action {
             Action::Drain => "/_drain",
@@ -199,7 +207,7 @@
         let request = request
             .timeout(millis(timeout))
             .header(order::FENCING, order.fencing.to_string());
-        let response = request.send_json(&order).await.map_err(|error| failure(&error))?;
+        let response = request.send_json(&order).await.map_err(|error| classify(&error))?;
         match response.status() {
             status if status.is_success() => Ok(()),
             StatusCode::CONFLICT => Err(order::Error::Stale),
@@ -207,7 +215,7 @@
         }
     }
 
-    /// Leaves every pooled connection behind; exchanges under way keep theirs.
+    /// Discards every pooled connection. Exchanges in flight keep theirs.
     fn reset_pool(&self) {
         if let Ok(fresh) = build(&self.settings) {
             self.inner.replace(fresh);
@@ -215,12 +223,12 @@
     }
 }
 
-/// Returns whether an answer says where its body ends.
+/// Returns whether an answer declares where its body ends.
 ///
-/// Failure: an endpoint ends its body by closing the connection, which looks like its death. Symptom: the client
-/// library reads such a body as empty, and the caller gets an empty answer as whole. Refusing it is enough: an answer
-/// whose end was announced is checked against the announcement.
-fn announces_end(status: StatusCode, headers: &HeaderMap) -> bool {
+/// A body that ends with the connection cannot be told from one that was cut by the endpoint's death. The client
+/// library reads such a body as empty, and the caller would receive an empty answer as complete. Rejecting it is
+/// enough, because a declared end is checked while the body is read.
+fn declares_end(status: StatusCode, headers: &HeaderMap) -> bool {
     let bodiless = matches!(status, StatusCode::NO_CONTENT | StatusCode::NOT_MODIFIED);
     bodiless || headers.contains_key(CONTENT_LENGTH) || headers.contains_key(TRANSFER_ENCODING)
 }
@@ -240,19 +248,19 @@
         .disable_timeout()
         .build(config)
         .now_or_never()
-        .ok_or_else(|| Error("the client was not ready at once".to_owned()))?
+        .ok_or_else(|| Error("the client library did not create the client immediately".to_owned()))?
         .map_err(|error| Error(error.to_string()))
 }
 
-fn millis(span: Duration) -> Millis {
-    // Zero would mean no timeout at all.
-    Millis(u32::try_from(span.as_millis()).unwrap_or(u32::MAX).max(1))
+fn millis(duration: Duration) -> Millis {
+    // Zero would disable the timeout.
+    Millis(u32::try_from(duration.as_millis()).unwrap_or(u32::MAX).max(1))
 }
 
-fn failure(error: &ClientError) -> Failure {
+fn classify(error: &ClientError) -> Failure {
     match error {
-        // The library reports a connection that closed before the answer as `Disconnected(None)`: by then the
-        // request had left, so it does not count as a failure to connect.
+        // The library reports a connection that closed before the answer as `Disconnected(None)`. The request had
+        // already been sent, so this is not a failure to connect.
         ClientError::Connect(ConnectError::Disconnected(None)) => {
             Failure::Broken("closed before the answer".to_owned())
         }
--- a/bergamotshift-endpoint/src/engine/event.rs
+++ b/bergamotshift-endpoint/src/engine/event.rs
@@ -3,18 +3,18 @@
 use ntex::util::Bytes;
 use ntex::util::BytesMut;
 
-/// The data of the event that ends a stream.
+/// Data of the event that ends a stream.
 const DONE: &[u8] = b"[DONE]";
 
-/// An event larger than this is a fault of the engine.
-const LARGEST: usize = 1024 * 1024;
+/// Maximum size of an event in bytes. A larger one is treated as a fault of the engine.
+const MAX_EVENT_BYTES: usize = 1024 * 1024;
 
-/// One event of a stream, as it came over the wire and without the empty line that ended it.
+/// One event of a stream: its data lines, without the empty line that ends it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Event(Bytes);
 
 impl Event {
-    /// Makes an event from its lines.
+    /// Creates an event from its lines.
     pub const fn new(lines: Bytes) -> Self {
         Self(lines)
     }
@@ -24,7 +24,7 @@
         &self.0
     }
 
-    /// Returns the event's data, when it consists of one data line as engines send it.
+    /// Returns the event's data if it consists of a single data line, as engines send it.
     pub fn data(&self) -> Option<&[u8]> {
         let line = self.0.strip_prefix(b"data:")?;
         let line = line.strip_prefix(b" ").unwrap_or(line);
@@ -32,19 +32,19 @@
         (!line.contains(&b'\n')).then_some(line)
     }
 
-    /// Returns whether this event says that the stream is whole.
+    /// Returns whether this event marks the end of a complete stream.
     pub fn is_done(&self) -> bool {
         self.data() == Some(DONE)
     }
 }
 
-/// The stream holds an event beyond all bounds.
+/// Error for a stream with an event larger than the maximum.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(thiserror::Error)]
-#[error("an event of the stream is larger than {LARGEST} bytes")]
+#[error("an event of the stream is larger than {MAX_EVENT_BYTES} bytes")]
 pub struct TooLarge;
 
-/// Collects bytes until they make up events.
+/// Buffers the bytes of a stream and splits them into events.
 ///
 /// ```
 /// use bergamotshift_endpoint::engine::event::Splitter;
@@ -60,29 +60,30 @@
 #[derive(Debug, Default)]
 pub struct Splitter {
     buffer: BytesMut,
-    /// Everything before this place holds no end of an event.
+    /// Offset in the buffer before which no event ends.
     searched: usize,
 }
 
 impl Splitter {
-    /// Takes bytes as they came.
+    /// Appends received bytes to the buffer.
     ///
     /// # Errors
     ///
-    /// Returns an error when an event goes beyond all bounds.
+    /// Returns an error when the buffered bytes would exceed the maximum size of an event.
     pub fn push(&mut self, bytes: &[u8]) -> Result<(), TooLarge> {
-        if self.buffer.len() + bytes.len() > LARGEST {
+        if self.buffer.len() + bytes.len() > MAX_EVENT_BYTES {
             return Err(TooLarge);
         }
         self.buffer.extend_from_slice(bytes);
         Ok(())
     }
 
-    /// Returns whether bytes of an unfinished event wait.
+    /// Returns whether the buffer holds no bytes of an unfinished event.
     pub fn is_empty(&self) -> bool {
         self.buffer.is_empty()
     }
 
+    /// Returns the end of the first event and the start of the next one.
     fn boundary(&mut self) -> Option<(usize, usize)> {
         let mut from = self.searched;
         while let Some(offset) = memchr::memchr(b'\n', &self.buffer[from..]) {
@@ -121,16 +122,16 @@
     }
 }
 
-/// Returns an event's data lines; nothing when there are none, as in comments that keep a connection open.
+/// Returns an event with only its data lines, or `None` if there are none, as in comments that keep a connection open.
 ///
-/// Failure: an engine numbers its events itself, or sets the client's wait. Symptom: a caller takes its stream up again
-/// at the engine's number, and tokens are missing or come twice. Only data passes; the numbers are the entry's own.
+/// All other fields are dropped, and the entry numbers the events itself. If an engine's own `id` or `retry` lines
+/// passed, a caller could resume its stream at the engine's number, and tokens would be missing or repeated.
 fn data_lines(lines: Bytes) -> Option<Event> {
     const DATA: &[u8] = b"data:";
     if lines.starts_with(DATA) && memchr::memchr2(b'\n', b'\r', &lines).is_none() {
         return Some(Event(lines));
     }
-    // Clients end a line at a lone carriage return too.
+    // Clients also end a line at a lone carriage return.
     let data: Vec<_> = lines
         .split(|byte| matches!(byte, b'\n' | b'\r'))
         .filter(|line| line.starts_with(DATA))
--- a/bergamotshift-endpoint/src/engine/mod.rs
+++ b/bergamotshift-endpoint/src/engine/mod.rs
@@ -1,7 +1,8 @@
-//! The adapter for model engines that speak the OpenAI-compatible API.
+//! Adapter for model engines with an OpenAI-compatible API.
 //!
-//! Beside carrying requests it knows the engine's event streams: how to split them into events without parsing
-//! ([`event`]), what a stream has delivered so far ([`progress`]), and which request goes on from there ([`resume`]).
+//! The adapter sends requests and handles the engine's event streams: [`event`] splits them into events without
+//! parsing, [`progress`] records the part that was delivered, and [`resume`] builds the request that continues from
+//! there.
 
 pub mod event;
 pub mod progress;
@@ -29,23 +30,23 @@
 use crate::order;
 use crate::order::Order;
 
-/// Where an engine reports its load.
+/// Path of an engine's load report.
 const LOAD_PATH: &str = "/_load";
 
-/// How long a load report may take.
+/// Timeout for a load report.
 const LOAD_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// How long an order may take; a longer way would outlive the pause that a duty's successor waits out.
+/// Timeout for an order. With a longer one, an order could still arrive after the pause that a duty's successor waits.
 const ORDER_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Carries requests to model engines.
+/// Adapter that sends requests to model engines.
 #[derive(Debug)]
 pub struct Engine {
     client: Rc<Client>,
 }
 
 impl Engine {
-    /// Makes the adapter over a thread's connections.
+    /// Creates the adapter on a thread's connections.
     pub const fn new(client: Rc<Client>) -> Self {
         Self { client }
     }
@@ -57,7 +58,8 @@
     }
 
     fn is_refusal(&self, answer: &Answer) -> bool {
-        // An engine takes a request into its queue or answers one of these; it has no state that a refused one touches.
+        // An engine either queues a request or answers with one of these statuses. A refused request changes no state
+        // of the engine.
         matches!(
             answer.status,
             StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS
--- a/bergamotshift-endpoint/src/engine/progress.rs
+++ b/bergamotshift-endpoint/src/engine/progress.rs
@@ -1,58 +1,58 @@
-//! What a stream has delivered so far, kept so that another endpoint can go on from there.
+//! Record of the part of a stream that the caller has received, from which another endpoint can continue it.
 
 use serde::Deserialize;
 
 use crate::engine::event::Event;
 
-/// Raw events are folded into text once they take this many bytes, so that an open stream costs little memory.
-const FOLD_BYTES: usize = 4 * 1024;
+/// Size of the unparsed data at which it is parsed, in bytes. Keeps the memory of an open stream small.
+const MAX_PENDING_BYTES: usize = 4 * 1024;
 
-/// One chunk of a completion, as far as a continuation needs it.
+/// One chunk of a completion, reduced to the fields that a continuation needs.
 #[derive(Debug, Default)]
 #[derive(Deserialize)]
 #[serde(default)]
 pub struct Chunk {
-    /// The completion's identifier.
+    /// Identifier of the completion.
     pub id: String,
-    /// The choices; a continuation needs exactly one.
+    /// Choices of the chunk. Only the choice with index 0 can be continued.
     pub choices: Vec<Choice>,
 }
 
-/// One choice inside a chunk.
+/// One choice of a chunk.
 #[derive(Debug, Default)]
 #[derive(Deserialize)]
 #[serde(default)]
 pub struct Choice {
-    /// Which of several choices.
+    /// Index of the choice among the alternatives.
     pub index: u32,
-    /// What a chat adds.
+    /// Addition to a chat message.
     pub delta: Delta,
-    /// What a plain completion adds.
+    /// Text added to a plain completion.
     pub text: String,
-    /// Why the choice ended, in its last chunk.
+    /// Reason for the end of the choice, set in its last chunk.
     pub finish_reason: Option<String>,
 }
 
-/// What a chunk adds to a chat message.
+/// Addition of a chunk to a chat message.
 #[derive(Debug, Default)]
 #[derive(Deserialize)]
 #[serde(default)]
 pub struct Delta {
-    /// The text.
+    /// Added text.
     pub content: Option<String>,
-    /// Calls of tools, whose arguments cannot be continued.
+    /// Tool calls. Their arguments cannot be continued.
     pub tool_calls: Option<serde_json::Value>,
-    /// Reasoning text, which cannot be continued either.
+    /// Reasoning text. It cannot be continued.
     pub reasoning_content: Option<String>,
 }
 
-/// What a stream has delivered.
+/// Part of a stream that the caller has received.
 ///
-/// On the ordinary path an event is only copied into a small buffer. It is parsed when the buffer is full or when
-/// the stream has to go on elsewhere.
+/// While the stream runs, the data of an event is only copied into a small buffer. It is parsed when the buffer is full
+/// or when another endpoint has to continue the stream.
 #[derive(Clone, Debug, Default)]
 pub struct Progress {
-    raw: Vec<u8>,
+    pending: Vec<u8>,
     id: String,
     text: String,
     events: u64,
@@ -62,29 +62,29 @@
 }
 
 impl Progress {
-    /// Notes an event that went to the caller.
+    /// Records an event that was sent to the caller.
     pub fn record(&mut self, event: &Event) {
         self.events += 1;
         let Some(data) = event.data() else {
             self.opaque = true;
             return;
         };
-        self.raw.extend_from_slice(data);
-        self.raw.push(b'\n');
-        if self.raw.len() >= FOLD_BYTES {
+        self.pending.extend_from_slice(data);
+        self.pending.push(b'\n');
+        if self.pending.len() >= MAX_PENDING_BYTES {
             self.parse_pending();
         }
     }
 
-    /// Returns the number of events delivered, which is the last event's number.
+    /// Returns the number of recorded events, which is also the number of the last one.
     pub const fn events(&self) -> u64 {
         self.events
     }
 
-    /// Parses what was only copied so far.
+    /// Parses the data that was only copied so far.
     pub fn parse_pending(&mut self) {
-        let raw = core::mem::take(&mut self.raw);
-        for line in raw.split(|byte| *byte == b'\n').filter(|line| !line.is_empty()) {
+        let pending = core::mem::take(&mut self.pending);
+        for line in pending.split(|byte| *byte == b'\n').filter(|line| !line.is_empty()) {
             match serde_json::from_slice::<Chunk>(line) {
                 Ok(chunk) => self.add(chunk),
                 Err(_) => self.opaque = true,
@@ -92,27 +92,29 @@
         }
     }
 
-    /// Returns the completion's identifier. Call [`Progress::parse_pending`] first.
+    /// Returns the identifier of the completion. Call [`Progress::parse_pending`] first.
     pub fn id(&self) -> &str {
         &self.id
     }
 
-    /// Returns the text delivered. Call [`Progress::parse_pending`] first.
+    /// Returns the delivered text. Call [`Progress::parse_pending`] first.
     pub fn text(&self) -> &str {
         &self.text
     }
 
-    /// Returns the number of tokens delivered, counted as one per chunk with text. Call [`Progress::parse_pending`] first.
+    /// Returns the number of delivered tokens, counted as one per chunk with text.
+    ///
+    /// Call [`Progress::parse_pending`] first.
     pub const fn tokens(&self) -> u32 {
         self.tokens
     }
 
-    /// Returns whether the last chunk of the completion itself was delivered. Call [`Progress::parse_pending`] first.
+    /// Returns whether the chunk with the finish reason was delivered. Call [`Progress::parse_pending`] first.
     pub const fn is_finished(&self) -> bool {
         self.finished
     }
 
-    /// Returns whether something was delivered that a continuation cannot take up. Call [`Progress::parse_pending`] first.
+    /// Returns whether an event was delivered that cannot be continued. Call [`Progress::parse_pending`] first.
     pub const fn is_opaque(&self) -> bool {
         self.opaque
     }
--- a/bergamotshift-endpoint/src/engine/resume.rs
+++ b/bergamotshift-endpoint/src/engine/resume.rs
@@ -1,4 +1,4 @@
-//! The request that goes on where a broken stream stopped.
+//! Requests that continue a broken stream on another endpoint.
 
 use ntex::util::Bytes;
 use serde_json::Map;
@@ -8,29 +8,30 @@
 use crate::engine::event::Event;
 use crate::engine::progress::Progress;
 
-/// Where chats are completed.
+/// Path of chat completions.
 pub const CHAT: &str = "/v1/chat/completions";
 
-/// Where plain prompts are completed.
+/// Path of plain prompt completions.
 pub const COMPLETIONS: &str = "/v1/completions";
 
-/// The fields that bound a completion's length.
+/// Request fields that limit the length of a completion, in tokens.
 const LENGTH_FIELDS: [&str; 2] = ["max_tokens", "max_completion_tokens"];
 
-/// How a broken stream goes on.
+/// Continuation of a broken stream.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Resumption {
-    /// Another endpoint gets this body and delivers what is missing.
+    /// Request body with which another endpoint generates the missing part.
     Body(Bytes),
-    /// Every token was delivered; these events, if any, and the end of the stream are missing.
+    /// Every token was delivered. Only these events, if any, and the end of the stream are missing.
     Complete(Vec<Event>),
-    /// The stream cannot go on; the request can only be started over.
+    /// The stream cannot be continued. The request can only be started over.
     Impossible,
 }
 
-/// Returns how a stream goes on after what was delivered.
+/// Returns the continuation of a stream after the recorded progress.
 ///
-/// Several choices, tool calls and reasoning cannot be continued: no engine takes them as a beginning.
+/// Several choices, tool calls and reasoning cannot be continued, because no engine accepts them as the start of an
+/// answer.
 pub fn plan(path: &str, body: &Bytes, progress: &Progress) -> Resumption {
     if progress.is_opaque() {
         return Resumption::Impossible;
@@ -44,9 +45,9 @@
     if !is_resumable(&fields) {
         return Resumption::Impossible;
     }
-    match lessen(&mut fields, progress.tokens()) {
-        Length::Left => {}
-        Length::Reached => return Resumption::Complete(vec![length_event(path, progress)]),
+    match reduce_limits(&mut fields, progress.tokens()) {
+        Limit::Remaining => {}
+        Limit::Reached => return Resumption::Complete(vec![length_event(path, progress)]),
     }
     if extend(path, &mut fields, progress.text()).is_none() {
         return Resumption::Impossible;
@@ -55,7 +56,7 @@
 }
 
 fn is_resumable(fields: &Map<String, Value>) -> bool {
-    let several = fields.get("n").and_then(Value::as_u64).is_some_and(|n| n > 1);
+    let multiple = fields.get("n").and_then(Value::as_u64).is_some_and(|n| n > 1);
     let tools = fields
         .get("tools")
         .and_then(Value::as_array)
@@ -64,43 +65,45 @@
         None | Some(Value::Null | Value::Bool(false)) => false,
         Some(_) => true,
     };
-    !several && !tools && !logprobs
+    !multiple && !tools && !logprobs
 }
 
-enum Length {
-    Left,
+enum Limit {
+    Remaining,
     Reached,
 }
 
-/// Lessens the completion's bounds by what was delivered.
-fn lessen(fields: &mut Map<String, Value>, tokens: u32) -> Length {
+/// Subtracts the delivered tokens from the length limits of the request.
+fn reduce_limits(fields: &mut Map<String, Value>, tokens: u32) -> Limit {
     for field in LENGTH_FIELDS {
         let Some(limit) = fields.get(field).and_then(Value::as_u64) else {
             continue;
         };
-        let left = limit.saturating_sub(u64::from(tokens));
-        if left == 0 {
-            return Length::Reached;
+        let remaining = limit.saturating_sub(u64::from(tokens));
+        if remaining == 0 {
+            return Limit::Reached;
         }
-        fields.insert(field.to_owned(), json!(left));
+        fields.insert(field.to_owned(), json!(remaining));
     }
-    Length::Left
+    Limit::Remaining
 }
 
-/// Makes the delivered text the beginning of the completion.
+/// Adds the delivered text to the request as the start of the answer.
+///
+/// Returns `None` if the request has no prompt or messages to which it can be added.
 fn extend(path: &str, fields: &mut Map<String, Value>, text: &str) -> Option<()> {
     if path == COMPLETIONS {
         let prompt = fields.get("prompt")?.as_str()?;
-        let longer = format!("{prompt}{text}");
-        fields.insert("prompt".to_owned(), json!(longer));
+        let extended = format!("{prompt}{text}");
+        fields.insert("prompt".to_owned(), json!(extended));
         return Some(());
     }
     let continues = fields.get("continue_final_message") == Some(&Value::Bool(true));
     let messages = fields.get_mut("messages")?.as_array_mut()?;
     if continues {
         let last = messages.last_mut()?.as_object_mut()?;
-        let longer = format!("{}{text}", last.get("content")?.as_str()?);
-        last.insert("content".to_owned(), json!(longer));
+        let extended = format!("{}{text}", last.get("content")?.as_str()?);
+        last.insert("content".to_owned(), json!(extended));
     } else {
         messages.push(json!({ "role": "assistant", "content": text }));
     }
@@ -109,7 +112,7 @@
     Some(())
 }
 
-/// Returns the chunk that ends a completion whose length bound was reached before the stream broke.
+/// Returns the final chunk of a completion that reached its length limit before the stream broke.
 fn length_event(path: &str, progress: &Progress) -> Event {
     let choice = if path == COMPLETIONS {
         json!({ "index": 0, "text": "", "finish_reason": "length" })
@@ -125,17 +128,17 @@
     Event::new(Bytes::from(format!("data: {chunk}")))
 }
 
-/// Returns an event of a continuation as the caller has to see it, or nothing when the caller already has it.
+/// Rewrites an event of a continuation for the caller, or returns `None` if the caller already has it.
 ///
-/// The caller holds one completion, so its identifier stays that of the first stream; and a continuation opens with a
-/// chunk that only names the role, which the caller has seen before. Tokens that were carried over stand in the
-/// continuation's prompt, and count as generated towards the caller.
+/// The caller sees a single completion, so the identifier stays that of the first stream. The first chunk of a
+/// continuation only names the role and is dropped, because the caller has received it before. The carried tokens are
+/// part of the continuation's prompt and are reported to the caller as generated.
 pub fn rewrite(event: Event, id: &str, carried: u32) -> Option<Event> {
     let Some(data) = event.data() else { return Some(event) };
     let Ok(mut chunk) = serde_json::from_slice::<Value>(data) else {
         return Some(event);
     };
-    if opens(&chunk) {
+    if is_opening(&chunk) {
         return None;
     }
     let Some(fields) = chunk.as_object_mut() else {
@@ -150,7 +153,7 @@
     Some(Event::new(Bytes::from(format!("data: {chunk}"))))
 }
 
-/// Counts tokens of the prompt as tokens of the answer.
+/// Moves the carried tokens from the prompt count to the completion count.
 fn move_tokens(usage: &mut Map<String, Value>, carried: u64) {
     if let Some(prompt) = usage.get("prompt_tokens").and_then(Value::as_u64) {
         usage.insert("prompt_tokens".to_owned(), json!(prompt.saturating_sub(carried)));
@@ -160,9 +163,10 @@
     }
 }
 
-fn opens(chunk: &Value) -> bool {
+/// Returns whether a chunk only names the role, as the first chunk of a stream does.
+fn is_opening(chunk: &Value) -> bool {
     let choice = &chunk["choices"][0];
     let delta = &choice["delta"];
-    let silent = delta["content"].as_str().is_none_or(str::is_empty);
-    delta.get("role").is_some() && silent && choice["finish_reason"].is_null()
+    let no_text = delta["content"].as_str().is_none_or(str::is_empty);
+    delta.get("role").is_some() && no_text && choice["finish_reason"].is_null()
 }
--- a/bergamotshift-endpoint/src/lib.rs
+++ b/bergamotshift-endpoint/src/lib.rs
@@ -1,9 +1,9 @@
-//! Adapters for endpoints: how one attempt of a request is carried to a model engine or a plain service.
+//! Adapters that send single attempts of requests to endpoints: model engines and plain services.
 //!
-//! An adapter lives on one thread and owns that thread's connections. It sends a [`call::Call`], checks that the
-//! answer carries the attempt's identifier and hands back an [`answer::Answer`] or a [`answer::Failure`] that says
-//! whether the endpoint can have run the request. Adapters register themselves as plug-ins; a service's
-//! configuration names the one it needs.
+//! An adapter belongs to one thread and shares that thread's connections. It sends a [`call::Call`], checks the
+//! attempt's identifier in the answer, and returns an [`answer::Answer`], or an [`answer::Failure`] that tells whether
+//! the endpoint may have run the request. Adapters register themselves as plug-ins, and a service's configuration
+//! selects one by name.
 //!
 //! ```
 //! use bergamotshift_core::plugin;
--- a/bergamotshift-endpoint/src/order.rs
+++ b/bergamotshift-endpoint/src/order.rs
@@ -1,4 +1,4 @@
-//! Orders to endpoints, under the fencing number of the duty that gives them.
+//! Orders to endpoints, each with the fencing number of the duty that issues it.
 
 use bergamotshift_core::name;
 use serde::Serialize;
@@ -7,57 +7,57 @@
 
 use crate::answer::Failure;
 
-/// Carries the fencing number where an order has no body.
+/// Header that carries the fencing number of an order.
 pub const FENCING: &str = "x-bergamotshift-fencing";
 
-/// What an endpoint is told to do.
+/// Action that an endpoint is ordered to take.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize)]
 #[serde(tag = "order", rename_all = "kebab-case")]
 pub enum Action {
-    /// It serves a model or adapter.
+    /// Start serving a model or a model adapter.
     Load {
-        /// Its name.
+        /// Name of the model.
         model: name::Model,
-        /// Its version.
+        /// Version of the model.
         version: SmolStr,
     },
-    /// It serves a model or adapter no longer.
+    /// Stop serving a model or a model adapter.
     Unload {
-        /// Its name.
+        /// Name of the model.
         model: name::Model,
     },
-    /// It takes a role, such as `prefill` or `decode`.
+    /// Take a role, such as `prefill` or `decode`.
     Role {
-        /// The role's name.
+        /// Name of the role.
         role: SmolStr,
     },
-    /// It finishes what it runs, takes nothing new, and says so in its load report.
+    /// Finish the running requests, accept no new ones, and report the drain in the load report.
     Drain,
 }
 
-/// One order; carrying it out twice does no harm.
+/// Idempotent order to an endpoint.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize)]
 pub struct Order {
-    /// What to do.
+    /// Action to take.
     #[serde(flatten)]
     pub action: Action,
-    /// The number of the lease under which it is given; some endpoints check it, others ignore it.
+    /// Fencing number of the lease under which the order is issued. Some endpoints check it, others ignore it.
     pub fencing: u64,
 }
 
-/// An order had no effect, as far as is known.
+/// Reason why an order is not known to have taken effect.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(ThisError)]
 pub enum Error {
-    /// The endpoint has seen a higher fencing number: somebody else has the duty now.
-    #[error("the endpoint has taken orders under a higher fencing number")]
+    /// The endpoint has seen a higher fencing number: another entry holds the duty now.
+    #[error("the endpoint has accepted orders under a higher fencing number")]
     Stale,
-    /// The endpoint refused it.
+    /// The endpoint refused the order with this HTTP status.
     #[error("the endpoint refused the order with status {0}")]
     Refused(u16),
-    /// It did not come back from the endpoint whether it had one.
+    /// The exchange failed, so the endpoint may or may not have carried out the order.
     #[error(transparent)]
     Failed(#[from] Failure),
 }
--- a/bergamotshift-endpoint/src/plain/mod.rs
+++ b/bergamotshift-endpoint/src/plain/mod.rs
@@ -1,4 +1,4 @@
-//! The adapter for plain services: HTTP as it is.
+//! Adapter for plain HTTP services, without support for engine streams.
 
 use core::time::Duration;
 use std::rc::Rc;
@@ -22,23 +22,23 @@
 use crate::order;
 use crate::order::Order;
 
-/// Where a plain service reports its load.
+/// Path of a plain service's load report.
 const LOAD_PATH: &str = "/_load";
 
-/// How long a load report may take.
+/// Timeout for a load report.
 const LOAD_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// How long an order may take; a longer way would outlive the pause that a duty's successor waits out.
+/// Timeout for an order. With a longer one, an order could still arrive after the pause that a duty's successor waits.
 const ORDER_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Carries requests to plain services.
+/// Adapter that sends requests to plain services.
 #[derive(Debug)]
 pub struct Plain {
     client: Rc<Client>,
 }
 
 impl Plain {
-    /// Makes the adapter over a thread's connections.
+    /// Creates the adapter on a thread's connections.
     pub const fn new(client: Rc<Client>) -> Self {
         Self { client }
     }
--- a/bergamotshift-endpoint/tests/fuzz.rs
+++ b/bergamotshift-endpoint/tests/fuzz.rs
@@ -1,6 +1,6 @@
-//! Bytes that nobody meant, for every parser that an endpoint's or a caller's bytes reach.
+//! Random input for every parser that processes bytes of an endpoint or a caller.
 //!
-//! Found failures stand as cases in the tables of `stream.rs` and `header.rs`, or below.
+//! Failures found this way are kept as cases in `stream.rs` and `header.rs`, or below.
 
 use bergamotshift_core::load;
 use bergamotshift_endpoint::engine::event::Event;
@@ -19,7 +19,7 @@
 use quickcheck::Gen;
 use quickcheck::QuickCheck;
 
-/// So that a failure comes again.
+/// Fixed seed that makes failures reproducible.
 const SEED: u64 = 0x7e57;
 
 const TESTS: u64 = 2_000;
@@ -29,11 +29,11 @@
     checker.rng(Gen::from_size_and_seed(64, SEED))
 }
 
-/// Bytes made of the pieces that the parsers look for, and of any others between.
+/// Random bytes, mixed with the tokens that the parsers look for.
 #[derive(Clone, Debug)]
-struct Soup(Vec<u8>);
+struct Fragments(Vec<u8>);
 
-/// What streams, chunks and reports are made of.
+/// Tokens of streams, chunks and reports.
 const PIECES: [&[u8]; 24] = [
     b"data: ",
     b"data:",
@@ -61,7 +61,7 @@
     b"\xff\x00",
 ];
 
-impl Arbitrary for Soup {
+impl Arbitrary for Fragments {
     fn arbitrary(g: &mut Gen) -> Self {
         let mut bytes = Vec::new();
         for _ in 0..usize::arbitrary(g) % 24 {
@@ -90,23 +90,23 @@
 }
 
 #[test]
-fn a_stream_of_any_bytes_splits_alike_and_holds_data_alone() {
+fn random_bytes_split_the_same_in_any_pieces_and_keep_only_data_lines() {
     #[expect(clippy::needless_pass_by_value, reason = "a property owns what it is given")]
-    fn property(soup: Soup, piece: u8) -> bool {
-        let events = split(&soup.0, usize::from(piece));
+    fn property(input: Fragments, piece: u8) -> bool {
+        let events = split(&input.0, usize::from(piece));
         let clean = events.iter().all(|event| {
             let mut lines = event.lines().split(|byte| *byte == b'\n');
             lines.all(|line| line.starts_with(b"data:") && !line.contains(&b'\r'))
         });
-        clean && events == split(&soup.0, usize::MAX)
+        clean && events == split(&input.0, usize::MAX)
     }
-    checker().quickcheck(property as fn(Soup, u8) -> bool);
+    checker().quickcheck(property as fn(Fragments, u8) -> bool);
 }
 
 #[test]
-fn any_events_leave_a_progress_and_a_plan() {
+fn random_events_always_give_a_resumption() {
     #[expect(clippy::needless_pass_by_value, reason = "a property owns what it is given")]
-    fn property(events: Vec<Soup>, body: Soup, chat: bool) -> bool {
+    fn property(events: Vec<Fragments>, body: Fragments, chat: bool) -> bool {
         let mut progress = Progress::default();
         for event in &events {
             let event = Event::new(Bytes::from(event.0.clone()));
@@ -122,22 +122,22 @@
             Resumption::Impossible => true,
         }
     }
-    checker().quickcheck(property as fn(Vec<Soup>, Soup, bool) -> bool);
+    checker().quickcheck(property as fn(Vec<Fragments>, Fragments, bool) -> bool);
 }
 
 #[test]
-fn any_bytes_are_a_load_report_or_none() {
+fn random_bytes_parse_as_a_load_report_or_fail() {
     #[expect(clippy::needless_pass_by_value, reason = "a property owns what it is given")]
-    fn property(soup: Soup) -> bool {
-        serde_json::from_slice::<load::Report>(&soup.0).map_or(true, |report| {
+    fn property(input: Fragments) -> bool {
+        serde_json::from_slice::<load::Report>(&input.0).map_or(true, |report| {
             serde_json::to_vec(&report)
                 .is_ok_and(|text| serde_json::from_slice(&text).is_ok_and(|same: load::Report| same == report))
         })
     }
-    checker().quickcheck(property as fn(Soup) -> bool);
+    checker().quickcheck(property as fn(Fragments) -> bool);
 }
 
-/// A header whose name is near to one that must not pass.
+/// Header with a name similar to one that must not be forwarded.
 #[derive(Clone, Debug)]
 struct Field(HeaderName, HeaderValue);
 
@@ -169,23 +169,23 @@
 }
 
 #[test]
-fn of_any_headers_none_passes_that_belongs_to_the_hop_or_the_system() {
+fn hop_by_hop_and_reserved_headers_are_never_forwarded() {
     fn property(fields: Vec<Field>) -> bool {
         let mut headers = HeaderMap::new();
         for Field(name, value) in fields {
             headers.append(name, value);
         }
         let _ = (header::attempt(&headers), header::says_not_run(&headers));
-        let declares = headers
+        let listed = headers
             .get_all("connection")
             .any(|value| value.as_bytes().starts_with(b"x-some"));
         let kept = header::towards_endpoint(&headers);
         kept.keys().all(|name| {
             let name = name.as_str().replace('_', "-");
-            let ended = ["connection", "te", "keep-alive", "proxy-connection", "content-length"];
-            !name.starts_with("x-bergamotshift-") && !ended.contains(&name.as_str())
+            let hop_by_hop = ["connection", "te", "keep-alive", "proxy-connection", "content-length"];
+            !name.starts_with("x-bergamotshift-") && !hop_by_hop.contains(&name.as_str())
         }) && !kept.contains_key("authorization")
-            && !(declares && kept.contains_key("x-some"))
+            && !(listed && kept.contains_key("x-some"))
     }
     checker().quickcheck(property as fn(Vec<Field>) -> bool);
 }
--- a/bergamotshift-endpoint/tests/header.rs
+++ b/bergamotshift-endpoint/tests/header.rs
@@ -1,4 +1,4 @@
-//! Headers that pass a hop, and headers that end at it.
+//! Tests which headers are forwarded and which are removed.
 
 use bergamotshift_core::attempt;
 use bergamotshift_endpoint::header;
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn what_holds_for_one_connection_ends_there() {
+fn hop_by_hop_headers_are_removed() {
     let headers = map(&[
         ("connection", "close, X-Secret"),
         ("keep-alive", "timeout=5"),
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn callers_cannot_speak_for_the_system() {
+fn keys_and_reserved_headers_of_callers_are_removed() {
     let headers = map(&[
         ("authorization", "Bearer secret"),
         ("x-bergamotshift-attempt", "00000000000000000000000000000001"),
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn attempts_are_carried_exactly() {
+fn attempt_identifiers_survive_a_round_trip() {
     let id = attempt::Id::new(0x0123_4567_89ab_cdef);
     let mut headers = HeaderMap::new();
     header::set_attempt(&mut headers, id);
@@ -63,8 +63,8 @@
 }
 
 #[test]
-fn other_spellings_end_there_too() {
-    // Servers that turn `-` into `_` read these as the headers that they resemble.
+fn header_names_with_underscores_are_removed_too() {
+    // Servers that turn `-` into `_` would read these names as the headers they resemble.
     for name in [
         "keep_alive",
         "proxy_connection",
--- a/bergamotshift-endpoint/tests/load.rs
+++ b/bergamotshift-endpoint/tests/load.rs
@@ -1,4 +1,4 @@
-//! Load reports over connections that are older than the endpoint's end.
+//! Load reports over idle connections to an endpoint that has died.
 
 use core::time::Duration;
 use std::io::Read;
@@ -12,13 +12,13 @@
 use bergamotshift_endpoint::client::Client;
 use bergamotshift_endpoint::client::Settings;
 
-/// Longer than any exchange of this file; no test waits for it to pass.
+/// Timeout that no exchange in this file reaches.
 const TIMEOUT: Duration = Duration::from_secs(20);
 
 const REPORT: &str = r#"{"running":0,"waiting":0,"slots":4}"#;
 
-/// Reads one request; returns whether there was one.
-fn request(socket: &mut TcpStream) -> bool {
+/// Reads the head of one request. Returns false when the connection ends first.
+fn read_request(socket: &mut TcpStream) -> bool {
     let mut head = Vec::new();
     let mut byte = [0];
     while !head.ends_with(b"\r\n\r\n") {
@@ -31,19 +31,19 @@
 }
 
 #[ntex::test]
-async fn a_kept_connection_does_not_hide_a_death() {
-    // An endpoint answers one question and keeps the connection. Then it dies: nothing listens any longer, and the
-    // connection ends once the next question is on its way. Who asks must learn that nothing listens there, and not
-    // that the endpoint took the question and gave no answer: only a death counts against the work that ran there.
+async fn an_idle_connection_does_not_hide_a_dead_endpoint() {
+    // An endpoint answers one request, keeps the connection open and then dies while the next request is in flight.
+    // The client must report that nothing listens, not a broken exchange: only a death is attributed to the requests
+    // that ran on the endpoint.
     drop(rustls::crypto::ring::default_provider().install_default());
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     let endpoint = thread::spawn(move || {
         let (mut socket, _) = listener.accept().unwrap();
-        assert!(request(&mut socket));
+        assert!(read_request(&mut socket));
         let length = REPORT.len();
         write!(socket, "HTTP/1.1 200 OK\r\ncontent-length: {length}\r\n\r\n{REPORT}").unwrap();
-        assert!(request(&mut socket));
+        assert!(read_request(&mut socket));
         drop(listener);
     });
     let client = Client::new(Settings::default()).unwrap();
--- a/bergamotshift-endpoint/tests/stream.rs
+++ b/bergamotshift-endpoint/tests/stream.rs
@@ -1,4 +1,4 @@
-//! Event streams: split anywhere, broken anywhere, and taken up again.
+//! Tests how event streams are split into events and resumed after a break.
 
 use bergamotshift_endpoint::engine::event::Event;
 use bergamotshift_endpoint::engine::event::Splitter;
@@ -19,7 +19,7 @@
     Event::new(Bytes::from(format!("data: {chunk}")))
 }
 
-/// Splits a stream that arrives in pieces of these lengths.
+/// Splits a stream that arrives in pieces of the given lengths.
 fn split(stream: &[u8], pieces: &[u8]) -> Vec<Event> {
     let mut splitter = Splitter::default();
     let mut events = Vec::new();
@@ -36,8 +36,8 @@
 }
 
 quickcheck! {
-    /// However a stream is cut into pieces, its events are the same.
-    fn pieces_do_not_matter(texts: Vec<String>, pieces: Vec<u8>) -> bool {
+    /// A stream gives the same events for any division into pieces.
+    fn pieces_do_not_change_events(texts: Vec<String>, pieces: Vec<u8>) -> bool {
         let events: Vec<_> = texts.iter().map(|text| chunk(text)).collect();
         let stream: Vec<u8> = events
             .iter()
@@ -46,15 +46,15 @@
         split(&stream, &pieces) == events
     }
 
-    /// No bytes make the splitter panic or lose track of what it holds.
-    fn any_bytes_are_taken(bytes: Vec<u8>, pieces: Vec<u8>) -> bool {
+    /// The splitter accepts any bytes, and its events hold no more bytes than it received.
+    fn any_bytes_are_accepted(bytes: Vec<u8>, pieces: Vec<u8>) -> bool {
         let events = split(&bytes, &pieces);
         let taken: usize = events.iter().map(|event| event.lines().len()).sum();
         taken <= bytes.len()
     }
 
-    /// Progress over any bytes either knows the text or says that it does not.
-    fn any_events_are_noted(bytes: Vec<u8>) -> bool {
+    /// Progress over any bytes is either parsed or reported as opaque.
+    fn any_events_are_recorded(bytes: Vec<u8>) -> bool {
         let mut progress = Progress::default();
         progress.record(&Event::new(Bytes::from(bytes)));
         progress.parse_pending();
@@ -63,9 +63,9 @@
 }
 
 #[test]
-fn what_was_delivered_is_the_beginning_of_what_follows() {
-    // Wherever a stream breaks, the text that the next engine is given is exactly what the caller has, and the bound
-    // on the length is less by exactly the tokens that the caller has.
+fn a_continuation_starts_with_the_delivered_text() {
+    // Wherever a stream breaks, the next engine receives exactly the text that the caller has, and the length limit is
+    // reduced by exactly the number of tokens that the caller has.
     fn property(texts: Vec<String>, limit: u16) -> TestResult {
         let texts: Vec<_> = texts.into_iter().filter(|text| !text.is_empty()).collect();
         let limit = u64::from(limit) + texts.len() as u64 + 1;
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn only_what_an_engine_can_continue_is_continued() {
+fn requests_that_engines_cannot_continue_are_not_resumed() {
     let mut progress = Progress::default();
     progress.record(&chunk("a"));
     progress.parse_pending();
@@ -110,7 +110,7 @@
 }
 
 #[test]
-fn an_answer_that_the_caller_began_is_extended() {
+fn an_answer_started_by_the_caller_is_extended() {
     let mut progress = Progress::default();
     progress.record(&chunk(" b"));
     progress.parse_pending();
@@ -126,7 +126,7 @@
 }
 
 #[test]
-fn a_stream_that_lacks_only_its_end_is_whole() {
+fn a_stream_that_lacks_only_its_end_is_complete() {
     let mut progress = Progress::default();
     progress.record(&chunk("a"));
     progress.parse_pending();
@@ -144,7 +144,7 @@
 }
 
 #[test]
-fn a_continuation_keeps_the_first_identifier_and_drops_its_opening() {
+fn a_continuation_keeps_the_first_identifier_and_drops_its_first_chunk() {
     let opening = json!({"id": "two", "choices": [{"delta": {"role": "assistant", "content": ""}}]});
     let opening = Event::new(Bytes::from(format!("data: {opening}")));
     assert_eq!(resume::rewrite(opening, "one", 0), None);
@@ -163,7 +163,7 @@
 }
 
 #[test]
-fn comments_are_no_events_and_line_ends_may_differ() {
+fn comments_are_skipped_and_line_endings_may_differ() {
     let events = split(b": still there\n\ndata: one\r\n\r\ndata: [DONE]\n\n", &[]);
     assert_eq!(events.len(), 2);
     assert_eq!(events[0].data(), Some(&b"one"[..]));
