--- a/bergamotshift-link/src/node/mod.rs
+++ b/bergamotshift-link/src/node/mod.rs
@@ -1,4 +1,4 @@
-//! One entry's end of the link.
+//! Node that connects an entry to other entries.
 
 mod peers;
 mod receive;
@@ -22,58 +22,60 @@
 use crate::identity::Identity;
 use peers::Peers;
 
-/// Most bytes of a question or an answer.
+/// Maximum size of a question or an answer, in bytes.
 pub const MAX_MESSAGE: usize = 16 * 1_024 * 1_024;
 
-/// How much of a question or an answer has to go over within each time that it may take, in bytes: a configuration's content
-/// and a caller's body may take longer than that over a narrow link, and are as good as lost when they hardly move.
+/// Minimum number of bytes that must be transferred in each timeout interval for an exchange to continue.
+///
+/// Configuration content and callers' bodies may take longer than one interval over a slow connection. An exchange that
+/// transfers less is treated as lost.
 pub const MIN_TRANSFER_BYTES: usize = 64 * 1_024;
 
-/// Why something did not go over the link.
+/// Reason why an exchange with a peer failed.
 #[derive(Debug)]
 #[derive(Error)]
 pub enum Error {
     /// The identity cannot be used.
     #[error(transparent)]
     Identity(#[from] identity::Error),
-    /// The socket cannot be opened.
-    #[error("the link cannot listen: {0}")]
+    /// The UDP socket cannot be opened.
+    #[error("cannot listen for other entries: {0}")]
     Listen(#[from] std::io::Error),
-    /// The address cannot be connected to.
-    #[error("no connection: {0}")]
+    /// No connection to the address can be started.
+    #[error("cannot connect to the peer: {0}")]
     Connect(#[from] quinn::ConnectError),
-    /// The connection failed, as it does when either side does not trust the other.
-    #[error("the connection failed: {0}")]
+    /// The connection failed, for example because one side does not trust the other's certificate.
+    #[error("the connection to the peer failed: {0}")]
     Connection(#[from] quinn::ConnectionError),
-    /// The question could not be sent.
-    #[error("the question could not be sent: {0}")]
+    /// The question or frame could not be sent.
+    #[error("the message could not be sent to the peer: {0}")]
     Write(#[from] quinn::WriteError),
-    /// No whole answer came.
-    #[error("no whole answer came: {0}")]
+    /// The answer could not be read to its end.
+    #[error("the answer could not be read to its end: {0}")]
     Read(#[from] quinn::ReadToEndError),
-    /// The peer ended the stream before it had everything.
-    #[error("the peer went away: {0}")]
+    /// The peer did not acknowledge the whole frame.
+    #[error("the peer did not acknowledge the frame: {0}")]
     Stopped(#[from] quinn::StoppedError),
-    /// The answer took too long.
-    #[error("no answer came in time")]
+    /// The peer did not respond in time.
+    #[error("the peer did not respond in time")]
     Timeout,
     /// The message is larger than [`MAX_MESSAGE`].
-    #[error("a message of {0} bytes is too large")]
+    #[error("a message of {0} bytes exceeds the maximum of {MAX_MESSAGE} bytes")]
     Size(usize),
 }
 
-/// How a node listens and what it allows.
+/// Settings of a node's socket, connections and queues.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// The UDP address; port 0 takes any free one.
+    /// UDP address to listen on. Port 0 selects a free port.
     pub listen: SocketAddr,
-    /// A connection without traffic is closed after this.
+    /// Time without traffic after which a connection is closed.
     pub idle_timeout: Duration,
-    /// A connection has to be there after this.
+    /// Timeout for opening a connection.
     pub connect_timeout: Duration,
-    /// Frames that wait for the kernel; more are dropped, as on a lossy network.
+    /// Maximum number of received messages in the queue. Datagrams beyond it are dropped, as on a lossy network.
     pub max_incoming: usize,
-    /// Frames that wait for a connection to one peer; more are dropped.
+    /// Maximum number of queued frames per peer. Further frames are dropped.
     pub max_queued: usize,
 }
 
@@ -89,56 +91,56 @@
     }
 }
 
-/// What arrives from authenticated entries.
+/// Message from an authenticated entry.
 #[derive(Debug)]
 pub enum Incoming {
-    /// A frame for the fleet kernel.
+    /// Frame for the fleet kernel.
     Frame {
-        /// Where the sender's link listens.
+        /// Address of the sender's node.
         from: SocketAddr,
-        /// The frame.
+        /// Bytes of the frame.
         bytes: Vec<u8>,
     },
-    /// A question that wants an answer.
+    /// Question that expects an answer.
     Question {
-        /// Where the asker's link listens.
+        /// Address of the asker's node.
         from: SocketAddr,
-        /// The question.
+        /// Bytes of the question.
         bytes: Vec<u8>,
-        /// Takes the answer; dropped, it resets the stream.
+        /// Channel for the answer. Dropping it resets the stream.
         answer: oneshot::Sender<Vec<u8>>,
     },
 }
 
-/// Bytes over the open connections, UDP payload without IP and UDP headers.
+/// Traffic over the open connections. Bytes are UDP payload, without IP and UDP headers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Traffic {
-    /// Open connections.
+    /// Number of open connections.
     pub connections: usize,
-    /// Bytes sent.
+    /// Number of bytes sent.
     pub sent: u64,
-    /// Bytes received.
+    /// Number of bytes received.
     pub received: u64,
-    /// Datagrams sent and received.
+    /// Number of UDP datagrams sent and received.
     pub datagrams: u64,
 }
 
-/// One entry's end of the link; clones share it.
+/// Node that exchanges messages with other entries. Clones share one socket.
 #[derive(Clone, Debug)]
 pub struct Node {
     peers: Arc<Peers>,
 }
 
 impl Node {
-    /// Opens the socket and starts to listen on the current runtime.
+    /// Opens the socket and starts to accept connections on the current runtime.
     ///
     /// # Errors
     ///
-    /// Returns an error when the identity does not fit together or the address is taken.
+    /// Returns an error when the identity cannot be used or the socket cannot be opened.
     ///
     /// # Panics
     ///
-    /// Panics outside of a tokio runtime.
+    /// Panics outside a Tokio runtime.
     pub fn bind(
         settings: &Settings,
         identity: &Identity,
@@ -151,51 +153,53 @@
         Ok((Self { peers }, receiver))
     }
 
-    /// Returns the address that the socket got.
+    /// Returns the local address of the socket.
     ///
     /// # Errors
     ///
-    /// Returns an error when the system does not know it.
+    /// Returns an error when the operating system does not report it.
     pub fn address(&self) -> Result<SocketAddr, Error> {
         Ok(self.peers.endpoint.local_addr()?)
     }
 
-    /// Sends a frame, and opens a connection when there is none; nobody hears whether it arrived.
+    /// Sends a frame without confirmation, and opens a connection if there is none.
     ///
-    /// A datagram may get lost; so does a frame for a peer that cannot be reached.
-    pub fn send(&self, to: SocketAddr, way: Transport, bytes: Vec<u8>) {
-        self.peers.send(to, way, bytes);
+    /// A datagram may be lost, and a frame for a peer that cannot be reached is dropped.
+    pub fn send(&self, to: SocketAddr, transport: Transport, bytes: Vec<u8>) {
+        self.peers.send(to, transport, bytes);
     }
 
-    /// Sends a frame and waits until the peer has it, as long as it keeps moving.
+    /// Sends a frame and waits until the peer has acknowledged it.
     ///
     /// # Errors
     ///
-    /// Returns an error when the peer does not acknowledge it in time: `within`, and as much again for each [`MIN_TRANSFER_BYTES`].
-    pub async fn deliver(&self, to: SocketAddr, bytes: &[u8], within: Duration) -> Result<(), Error> {
-        let moved = AtomicUsize::new(0);
-        moving(within, &moved, self.peers.deliver(to, bytes, &moved)).await
+    /// Returns an error when the peer cannot be reached or does not acknowledge the frame in time. The timeout starts
+    /// again if at least [`MIN_TRANSFER_BYTES`] were transferred during it.
+    pub async fn deliver(&self, to: SocketAddr, bytes: &[u8], timeout: Duration) -> Result<(), Error> {
+        let transferred = AtomicUsize::new(0);
+        await_transfer(timeout, &transferred, self.peers.deliver(to, bytes, &transferred)).await
     }
 
-    /// Asks a peer and waits for its answer, as long as that or the question keeps moving.
+    /// Sends a question to a peer and waits for its answer.
     ///
     /// # Errors
     ///
-    /// Returns an error when the peer cannot be reached, does not trust this entry or is not trusted, or does not
-    /// answer in time: `within`, and as much again for each [`MIN_TRANSFER_BYTES`]. The question may have been acted on all the same.
-    pub async fn ask(&self, to: SocketAddr, question: &[u8], within: Duration) -> Result<Vec<u8>, Error> {
+    /// Returns an error when the question exceeds [`MAX_MESSAGE`], when the peer cannot be reached, when either side
+    /// does not trust the other, or when the peer does not answer in time. The timeout starts again if at least
+    /// [`MIN_TRANSFER_BYTES`] were transferred during it. The peer may have acted on the question despite an error.
+    pub async fn ask(&self, to: SocketAddr, question: &[u8], timeout: Duration) -> Result<Vec<u8>, Error> {
         if question.len() > MAX_MESSAGE {
             return Err(Error::Size(question.len()));
         }
-        let moved = AtomicUsize::new(0);
-        moving(within, &moved, self.peers.ask(to, question, &moved)).await
+        let transferred = AtomicUsize::new(0);
+        await_transfer(timeout, &transferred, self.peers.ask(to, question, &transferred)).await
     }
 
-    /// Takes a renewed certificate for connections from now on; open ones stay.
+    /// Uses a renewed certificate for new connections. Open connections keep the old one.
     ///
     /// # Errors
     ///
-    /// Returns an error, and keeps the old identity, when the new one does not fit together.
+    /// Returns an error and keeps the old identity when the new one cannot be used.
     pub fn renew(&self, identity: &Identity) -> Result<(), Error> {
         let (server, client) = transport::configs(&self.peers.settings, identity)?;
         self.peers.endpoint.set_server_config(Some(server));
@@ -203,35 +207,35 @@
         Ok(())
     }
 
-    /// Returns what went over the open connections.
+    /// Returns the traffic over the open connections.
     pub fn traffic(&self) -> Traffic {
         self.peers.traffic()
     }
 
-    /// Closes all connections and waits until the peers were told.
+    /// Closes all connections and waits until the close has been sent to the peers.
     pub async fn close(&self) {
         self.peers.endpoint.close(transport::CLOSED, b"leaving");
         self.peers.endpoint.wait_idle().await;
     }
 }
 
-/// Waits for something to go over, for as long as it keeps pace.
-async fn moving<T>(
-    within: Duration,
-    moved: &AtomicUsize,
-    going: impl Future<Output = Result<T, Error>>,
+/// Waits for a transfer as long as at least [`MIN_TRANSFER_BYTES`] move in each timeout interval.
+async fn await_transfer<T>(
+    timeout: Duration,
+    transferred: &AtomicUsize,
+    transfer: impl Future<Output = Result<T, Error>>,
 ) -> Result<T, Error> {
-    let pace = Throughput {
+    let throughput = Throughput {
         bytes: MIN_TRANSFER_BYTES,
-        within,
+        within: timeout,
     };
-    let mut watch = pace.monitor();
-    let mut going = pin!(going);
+    let mut monitor = throughput.monitor();
+    let mut transfer = pin!(transfer);
     loop {
-        if let Ok(gone) = tokio::time::timeout(within, going.as_mut()).await {
-            return gone;
+        if let Ok(result) = tokio::time::timeout(timeout, transfer.as_mut()).await {
+            return result;
         }
-        if !watch.is_sustained(moved.load(Relaxed)) {
+        if !monitor.is_sustained(transferred.load(Relaxed)) {
             return Err(Error::Timeout);
         }
     }
--- a/bergamotshift-link/src/node/peers.rs
+++ b/bergamotshift-link/src/node/peers.rs
@@ -1,4 +1,4 @@
-//! Connections to other entries, opened when they are needed.
+//! Connections to other entries, opened on first use.
 
 use core::net::SocketAddr;
 use core::sync::atomic::AtomicUsize;
@@ -28,13 +28,13 @@
 use super::receive;
 use crate::identity::SERVER_NAME;
 
-/// The most bytes that are taken off a stream at a time.
-const READ: usize = 64 * 1_024;
+/// Maximum number of bytes read from a stream at a time.
+const MAX_READ: usize = 64 * 1_024;
 
-/// A frame on its way out.
+/// Frame to send, with its transport.
 type Outgoing = (Transport, Vec<u8>);
 
-/// All peers of a node.
+/// Connections and queues of a node for all its peers.
 #[derive(Debug)]
 pub(super) struct Peers {
     pub(super) endpoint: Endpoint,
@@ -72,41 +72,42 @@
         })
     }
 
-    /// Queues a frame for a peer; a full queue drops it.
-    pub(super) fn send(self: &Arc<Self>, to: SocketAddr, way: Transport, bytes: Vec<u8>) {
+    /// Queues a frame for a peer. A full queue drops it.
+    pub(super) fn send(self: &Arc<Self>, to: SocketAddr, transport: Transport, bytes: Vec<u8>) {
         let mut state = self.lock();
-        let mut outgoing = (way, bytes);
+        let mut outgoing = (transport, bytes);
         if let Some(queue) = state.queues.get(&to) {
             match queue.try_send(outgoing) {
                 Ok(()) | Err(mpsc::error::TrySendError::Full(_)) => return,
-                Err(mpsc::error::TrySendError::Closed(back)) => outgoing = back,
+                Err(mpsc::error::TrySendError::Closed(returned)) => outgoing = returned,
             }
         }
         let (sender, receiver) = mpsc::channel(self.settings.max_queued);
-        // A fresh queue takes at least one frame.
+        // A new queue accepts at least one frame.
         drop(sender.try_send(outgoing));
         state.queues.insert(to, sender);
         drop(state);
-        tokio::spawn(Arc::clone(self).carry(to, receiver));
+        tokio::spawn(Arc::clone(self).send_queued(to, receiver));
     }
 
-    /// Carries frames to one peer until nothing was sent for as long as a connection may be idle.
-    async fn carry(self: Arc<Self>, to: SocketAddr, mut queue: mpsc::Receiver<Outgoing>) {
-        while let Ok(Some((way, bytes))) = tokio::time::timeout(self.settings.idle_timeout, queue.recv()).await {
+    /// Sends the queued frames of one peer until none has been queued for the idle timeout.
+    async fn send_queued(self: Arc<Self>, to: SocketAddr, mut queue: mpsc::Receiver<Outgoing>) {
+        while let Ok(Some((transport, bytes))) = tokio::time::timeout(self.settings.idle_timeout, queue.recv()).await {
             match self.connection(to).await {
-                Ok(connection) => self.put(&connection, way, bytes),
+                Ok(connection) => self.send_now(&connection, transport, bytes),
                 Err(error) => {
                     debug!(self.log, "a peer cannot be reached"; "peer" => %to, "error" => %error);
-                    // What waited for this connection is as late as what was lost.
+                    // The frames that waited for this connection are as outdated as the lost one.
                     while queue.try_recv().is_ok() {}
                 }
             }
         }
     }
 
-    fn put(&self, connection: &Connection, way: Transport, bytes: Vec<u8>) {
-        let fits = connection.max_datagram_size().is_some_and(|most| bytes.len() <= most);
-        if way == Transport::Datagram && fits {
+    /// Sends a frame as a datagram if it fits, otherwise on a stream.
+    fn send_now(&self, connection: &Connection, transport: Transport, bytes: Vec<u8>) {
+        let fits = connection.max_datagram_size().is_some_and(|size| bytes.len() <= size);
+        if transport == Transport::Datagram && fits {
             if let Err(error) = connection.send_datagram(bytes.into()) {
                 debug!(self.log, "a frame was not sent"; "error" => %error);
             }
@@ -115,43 +116,43 @@
         let connection = connection.clone();
         let log = self.log.clone();
         tokio::spawn(async move {
-            if let Err(error) = put_stream(&connection, &bytes).await {
+            if let Err(error) = send_stream(&connection, &bytes).await {
                 debug!(log, "a frame was not sent"; "error" => %error);
             }
         });
     }
 
-    /// Delivers a frame; `moved` is how much of it has gone over so far, in bytes.
+    /// Delivers a frame and counts the bytes sent so far in `transferred`.
     pub(super) async fn deliver(
         self: &Arc<Self>,
         to: SocketAddr,
         bytes: &[u8],
-        moved: &AtomicUsize,
+        transferred: &AtomicUsize,
     ) -> Result<(), Error> {
         let connection = self.connection(to).await?;
         let mut stream = connection.open_uni().await?;
-        write(&mut stream, bytes, moved).await?;
+        write(&mut stream, bytes, transferred).await?;
         drop(stream.finish());
         stream.stopped().await?;
         Ok(())
     }
 
-    /// Asks a peer; `moved` is how much of the question and its answer has gone over so far, in bytes.
+    /// Sends a question and reads its answer, and counts the bytes sent and received so far in `transferred`.
     pub(super) async fn ask(
         self: &Arc<Self>,
         to: SocketAddr,
         question: &[u8],
-        moved: &AtomicUsize,
+        transferred: &AtomicUsize,
     ) -> Result<Vec<u8>, Error> {
         let connection = self.connection(to).await?;
-        let (mut out, mut back) = connection.open_bi().await?;
-        write(&mut out, question, moved).await?;
-        // The other side may have reset the stream; then no answer comes, and reading says so.
-        drop(out.finish());
-        Ok(read(&mut back, moved).await?)
+        let (mut question_stream, mut answer_stream) = connection.open_bi().await?;
+        write(&mut question_stream, question, transferred).await?;
+        // If the peer has reset the stream, no answer follows and the read below fails.
+        drop(question_stream.finish());
+        Ok(read(&mut answer_stream, transferred).await?)
     }
 
-    /// Returns an open connection, or opens one.
+    /// Returns the open connection to a peer, or opens one.
     async fn connection(self: &Arc<Self>, to: SocketAddr) -> Result<Connection, Error> {
         let open = self.lock().connections.get(&to).cloned();
         if let Some(open) = open.filter(|open| open.close_reason().is_none()) {
@@ -162,12 +163,12 @@
         let connection = tokio::time::timeout(self.settings.connect_timeout, connecting)
             .await
             .or(Err(Error::Timeout))??;
-        self.adopt(connection.clone());
+        self.add(connection.clone());
         Ok(connection)
     }
 
-    /// Keeps a connection and starts to read from it.
-    pub(super) fn adopt(self: &Arc<Self>, connection: Connection) {
+    /// Stores a connection, forgets closed ones and starts to read from it.
+    pub(super) fn add(self: &Arc<Self>, connection: Connection) {
         let mut state = self.lock();
         state.connections.retain(|_, other| other.close_reason().is_none());
         state
@@ -177,7 +178,7 @@
         tokio::spawn(receive::read(Arc::clone(self), connection));
     }
 
-    /// Calls peers with a renewed identity from now on.
+    /// Uses a renewed identity for new connections.
     pub(super) fn renew(&self, client: ClientConfig) {
         self.lock().client = client;
     }
@@ -200,36 +201,36 @@
     }
 
     fn lock(&self) -> std::sync::MutexGuard<'_, State> {
-        // The maps are whole after every step, so a panic elsewhere leaves nothing half done.
+        // The maps are consistent after every step, so a panic elsewhere leaves no partial change.
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-async fn put_stream(connection: &Connection, bytes: &[u8]) -> Result<(), Error> {
+async fn send_stream(connection: &Connection, bytes: &[u8]) -> Result<(), Error> {
     let mut stream = connection.open_uni().await?;
     stream.write_all(bytes).await?;
     drop(stream.finish());
     Ok(())
 }
 
-/// Writes all of a message, and counts what went.
-async fn write(stream: &mut SendStream, mut bytes: &[u8], moved: &AtomicUsize) -> Result<(), WriteError> {
+/// Writes a whole message and counts the bytes written.
+async fn write(stream: &mut SendStream, mut bytes: &[u8], transferred: &AtomicUsize) -> Result<(), WriteError> {
     while !bytes.is_empty() {
         let length = stream.write(bytes).await?;
-        moved.fetch_add(length, Relaxed);
+        transferred.fetch_add(length, Relaxed);
         bytes = &bytes[length..];
     }
     Ok(())
 }
 
-/// Reads a message to its end, and counts what came.
-async fn read(stream: &mut RecvStream, moved: &AtomicUsize) -> Result<Vec<u8>, ReadToEndError> {
+/// Reads a message to its end and counts the bytes read.
+async fn read(stream: &mut RecvStream, transferred: &AtomicUsize) -> Result<Vec<u8>, ReadToEndError> {
     let mut message = Vec::new();
-    while let Some(chunk) = stream.read_chunk(READ, true).await? {
+    while let Some(chunk) = stream.read_chunk(MAX_READ, true).await? {
         if message.len() + chunk.bytes.len() > MAX_MESSAGE {
             return Err(ReadToEndError::TooLong);
         }
-        moved.fetch_add(chunk.bytes.len(), Relaxed);
+        transferred.fetch_add(chunk.bytes.len(), Relaxed);
         message.extend_from_slice(&chunk.bytes);
     }
     Ok(message)
--- a/bergamotshift-link/tests/loopback.rs
+++ b/bergamotshift-link/tests/loopback.rs
@@ -1,4 +1,4 @@
-//! Nodes over real sockets: what they carry, and whom they refuse.
+//! Nodes over real sockets: delivery of messages and rejection of untrusted entries.
 
 mod support;
 
@@ -10,7 +10,7 @@
 use support::Authority;
 use support::bind;
 
-const PATIENCE: Duration = Duration::from_secs(10);
+const TIMEOUT: Duration = Duration::from_secs(10);
 
 #[tokio::test]
 async fn datagrams_and_streams_arrive_both_ways_over_one_connection() {
@@ -19,17 +19,17 @@
     let (second, mut to_second) = bind(&authority.issue(&authority));
     let (first_at, second_at) = (first.address().unwrap(), second.address().unwrap());
 
-    for (way, length) in [
+    for (transport, length) in [
         (Transport::Datagram, 300),
         (Transport::Stream, 40_000),
         (Transport::Datagram, 1_100),
     ] {
-        first.send(second_at, way, vec![7; length]);
+        first.send(second_at, transport, vec![7; length]);
         let Some(Incoming::Frame { from, bytes }) = to_second.recv().await else {
             panic!("a frame was expected");
         };
         assert_eq!((from, bytes), (first_at, vec![7; length]));
-        second.send(from, way, vec![8; length]);
+        second.send(from, transport, vec![8; length]);
         let Some(Incoming::Frame { from, bytes }) = to_first.recv().await else {
             panic!("a frame was expected");
         };
@@ -40,7 +40,7 @@
 }
 
 #[tokio::test]
-async fn a_question_gets_its_answer_and_a_dropped_one_fails_at_once() {
+async fn a_question_is_answered_and_a_dropped_one_fails_immediately() {
     let authority = Authority::new();
     let (asker, _frames) = bind(&authority.issue(&authority));
     let (answerer, mut questions) = bind(&authority.issue(&authority));
@@ -56,9 +56,9 @@
         }
     };
     let asking = async {
-        let answer = asker.ask(to, b"answer", PATIENCE).await.unwrap();
+        let answer = asker.ask(to, b"answer", TIMEOUT).await.unwrap();
         assert_eq!(answer, vec![9; 2_000_000]);
-        let error = asker.ask(to, b"drop", PATIENCE).await.unwrap_err();
+        let error = asker.ask(to, b"drop", TIMEOUT).await.unwrap_err();
         assert!(matches!(error, Error::Read(_)), "{error}");
     };
     tokio::join!(answering, asking);
@@ -66,75 +66,75 @@
 
 #[tokio::test]
 async fn an_entry_without_a_valid_certificate_sends_and_learns_nothing() {
-    // A stranger has a certificate of its own authority. In one case it trusts the fleet's authority, so that it gets
-    // as far as it can; in the other it does not. Its frames must not arrive, its questions not be seen, and when the
-    // fleet's entry calls it by mistake, it must not be told anything either.
+    // A stranger has a certificate of another authority. In the first case it trusts the fleet's authority, in the
+    // second it does not. Its frames and questions must not arrive, and it must not receive anything when an entry of
+    // the fleet connects to it by mistake.
     let authority = Authority::new();
     let other = Authority::new();
     for trusted in [&authority, &other] {
         let (stranger, mut to_stranger) = bind(&other.issue(trusted));
         let (entry, mut to_entry) = bind(&authority.issue(&authority));
-        let at = entry.address().unwrap();
+        let address = entry.address().unwrap();
 
-        stranger.send(at, Transport::Datagram, b"let me in".to_vec());
-        let error = stranger.ask(at, b"who is there", PATIENCE).await.unwrap_err();
+        stranger.send(address, Transport::Datagram, b"let me in".to_vec());
+        let error = stranger.ask(address, b"who is there", TIMEOUT).await.unwrap_err();
         assert!(!matches!(error, Error::Timeout), "{error}");
         entry
-            .ask(stranger.address().unwrap(), b"a secret", PATIENCE)
+            .ask(stranger.address().unwrap(), b"a secret", TIMEOUT)
             .await
             .unwrap_err();
         entry.send(stranger.address().unwrap(), Transport::Datagram, b"a secret".to_vec());
 
-        // A good peer's frame comes after all that; nothing may have come before it.
+        // The frame of a trusted peer, sent last, must be the first message to arrive.
         let (peer, _frames) = bind(&authority.issue(&authority));
-        peer.send(at, Transport::Datagram, b"hello".to_vec());
+        peer.send(address, Transport::Datagram, b"hello".to_vec());
         let Some(Incoming::Frame { from, bytes }) = to_entry.recv().await else {
             panic!("a frame was expected");
         };
         assert_eq!((from, bytes), (peer.address().unwrap(), b"hello".to_vec()));
         stranger.close().await;
         drop(stranger);
-        let told = to_stranger.try_recv().ok();
-        assert!(told.is_none(), "the stranger was told {told:?}");
+        let received = to_stranger.try_recv().ok();
+        assert!(received.is_none(), "the stranger received {received:?}");
     }
 }
 
 #[tokio::test]
-async fn a_handshake_costs_no_more_than_the_fleet_counts_for_it() {
-    // The fleet's tests in virtual time count 7,200 bytes per handshake, sent and received together.
-    const COUNTED: u64 = 7_200;
-    const IP_AND_UDP: u64 = 28;
+async fn a_handshake_stays_within_the_bytes_that_fleet_tests_assume() {
+    // The fleet tests in virtual time assume 7,200 bytes per handshake, sent and received together.
+    const MAX_BYTES: u64 = 7_200;
+    const IP_AND_UDP_HEADER_BYTES: u64 = 28;
     let authority = Authority::new();
     let (first, _frames) = bind(&authority.issue(&authority));
     let (second, mut to_second) = bind(&authority.issue(&authority));
     first.send(second.address().unwrap(), Transport::Datagram, vec![1; 10]);
     to_second.recv().await.unwrap();
     let traffic = first.traffic();
-    let bytes = traffic.sent + traffic.received + traffic.datagrams * IP_AND_UDP;
-    assert!(bytes <= COUNTED, "{bytes} bytes in {} datagrams", traffic.datagrams);
+    let bytes = traffic.sent + traffic.received + traffic.datagrams * IP_AND_UDP_HEADER_BYTES;
+    assert!(bytes <= MAX_BYTES, "{bytes} bytes in {} datagrams", traffic.datagrams);
 }
 
 #[tokio::test]
 async fn a_peer_that_restarts_at_its_address_is_reached_again() {
-    // The connection of the old life is still open at the sender when the new one answers at the same address. Frames
-    // into the dead connection are lost, as datagrams may be, until the sender notices; then it connects anew.
+    // The sender's connection to the old process is still open when a new one listens at the same address. Frames
+    // on the dead connection are lost, as datagrams may be, until the sender notices and opens a new connection.
     let authority = Authority::new();
     let (sender, _frames) = bind(&authority.issue(&authority));
     let (old, mut to_old) = bind(&authority.issue(&authority));
-    let at = old.address().unwrap();
-    sender.send(at, Transport::Datagram, b"old".to_vec());
+    let address = old.address().unwrap();
+    sender.send(address, Transport::Datagram, b"old".to_vec());
     to_old.recv().await.unwrap();
     old.close().await;
     drop((old, to_old));
 
     let settings = bergamotshift_link::node::Settings {
-        listen: at,
+        listen: address,
         ..Default::default()
     };
     let log = slog::Logger::root(slog::Discard, slog::o!());
     let identity = authority.issue(&authority);
     let (_new, mut to_new) = loop {
-        // The old socket is released when its last task ends.
+        // The old socket is released only when its last task ends.
         match bergamotshift_link::node::Node::bind(&settings, &identity, log.clone()) {
             Ok(bound) => break bound,
             Err(Error::Listen(_)) => tokio::task::yield_now().await,
@@ -142,22 +142,22 @@
         }
     };
     let mut interval = tokio::time::interval(Duration::from_millis(10));
-    let arrived = tokio::time::timeout(PATIENCE, async {
+    let arrived = tokio::time::timeout(TIMEOUT, async {
         loop {
             tokio::select! {
-                _ = interval.tick() => sender.send(at, Transport::Datagram, b"new".to_vec()),
+                _ = interval.tick() => sender.send(address, Transport::Datagram, b"new".to_vec()),
                 incoming = to_new.recv() => break incoming,
             }
         }
     });
     let Ok(Some(Incoming::Frame { bytes, .. })) = arrived.await else {
-        panic!("the new life was not reached");
+        panic!("the restarted peer was not reached");
     };
     assert_eq!(bytes, b"new");
 }
 
 #[test]
-fn broken_identities_are_refused_with_a_reason() {
+fn invalid_identities_are_rejected_with_a_reason() {
     use bergamotshift_link::identity::Identity;
     let error = Identity::from_pem(b"", b"nonsense", b"").unwrap_err();
     assert!(error.to_string().contains("private key"), "{error}");
--- a/bergamotshift-link/tests/narrow.rs
+++ b/bergamotshift-link/tests/narrow.rs
@@ -1,4 +1,4 @@
-//! Answers that take longer over a narrow link than a question may.
+//! Answers over a slow link that take longer than the timeout.
 
 mod support;
 
@@ -14,36 +14,36 @@
 use support::Authority;
 use support::bind;
 
-/// How long a question may take: far less than its answer does.
-const PATIENCE: Duration = Duration::from_millis(400);
+/// Timeout for a question, much shorter than the transfer of its answer.
+const TIMEOUT: Duration = Duration::from_millis(400);
 
-/// The answer, in bytes.
-const LENGTH: usize = 2_000_000;
+/// Length of the answer in bytes.
+const ANSWER_LENGTH: usize = 2_000_000;
 
-/// The time that each datagram of the answer takes: a megabyte a second.
-const GAP: Duration = Duration::from_micros(1_200);
+/// Delay of each datagram of the answer, which limits the link to about one megabyte per second.
+const DATAGRAM_DELAY: Duration = Duration::from_micros(1_200);
 
-/// Starts a narrow link to a node, and returns its address.
-fn link(to: SocketAddr) -> SocketAddr {
+/// Starts a slow UDP proxy to a node and returns its address.
+fn slow_proxy(to: SocketAddr) -> SocketAddr {
     let near = Arc::new(UdpSocket::bind("127.0.0.1:0").unwrap());
     let far = Arc::new(UdpSocket::bind("127.0.0.1:0").unwrap());
     far.connect(to).unwrap();
     let address = near.local_addr().unwrap();
     let asker = Arc::new(Mutex::new(None));
-    let (back, from, whom) = (Arc::clone(&near), Arc::clone(&far), Arc::clone(&asker));
+    let (back, from, to_asker) = (Arc::clone(&near), Arc::clone(&far), Arc::clone(&asker));
     thread::spawn(move || {
         let mut datagram = vec![0; 65_536];
         while let Ok((length, from)) = near.recv_from(&mut datagram) {
             *asker.lock().unwrap() = Some(from);
-            // Whoever ended is not there any more.
+            // Sending fails once the node has ended.
             let _ = far.send(&datagram[..length]);
         }
     });
     thread::spawn(move || {
         let mut datagram = vec![0; 65_536];
         while let Ok(length) = from.recv(&mut datagram) {
-            thread::sleep(GAP);
-            if let Some(asker) = *whom.lock().unwrap() {
+            thread::sleep(DATAGRAM_DELAY);
+            if let Some(asker) = *to_asker.lock().unwrap() {
                 let _ = back.send_to(&datagram[..length], asker);
             }
         }
@@ -51,22 +51,21 @@
     address
 }
 
-/// An entry on a narrow link serves its callers by an old configuration, although others have the newest.
+/// An entry on a slow link must not keep an old configuration because the new content takes longer than the timeout.
 ///
-/// The configuration's content has grown, and takes longer over the link than a question may. The question was given up
-/// although the answer was coming, and asked anew from its start. Now it is waited for while it moves; a peer that is silent
-/// is given up after the same time as ever.
+/// A fixed timeout would abort the transfer and start it again from the beginning each time. The timeout is extended
+/// while the answer makes progress; a silent peer still fails after one timeout.
 #[tokio::test]
 async fn a_long_answer_that_keeps_moving_arrives() {
     let authority = Authority::new();
     let (asker, _frames) = bind(&authority.issue(&authority));
     let (answerer, mut questions) = bind(&authority.issue(&authority));
-    let to = link(answerer.address().unwrap());
+    let to = slow_proxy(answerer.address().unwrap());
     let answering = async {
         let mut silent = None;
         while let Some(Incoming::Question { bytes, answer, .. }) = questions.recv().await {
             if bytes == b"content" {
-                answer.send(vec![9; LENGTH]).unwrap();
+                answer.send(vec![9; ANSWER_LENGTH]).unwrap();
             } else {
                 silent = Some(answer);
             }
@@ -74,13 +73,13 @@
         drop(silent);
     };
     let asking = async {
-        let answer = asker.ask(to, b"content", PATIENCE).await.unwrap();
-        assert_eq!(answer.len(), LENGTH);
-        let error = asker.ask(to, b"silence", PATIENCE).await.unwrap_err();
+        let answer = asker.ask(to, b"content", TIMEOUT).await.unwrap();
+        assert_eq!(answer.len(), ANSWER_LENGTH);
+        let error = asker.ask(to, b"silence", TIMEOUT).await.unwrap_err();
         assert!(matches!(error, Error::Timeout), "{error}");
     };
     tokio::select! {
-        () = answering => unreachable!("the answerer stands"),
+        () = answering => unreachable!("the answerer never ends"),
         () = asking => {}
     }
 }
--- a/bergamotshift-link/tests/support/mod.rs
+++ b/bergamotshift-link/tests/support/mod.rs
@@ -1,6 +1,6 @@
-//! A private authority and nodes on loopback.
+//! Private certificate authority and nodes on the loopback interface.
 
-#![allow(dead_code, reason = "each test file uses its own part")]
+#![allow(dead_code, reason = "each test file uses only some of the helpers")]
 
 use bergamotshift_link::identity::Identity;
 use bergamotshift_link::identity::SERVER_NAME;
@@ -17,7 +17,7 @@
 use slog::o;
 use tokio::sync::mpsc;
 
-/// A private authority.
+/// Private certificate authority.
 pub struct Authority(CertifiedIssuer<'static, KeyPair>);
 
 impl Authority {
@@ -28,7 +28,7 @@
         Self(issuer.unwrap())
     }
 
-    /// Issues an entry's certificate; the entry trusts `trusted`.
+    /// Issues an entry's identity that trusts the authority `trusted`.
     pub fn issue(&self, trusted: &Self) -> Identity {
         let key = KeyPair::generate().unwrap();
         let params = CertificateParams::new([SERVER_NAME.to_owned()]).unwrap();
