--- a/bergamotshift-capacity/src/policy/peak.rs
+++ b/bergamotshift-capacity/src/policy/peak.rs
@@ -16,17 +16,17 @@
 use crate::market::Offer;
 
 plugin::inventory::submit! {
-    Kind { name: "static-peak", build: |settings| Box::new(StaticPeak { settings, backoff: Backoff::new() }) }
+    Kind { name: "static-peak", build: |settings| Box::new(Peak { settings, backoff: Backoff::new() }) }
 }
 
 /// Holds enough on-demand VMs for the peak demand with any one zone lost, and never gives one up.
 #[derive(Debug)]
-struct StaticPeak {
+struct Peak {
     settings: Settings,
     backoff: Backoff,
 }
 
-impl Policy for StaticPeak {
+impl Policy for Peak {
     fn plan(&mut self, now: Instant, situation: &Situation<'_>) -> Vec<Action> {
         let need = Demand {
             urgent: self.settings.peak,
--- a/bergamotshift-capacity/src/steal/both.rs
+++ b/bergamotshift-capacity/src/steal/both.rs
@@ -12,16 +12,16 @@
 use super::push::Push;
 
 plugin::inventory::submit! {
-    Kind { name: "push-steal", build: || Box::new(PushSteal { push: Push::default(), steal: Steal }) }
+    Kind { name: "push-steal", build: || Box::new(Hybrid { push: Push::default(), steal: Steal }) }
 }
 
 #[derive(Debug)]
-struct PushSteal {
+struct Hybrid {
     push: Push,
     steal: Steal,
 }
 
-impl Balancer for PushSteal {
+impl Balancer for Hybrid {
     fn place(&mut self, now: Instant, origin: usize, job: &Job, zones: &[View]) -> usize {
         self.push.place(now, origin, job, zones)
     }
--- a/bergamotshift-claim/src/driver/mod.rs
+++ b/bergamotshift-claim/src/driver/mod.rs
@@ -31,7 +31,7 @@
 use crate::record::Record;
 use crate::record::State;
 use crate::scope::Scope;
-use crate::wall::WallClock;
+use crate::wall::Clock;
 
 /// Non-repeatable request, as sent once by a caller.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -47,7 +47,7 @@
     /// Time from which no byte of the request may be sent any more.
     pub deadline: Instant,
     /// Wall clock that converts the deadline for the record.
-    pub wall_clock: WallClock,
+    pub wall_clock: Clock,
 }
 
 /// Settings of a [`Driver`].
--- a/bergamotshift-claim/src/lib.rs
+++ b/bergamotshift-claim/src/lib.rs
@@ -23,7 +23,7 @@
 //!     attempt: attempt::Id::new(7),
 //!     holder: "entry-1".into(),
 //!     deadline: Instant::from_secs(30),
-//!     wall_clock: WallClock::new(Instant::ZERO, 1_700_000_000_000),
+//!     wall_clock: Clock::new(Instant::ZERO, 1_700_000_000_000),
 //! };
 //! let mut driver = driver::Driver::new(request, driver::Settings::default());
 //! let actions = driver.on(Instant::ZERO, driver::Event::Ask);
--- a/bergamotshift-claim/src/prelude.rs
+++ b/bergamotshift-claim/src/prelude.rs
@@ -6,5 +6,5 @@
 pub use crate::driver;
 pub use crate::record::Record;
 pub use crate::scope::Scope;
-pub use crate::wall::WallClock;
+pub use crate::wall::Clock;
 pub use crate::window::Window;
--- a/bergamotshift-claim/src/wall.rs
+++ b/bergamotshift-claim/src/wall.rs
@@ -7,12 +7,12 @@
 /// Rows outlive the process that wrote them, so they contain wall-clock times. No safety property depends on these:
 /// they only decide between "still running" and "unknown", and when a row may be purged.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
-pub struct WallClock {
+pub struct Clock {
     at: Instant,
     unix_millis: u64,
 }
 
-impl WallClock {
+impl Clock {
     /// Creates a wall clock that shows `unix_millis`, in milliseconds since the Unix epoch, at the kernel time `at`.
     pub const fn new(at: Instant, unix_millis: u64) -> Self {
         Self { at, unix_millis }
--- a/bergamotshift-claim/tests/driver.rs
+++ b/bergamotshift-claim/tests/driver.rs
@@ -30,7 +30,7 @@
         attempt: attempt::Id::new(1),
         holder: "entry-1".into(),
         deadline: DEADLINE,
-        wall_clock: WallClock::new(Instant::ZERO, 1_000_000),
+        wall_clock: Clock::new(Instant::ZERO, 1_000_000),
     }
 }
 
--- a/bergamotshift-claim/tests/explore/claim/mod.rs
+++ b/bergamotshift-claim/tests/explore/claim/mod.rs
@@ -190,6 +190,6 @@
         attempt: attempt::Id::new(u128::from(index) + 1),
         holder: "e".into(),
         deadline: DEADLINE,
-        wall_clock: WallClock::new(Instant::ZERO, 0),
+        wall_clock: Clock::new(Instant::ZERO, 0),
     }
 }
--- a/bergamotshift-entry/src/claims/drive.rs
+++ b/bergamotshift-entry/src/claims/drive.rs
@@ -12,7 +12,7 @@
 use bergamotshift_claim::driver::Event;
 use bergamotshift_claim::driver::Reply;
 use bergamotshift_claim::scope::Scope;
-use bergamotshift_claim::wall::WallClock;
+use bergamotshift_claim::wall::Clock;
 use bergamotshift_core::prelude::*;
 use ntex::http::Response;
 use smol_str::SmolStr;
@@ -144,7 +144,7 @@
             attempt: call.id,
             holder: worker.shared.settings.name.clone(),
             deadline: call.times.deadline,
-            wall_clock: WallClock::new(now, unix_millis()),
+            wall_clock: Clock::new(now, unix_millis()),
         };
         let (input_sender, inputs) = mpsc::unbounded_channel();
         Self {
--- a/bergamotshift-forward/src/choice/cache_index.rs
+++ b/bergamotshift-forward/src/choice/cache_index.rs
@@ -100,7 +100,7 @@
 /// Otherwise requests would go on to engines that evicted their parts, which would then prefill what others still hold,
 /// and streams would begin later than expected.
 #[derive(Debug)]
-pub struct CacheIndex {
+pub struct Index {
     caches: HashMap<u64, Cache>,
     /// Endpoints that hold each part.
     holders: HashMap<u64, Vec<u64>>,
@@ -109,7 +109,7 @@
     capacity: u64,
 }
 
-impl Default for CacheIndex {
+impl Default for Index {
     fn default() -> Self {
         Self {
             caches: HashMap::new(),
@@ -120,7 +120,7 @@
     }
 }
 
-impl CacheIndex {
+impl Index {
     /// Sets the number of tokens that the memory of one engine holds.
     pub fn set_memory(&mut self, memory: u64) {
         self.capacity = (memory as f64 * CACHE_FRACTION) as u64;
--- a/bergamotshift-forward/src/choice/mod.rs
+++ b/bergamotshift-forward/src/choice/mod.rs
@@ -13,8 +13,8 @@
 use bergamotshift_core::prelude::*;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-pub use self::cache_index::CacheIndex;
 pub use self::cache_index::CachedPart;
+pub use self::cache_index::Index;
 use crate::dialect::Metadata;
 use crate::document::Engine;
 use crate::endpoint::Endpoint;
@@ -120,7 +120,7 @@
     now: Instant,
     endpoints: &[Arc<Endpoint>],
     request: &Request<'_>,
-    cache_index: &CacheIndex,
+    cache_index: &Index,
 ) -> Option<Choice> {
     let local = endpoints
         .iter()
@@ -167,7 +167,7 @@
     service: &Service,
     canary: Option<&Canary>,
     request: &Request<'_>,
-    cache_index: &CacheIndex,
+    cache_index: &Index,
 ) -> Option<Choice> {
     let at_canary = canary.and_then(|canary| {
         let request = Request {
@@ -198,7 +198,7 @@
         engine: Engine,
         endpoints: &'a [Arc<Endpoint>],
         request: &Request<'a>,
-        cache_index: &CacheIndex,
+        cache_index: &Index,
     ) -> Self {
         let metadata = request.ask;
         let held = cache_index.held_by_endpoint(&metadata.parts);
--- a/bergamotshift-forward/src/control/copies.rs
+++ b/bergamotshift-forward/src/control/copies.rs
@@ -19,13 +19,13 @@
 /// Sending the whole document for every change is too expensive: a change of one key costs 77 entries 300 kB each, and
 /// saturates the slowest links while it spreads.
 #[derive(Debug, Default)]
-pub(super) struct UpdateCache {
+pub(super) struct Cache {
     steps: VecDeque<Difference>,
     /// Encoded updates, by the version that the receiver has.
     encoded: BTreeMap<u64, Bytes>,
 }
 
-impl UpdateCache {
+impl Cache {
     /// Adds the differences that led to the document in force, and drops those that are no longer useful.
     pub(super) fn push_steps(&mut self, document: &Document, steps: Vec<Difference>) {
         self.encoded.clear();
--- a/bergamotshift-forward/src/control/inner.rs
+++ b/bergamotshift-forward/src/control/inner.rs
@@ -19,7 +19,7 @@
 use rand::Rng;
 use slog::info;
 
-use super::copies::UpdateCache;
+use super::copies::Cache;
 use super::organisation::Organisation;
 use crate::document::Difference;
 use crate::document::Document;
@@ -30,7 +30,7 @@
 use crate::follow::Checkpoint;
 use crate::limits::Demand;
 use crate::limits::Keepers;
-use crate::limits::SharePolicy;
+use crate::limits::Policy;
 use crate::limits::granter;
 use crate::observe::Topic;
 use crate::peers::Members;
@@ -69,7 +69,7 @@
 
 /// Another entry that holds the duties or held them before.
 #[derive(Clone, Debug)]
-pub(super) struct DutyHolder {
+pub(super) struct Holder {
     /// Name of the entry.
     pub(super) entry: name::Entry,
     /// Time at which this was last reported.
@@ -88,7 +88,7 @@
     /// Time since which another entry is known to have a newer document; `None` if none has.
     pub(super) behind_since: Option<Instant>,
     /// Document updates for other entries.
-    pub(super) updates: UpdateCache,
+    pub(super) updates: Cache,
     /// Known endpoints.
     pub(super) directory: Directory,
     /// Freshness of the registrations.
@@ -116,7 +116,7 @@
     /// Latest notice about that lease from another entry, and when it arrived.
     pub(super) peer_lease_notice: Option<(Notice, Instant)>,
     /// Other entry that was last known to hold the duties, or to have released them.
-    pub(super) duty_holder: Option<DutyHolder>,
+    pub(super) duty_holder: Option<Holder>,
     /// Whether the list of entries has been read.
     pub(super) entries_listed: bool,
     /// Organisations that the entries stored as busy before this process started, until they have been applied.
@@ -146,7 +146,7 @@
             document: Arc::default(),
             document_checkpoint: Checkpoint::default(),
             behind_since: None,
-            updates: UpdateCache::default(),
+            updates: Cache::default(),
             directory: Directory::default(),
             registrations_checkpoint: Checkpoint::default(),
             organisations: BTreeMap::new(),
@@ -251,7 +251,7 @@
     pub(super) fn tick(&mut self, now: Instant, shared: &Shared) {
         let span = now.since(self.last_tick);
         self.last_tick = now;
-        let policy = SharePolicy::default();
+        let policy = Policy::default();
         for organisation in self.organisations.values_mut() {
             organisation.demand.note(
                 policy.averaging_window,
--- a/bergamotshift-forward/src/control/organisation.rs
+++ b/bergamotshift-forward/src/control/organisation.rs
@@ -14,9 +14,9 @@
 use crate::limits::INITIAL_DEBT_CALM;
 use crate::limits::Keeper;
 use crate::limits::Keepers;
+use crate::limits::Policy;
 use crate::limits::Quota;
 use crate::limits::Share;
-use crate::limits::SharePolicy;
 use crate::limits::keeper;
 use crate::observe::Topic;
 use crate::view::Shared;
@@ -65,7 +65,7 @@
     /// Updates this entry's part of the limit among `members` entries; `slack` is the number of units that all entries
     /// together may admit beyond the burst.
     fn update_quota(&mut self, now: Instant, limit: Option<Limit>, slack: f64, members: usize) {
-        let policy = SharePolicy::default();
+        let policy = Policy::default();
         let fraction = self.share.update(now, &policy, self.demand, members);
         self.quota = limit.map(|limit| {
             if self.share.total_demand(now, &policy, self.demand) >= limit.rate * policy.calm_fraction {
@@ -87,7 +87,7 @@
     /// Updates the part of the limit that this entry grants as the keeper of its zone or as its deputy, among `zones`
     /// zones.
     fn update_zone_quota(&mut self, now: Instant, limit: Option<Limit>, slack: f64, zones: usize, keepers: Keepers) {
-        let policy = SharePolicy::default();
+        let policy = Policy::default();
         let is_keeper = keepers.keeper == Keeper::Own;
         if !is_keeper && !keepers.is_deputy {
             return;
--- a/bergamotshift-forward/src/control/talk.rs
+++ b/bergamotshift-forward/src/control/talk.rs
@@ -5,7 +5,7 @@
 use bergamotshift_core::prelude::*;
 use slog::info;
 
-use super::inner::DutyHolder;
+use super::inner::Holder;
 use super::inner::Inner;
 use super::inner::core_share;
 use crate::endpoint::Event;
@@ -14,10 +14,10 @@
 use crate::observe::Topic;
 use crate::outside::Cursor;
 use crate::peers::Freshness;
-use crate::peers::LimitUsage;
 use crate::peers::Reply;
 use crate::peers::Stage;
 use crate::peers::State;
+use crate::peers::Usage;
 use crate::view::Shared;
 
 /// Converts a checkpoint to the form in which it is sent to other entries.
@@ -42,7 +42,7 @@
         let is_keeper = self.keepers.keeper == Keeper::Own;
         // In a large fleet only the keepers' shares are in use.
         let shared_limits = self.organisations.iter().filter(|_| is_keeper || !is_large);
-        let limit_usage = shared_limits.map(|(name, organisation)| LimitUsage {
+        let limit_usage = shared_limits.map(|(name, organisation)| Usage {
             organisation: name.clone(),
             demand: organisation.demand.get(),
             share: if is_keeper {
@@ -169,14 +169,14 @@
             .as_ref()
             .is_some_and(|holder| holder.entry == state.entry);
         let holder = if state.holds_duties || was_holder {
-            Some(DutyHolder {
+            Some(Holder {
                 entry: state.entry.clone(),
                 reported: now,
                 holds: state.holds_duties,
             })
         } else {
             let relayed = state.holder.clone();
-            relayed.map(|(entry, age)| DutyHolder {
+            relayed.map(|(entry, age)| Holder {
                 entry,
                 reported: now - Duration::from_millis(age.into()),
                 holds: true,
--- a/bergamotshift-forward/src/endpoint/mod.rs
+++ b/bergamotshift-forward/src/endpoint/mod.rs
@@ -179,7 +179,7 @@
 
 /// Guard that counts one request as in flight at an endpoint until it is dropped.
 #[derive(Debug)]
-pub struct RequestGuard {
+pub struct Guard {
     endpoint: Arc<Endpoint>,
     /// Prompt tokens of the request that have not been read yet.
     unread: u64,
@@ -187,7 +187,7 @@
     observer: Option<Observer>,
 }
 
-impl RequestGuard {
+impl Guard {
     /// Counts a request of which `unread` prompt tokens have to be read.
     pub fn take(endpoint: Arc<Endpoint>, unread: u64) -> Self {
         endpoint.own.running.fetch_add(1, Relaxed);
@@ -250,7 +250,7 @@
     }
 }
 
-impl Drop for RequestGuard {
+impl Drop for Guard {
     fn drop(&mut self) {
         self.take_unread();
         self.endpoint.own.running.fetch_sub(1, Relaxed);
--- a/bergamotshift-forward/src/limits/mod.rs
+++ b/bergamotshift-forward/src/limits/mod.rs
@@ -17,5 +17,5 @@
 pub use self::keeper::Keeper;
 pub use self::keeper::Keepers;
 pub use self::share::Demand;
+pub use self::share::Policy;
 pub use self::share::Share;
-pub use self::share::SharePolicy;
--- a/bergamotshift-forward/src/limits/share.rs
+++ b/bergamotshift-forward/src/limits/share.rs
@@ -7,7 +7,7 @@
 
 /// Parameters by which a limit is divided among the entries.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct SharePolicy {
+pub struct Policy {
     /// Time over which demand is averaged.
     pub averaging_window: Duration,
     /// Time without an announcement after which an entry counts as silent and is assumed to keep its share.
@@ -21,7 +21,7 @@
     pub even_fraction: f64,
 }
 
-impl Default for SharePolicy {
+impl Default for Policy {
     fn default() -> Self {
         Self {
             averaging_window: Duration::from_secs(8),
@@ -139,7 +139,7 @@
     }
 
     /// Updates and returns this entry's share, between 0 and 1, among `members` entries in all.
-    pub fn update(&mut self, now: Instant, policy: &SharePolicy, demand: Demand, members: usize) -> f64 {
+    pub fn update(&mut self, now: Instant, policy: &Policy, demand: Demand, members: usize) -> f64 {
         let is_live = |peer: &&Peer| now.since(peer.received) < policy.silence_timeout;
         let live: Vec<Peer> = self.peers.values().filter(is_live).copied().collect();
         let used: f64 = live.iter().map(|peer| peer.share).sum();
@@ -186,18 +186,18 @@
     /// second.
     ///
     /// The smaller half of a partitioned fleet is never calm, so at most one half spends what calm times allow.
-    pub fn is_calm(&self, now: Instant, policy: &SharePolicy, demand: Demand, members: usize, rate: f64) -> bool {
+    pub fn is_calm(&self, now: Instant, policy: &Policy, demand: Demand, members: usize, rate: f64) -> bool {
         let count = 1 + self.live_peers(now, policy).count();
         2 * count > members && self.total_demand(now, policy, demand) < rate * policy.calm_fraction
     }
 
     /// Returns the demand at this entry and the other live ones, in units per second.
-    pub fn total_demand(&self, now: Instant, policy: &SharePolicy, demand: Demand) -> f64 {
+    pub fn total_demand(&self, now: Instant, policy: &Policy, demand: Demand) -> f64 {
         let others = self.live_peers(now, policy).map(|peer| peer.demand);
         demand.get() + others.sum::<f64>()
     }
 
-    fn live_peers(&self, now: Instant, policy: &SharePolicy) -> impl Iterator<Item = &Peer> {
+    fn live_peers(&self, now: Instant, policy: &Policy) -> impl Iterator<Item = &Peer> {
         let timeout = policy.silence_timeout;
         self.peers
             .values()
--- a/bergamotshift-forward/src/peers/message.rs
+++ b/bergamotshift-forward/src/peers/message.rs
@@ -51,7 +51,7 @@
 /// a zone in a large fleet sends the figures of its whole zone.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Serialize, Deserialize)]
-pub struct LimitUsage {
+pub struct Usage {
     /// The organisation.
     pub organisation: name::Organisation,
     /// The demand, in units per second.
@@ -194,7 +194,7 @@
     pub endpoints_freshness: Option<Freshness>,
     /// The demand of the sender's callers, and the shares of limits that it uses.
     #[serde(rename = "uses")]
-    pub limit_usage: Vec<LimitUsage>,
+    pub limit_usage: Vec<Usage>,
     /// The sender's work in flight.
     #[serde(rename = "flown")]
     pub in_flight: Vec<InFlight>,
--- a/bergamotshift-forward/src/serve/attempt.rs
+++ b/bergamotshift-forward/src/serve/attempt.rs
@@ -20,7 +20,7 @@
 use crate::dialect::Envelope;
 use crate::dialect::Notice;
 use crate::document::Kind;
-use crate::endpoint::RequestGuard;
+use crate::endpoint::Guard;
 use crate::exchange;
 use crate::exchange::Connection;
 use crate::exchange::Failure;
@@ -97,7 +97,7 @@
 pub(super) struct Exchange {
     pub(super) head: Head,
     pub(super) connection: Connection,
-    pub(super) guard: RequestGuard,
+    pub(super) guard: Guard,
 }
 
 /// Error of an attempt without an acceptable response.
@@ -197,7 +197,7 @@
         let endpoint = &choice.endpoint;
         let address = endpoint.registration.address;
         let estimate = Estimate::new(choice);
-        let mut guard = RequestGuard::take(Arc::clone(endpoint), choice.unread);
+        let mut guard = Guard::take(Arc::clone(endpoint), choice.unread);
         history.tried.push(endpoint.hash);
         let now = self.shared.clock.now();
         let idle = self.pool.borrow_mut().take(now, address);
--- a/bergamotshift-forward/src/serve/stream.rs
+++ b/bergamotshift-forward/src/serve/stream.rs
@@ -26,7 +26,7 @@
 use super::job::Job;
 use super::refusal::Reason;
 use super::refusal::Refusal;
-use crate::endpoint::RequestGuard;
+use crate::endpoint::Guard;
 use crate::exchange;
 use crate::exchange::Connection;
 use crate::exchange::Events;
@@ -48,7 +48,7 @@
     connection: Option<Connection>,
     framing: exchange::Framing,
     headers: HeaderMap,
-    guard: RequestGuard,
+    guard: Guard,
     events: Events,
     /// Counts the request as in flight until the relay is dropped.
     _active: Active,
--- a/bergamotshift-forward/src/view/mod.rs
+++ b/bergamotshift-forward/src/view/mod.rs
@@ -22,7 +22,7 @@
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 pub use self::rates::Origin;
-use crate::choice::CacheIndex;
+use crate::choice::Index;
 use crate::dialect::Dialect;
 use crate::document::Engine;
 use crate::duty::Tally;
@@ -190,7 +190,7 @@
     pub tally: Tally,
     /// Parts of prompts that endpoints have cached. Worker threads and the control thread hold the lock for
     /// microseconds.
-    pub cache_index: Mutex<CacheIndex>,
+    pub cache_index: Mutex<Index>,
     /// In-flight reports that the entries of the zone sent to this one as their keeper. Threads hold the lock for
     /// microseconds.
     pub ledger: Mutex<Ledger>,
@@ -218,7 +218,7 @@
 
 impl Shared {
     /// Locks the index of cached prompt parts.
-    pub fn cache_index(&self) -> MutexGuard<'_, CacheIndex> {
+    pub fn cache_index(&self) -> MutexGuard<'_, Index> {
         self.cache_index.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
--- a/bergamotshift-forward/tests/kernel/choice.rs
+++ b/bergamotshift-forward/tests/kernel/choice.rs
@@ -3,8 +3,8 @@
 use std::sync::Arc;
 
 use bergamotshift_core::prelude::*;
-use bergamotshift_forward::choice::CacheIndex;
 use bergamotshift_forward::choice::Choice;
+use bergamotshift_forward::choice::Index;
 use bergamotshift_forward::choice::Request;
 use bergamotshift_forward::choice::Settings;
 use bergamotshift_forward::choice::choose;
@@ -13,7 +13,7 @@
 use bergamotshift_forward::dialect::Size;
 use bergamotshift_forward::document::Engine;
 use bergamotshift_forward::endpoint::Endpoint;
-use bergamotshift_forward::endpoint::RequestGuard;
+use bergamotshift_forward::endpoint::Guard;
 
 use crate::support::at;
 use crate::support::registration;
@@ -40,12 +40,7 @@
     }
 }
 
-fn chosen(
-    endpoints: &[Arc<Endpoint>],
-    engine: Option<Engine>,
-    cache_index: &CacheIndex,
-    tried: &[u64],
-) -> Option<Choice> {
+fn chosen(endpoints: &[Arc<Endpoint>], engine: Option<Engine>, cache_index: &Index, tried: &[u64]) -> Option<Choice> {
     let ask = ask();
     let zone = name::Zone::new("one");
     let request = Request {
@@ -64,15 +59,15 @@
     let endpoints = endpoints(8);
     let mut rotated = endpoints.clone();
     rotated.rotate_left(3);
-    let one = chosen(&endpoints, Some(ENGINE), &CacheIndex::default(), &[]).expect("one of them");
-    let other = chosen(&rotated, Some(ENGINE), &CacheIndex::default(), &[]).expect("one of them");
+    let one = chosen(&endpoints, Some(ENGINE), &Index::default(), &[]).expect("one of them");
+    let other = chosen(&rotated, Some(ENGINE), &Index::default(), &[]).expect("one of them");
     assert_eq!(one.endpoint.hash, other.endpoint.hash);
 }
 
 #[test]
 fn an_endpoint_that_holds_a_prefix_prefills_only_the_rest() {
     let endpoints = endpoints(8);
-    let mut cache_index = CacheIndex::default();
+    let mut cache_index = Index::default();
     cache_index.record_choice(at(0), endpoints[5].hash, &ask().parts[..1]);
     let choice = chosen(&endpoints, Some(ENGINE), &cache_index, &[]).expect("one of them");
     assert_eq!(choice.endpoint.hash, endpoints[5].hash);
@@ -85,9 +80,9 @@
 #[test]
 fn an_idle_endpoint_fetches_the_shared_part_from_a_busy_holder() {
     let endpoints = endpoints(8);
-    let mut cache_index = CacheIndex::default();
+    let mut cache_index = Index::default();
     cache_index.record_choice(at(0), endpoints[5].hash, &ask().parts[..1]);
-    let _busy = RequestGuard::take(Arc::clone(&endpoints[5]), 60_000);
+    let _busy = Guard::take(Arc::clone(&endpoints[5]), 60_000);
     let choice = chosen(&endpoints, Some(ENGINE), &cache_index, &[]).expect("one of them");
     assert_ne!(choice.endpoint.hash, endpoints[5].hash);
     assert_eq!(choice.source, Some(endpoints[5].registration.address));
@@ -103,7 +98,7 @@
 #[test]
 fn a_leaving_holder_is_still_a_source() {
     let endpoints = endpoints(3);
-    let mut cache_index = CacheIndex::default();
+    let mut cache_index = Index::default();
     cache_index.record_choice(at(0), endpoints[1].hash, &ask().parts[..1]);
     endpoints[1].mark_leaving();
     let choice = chosen(&endpoints, Some(ENGINE), &cache_index, &[]).expect("one of the others");
@@ -115,9 +110,9 @@
 fn an_unreachable_endpoint_is_chosen_only_when_no_other_is_left() {
     let endpoints = endpoints(2);
     endpoints[0].health.record_unreachable(at(1_000));
-    let first = chosen(&endpoints, None, &CacheIndex::default(), &[]).expect("the other one");
+    let first = chosen(&endpoints, None, &Index::default(), &[]).expect("the other one");
     assert_eq!(first.endpoint.hash, endpoints[1].hash);
-    let second = chosen(&endpoints, None, &CacheIndex::default(), &[endpoints[1].hash]).expect("the lost one");
+    let second = chosen(&endpoints, None, &Index::default(), &[endpoints[1].hash]).expect("the lost one");
     assert_eq!(second.endpoint.hash, endpoints[0].hash);
 }
 
@@ -131,10 +126,8 @@
             endpoints[0].health.record_success();
         }
     }
-    let _requests: Vec<_> = (0..4)
-        .map(|_| RequestGuard::take(Arc::clone(&endpoints[1]), 0))
-        .collect();
-    let choice = chosen(&endpoints, None, &CacheIndex::default(), &[]).expect("one of them");
+    let _requests: Vec<_> = (0..4).map(|_| Guard::take(Arc::clone(&endpoints[1]), 0)).collect();
+    let choice = chosen(&endpoints, None, &Index::default(), &[]).expect("one of them");
     assert_eq!(choice.endpoint.hash, endpoints[1].hash);
 }
 
@@ -144,12 +137,12 @@
     for endpoint in &endpoints {
         endpoint.mark_leaving();
     }
-    assert!(chosen(&endpoints, None, &CacheIndex::default(), &[]).is_none());
+    assert!(chosen(&endpoints, None, &Index::default(), &[]).is_none());
 }
 
 #[test]
 fn cached_parts_are_announced_without_the_requests_own_part() {
-    let mut cache_index = CacheIndex::default();
+    let mut cache_index = Index::default();
     cache_index.record_choice(at(0), 9, &ask().parts);
     let announced = cache_index.announced(at(100));
     assert_eq!(announced.iter().map(|cached| cached.part.id).collect::<Vec<_>>(), [1]);
@@ -161,7 +154,7 @@
 #[test]
 fn an_engine_holds_no_more_than_its_memory_has_room_for() {
     let part = |id| Part { id, tokens: 100 };
-    let mut cache_index = CacheIndex::default();
+    let mut cache_index = Index::default();
     cache_index.set_memory(400);
     for id in 1..=2 {
         cache_index.record_choice(at(id * 10), 9, &[part(id)]);
@@ -180,7 +173,7 @@
 #[test]
 fn engines_of_a_silent_zone_are_left_for_last() {
     let endpoints = endpoints(4);
-    let cache_index = CacheIndex::default();
+    let cache_index = Index::default();
     let first = chosen(&endpoints, Some(ENGINE), &cache_index, &[]).expect("one of them");
     first.endpoint.set_silent(true);
     let next = chosen(&endpoints, Some(ENGINE), &cache_index, &[]).expect("one of the others");
@@ -201,13 +194,10 @@
     let near: Vec<_> = endpoints(12);
     let far = Arc::new(Endpoint::new(registration("far", "two")));
     let all: Vec<_> = near.iter().cloned().chain([Arc::clone(&far)]).collect();
-    let cache_index = CacheIndex::default();
+    let cache_index = Index::default();
     let chosen_first = chosen(&all, Some(ENGINE), &cache_index, &[]).expect("a near one");
     assert_ne!(chosen_first.endpoint.hash, far.hash);
-    let _busy: Vec<_> = near
-        .iter()
-        .map(|one| RequestGuard::take(Arc::clone(one), 100_000))
-        .collect();
+    let _busy: Vec<_> = near.iter().map(|one| Guard::take(Arc::clone(one), 100_000)).collect();
     let chosen_then = chosen(&all, Some(ENGINE), &cache_index, &[]).expect("the far one");
     assert_eq!(chosen_then.endpoint.hash, far.hash);
 }
--- a/bergamotshift-forward/tests/kernel/limits.rs
+++ b/bergamotshift-forward/tests/kernel/limits.rs
@@ -6,9 +6,9 @@
 use bergamotshift_forward::limits::Account;
 use bergamotshift_forward::limits::Demand;
 use bergamotshift_forward::limits::INITIAL_DEBT_CALM;
+use bergamotshift_forward::limits::Policy;
 use bergamotshift_forward::limits::Quota;
 use bergamotshift_forward::limits::Share;
-use bergamotshift_forward::limits::SharePolicy;
 use bergamotshift_forward::limits::keeper;
 use bergamotshift_forward::limits::keeper::Candidate;
 use quickcheck::Arbitrary;
@@ -39,7 +39,7 @@
 /// Runs one round: every entry records its demand and updates its share, and then announces both to those that it
 /// reaches.
 fn round(entries: &mut [Entry], now: Instant, units: &[u64], hears: impl Fn(usize, usize) -> bool) {
-    let policy = SharePolicy::default();
+    let policy = Policy::default();
     for (entry, units) in entries.iter_mut().zip(units) {
         entry
             .demand
@@ -117,7 +117,7 @@
 /// first other entry that it learns of only gradually. Until then, the organisation has its limit twice.
 #[test]
 fn an_entry_that_was_alone_gives_way_at_once() {
-    let policy = SharePolicy::default();
+    let policy = Policy::default();
     let mut share = Share::<name::Entry>::default();
     assert_eq!(share.update(at(0), &policy, Demand::default(), 1), 1.0);
     share.record_peer(at(100), &"entry-2".into(), 500.0, 0.6);
@@ -139,7 +139,7 @@
 #[test]
 fn an_entry_that_has_heard_no_other_takes_an_even_share() {
     let mut share = Share::<name::Entry>::default();
-    let alone = share.update(at(0), &SharePolicy::default(), Demand::default(), ENTRIES);
+    let alone = share.update(at(0), &Policy::default(), Demand::default(), ENTRIES);
     assert!(alone <= 1.0 / ENTRIES as f64 + 1e-9, "it takes {alone}");
 }
 
@@ -372,7 +372,7 @@
 /// share that the keeper used.
 #[test]
 fn a_deputy_goes_on_with_the_share_of_its_zone() {
-    let policy = SharePolicy::default();
+    let policy = Policy::default();
     let mut demand = Demand::default();
     demand.note(policy.averaging_window, 100_000, Duration::from_secs(8));
     let mut share = Share::<name::Zone>::default();
@@ -387,7 +387,7 @@
 #[test]
 fn zones_together_grant_nearly_all_of_a_limit() {
     const RATE: f64 = 500_000.0;
-    let policy = SharePolicy::default();
+    let policy = Policy::default();
     let names: Vec<name::Zone> = ["a", "b", "c", "d"].into_iter().map(name::Zone::new).collect();
     let mut shares: Vec<Share<name::Zone>> = names.iter().map(|_| Share::default()).collect();
     let mut demands = [Demand::default(); 4];
--- a/bergamotshift-route/src/policy/affinity.rs
+++ b/bergamotshift-route/src/policy/affinity.rs
@@ -16,12 +16,12 @@
 /// Without any hint, the hash of the first block selects the endpoint. When no endpoint with a hint can be used, or the
 /// request has no prefix, a random endpoint is chosen.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct PrefixAffinity;
+pub struct Affinity;
 
 /// Number of sequences per slot from which an endpoint gets no more requests for the sake of its cache.
 const MAX_FILL: f32 = 1.25;
 
-impl Policy for PrefixAffinity {
+impl Policy for Affinity {
     fn choose(&self, view: &View, request: &Request<'_>, rng: &mut Pcg64Mcg) -> Result<Choice, Refusal> {
         let matches = view.hints.lookup(request.prefix, request.now);
         for found in matches.iter() {
@@ -44,5 +44,5 @@
 }
 
 plugin::inventory::submit! {
-    Kind { name: "prefix-affinity", build: || Box::new(PrefixAffinity) }
+    Kind { name: "prefix-affinity", build: || Box::new(Affinity) }
 }
--- a/bergamotshift-route/src/policy/mod.rs
+++ b/bergamotshift-route/src/policy/mod.rs
@@ -19,12 +19,12 @@
 mod rotation;
 mod target;
 
-pub use affinity::PrefixAffinity;
+pub use affinity::Affinity;
 pub use least::LeastConnections;
 pub use pair::PowerOfTwo;
 pub use rotation::RoundRobin;
 pub use target::Settings;
-pub use target::TargetThenCost;
+pub use target::Target;
 
 /// Name of the default policy.
 pub const DEFAULT: &str = "target-then-cost";
--- a/bergamotshift-route/src/policy/target.rs
+++ b/bergamotshift-route/src/policy/target.rs
@@ -20,7 +20,7 @@
 use crate::view::Row;
 use crate::view::View;
 
-/// Settings of [`TargetThenCost`].
+/// Settings of [`Target`].
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Settings {
     /// Number of random candidates for a fresh view. Fewer are sampled as the view gets older.
@@ -74,11 +74,11 @@
 
 /// Chooses the cheapest endpoint that meets the latency target.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct TargetThenCost {
+pub struct Target {
     settings: Settings,
 }
 
-impl TargetThenCost {
+impl Target {
     /// Creates the policy with the given settings.
     pub const fn new(settings: Settings) -> Self {
         Self { settings }
@@ -130,7 +130,7 @@
 /// Number of endpoints in a pool whose reports are inspected to estimate the age of the view.
 const FRESHNESS_SAMPLE: usize = 8;
 
-impl Policy for TargetThenCost {
+impl Policy for Target {
     fn choose(&self, view: &View, request: &Request<'_>, rng: &mut Pcg64Mcg) -> Result<Choice, Refusal> {
         let pool = view.pool(request.service);
         let mut best = Best::default();
@@ -221,5 +221,5 @@
 }
 
 plugin::inventory::submit! {
-    Kind { name: super::DEFAULT, build: || Box::new(TargetThenCost::default()) }
+    Kind { name: super::DEFAULT, build: || Box::new(Target::default()) }
 }
