--- a/bergamotshift-entry/src/api/error.rs
+++ b/bergamotshift-entry/src/api/error.rs
@@ -1,4 +1,4 @@
-//! Error responses: the error object of the OpenAI API, extended by whether the request ran.
+//! Error responses: the error object of the OpenAI API, with a field that states whether the request ran.
 
 use core::time::Duration;
 
@@ -89,7 +89,7 @@
 pub struct Error {
     /// Cause of the failure.
     pub reason: Reason,
-    /// Knowledge about whether the request ran.
+    /// Outcome of the request: ran, not run, or unknown.
     pub outcome: Outcome,
 }
 
--- a/bergamotshift-entry/src/api/reply.rs
+++ b/bergamotshift-entry/src/api/reply.rs
@@ -167,7 +167,8 @@
 
 /// Determines from an error response of an endpoint whether the request ran.
 ///
-/// A response without an attempt identifier comes from a proxy in front of the endpoint, so the outcome is unknown.
+/// A response without an attempt identifier comes from a component in front of the endpoint, such as a proxy, which
+/// cannot know the outcome.
 fn outcome(headers: &HeaderMap) -> Outcome {
     if hop::says_not_run(headers) {
         Outcome::NotRun
