--- a/bergamotshift-entry/src/api/body.rs
+++ b/bergamotshift-entry/src/api/body.rs
@@ -167,7 +167,7 @@
 }
 
 fn body_timeout(worker: &Worker) -> Duration {
-    Duration::from_secs(u64::from(worker.shared.settings.bounds.body_time))
+    Duration::from_secs(u64::from(worker.shared.settings.bounds.body_timeout))
 }
 
 fn millis(span: Duration) -> Millis {
--- a/bergamotshift-entry/src/api/mod.rs
+++ b/bergamotshift-entry/src/api/mod.rs
@@ -48,7 +48,7 @@
 }
 
 async fn answer(worker: Rc<Worker>, mut request: Request) -> Response {
-    let id = worker.draw();
+    let id = worker.generate_id();
     let active = Active::new(&worker.shared, &request, id);
     let trace = active.trace().clone();
     match dispatch(&worker, &mut request, id, active).await {
--- a/bergamotshift-entry/src/api/plain.rs
+++ b/bergamotshift-entry/src/api/plain.rs
@@ -134,7 +134,7 @@
 
 /// Buffers a small body, so that it can be sent again, and streams a large one.
 async fn prepare_body(worker: &Rc<Worker>, service: &Service, request: &mut Request) -> Result<Outgoing, Error> {
-    let max_buffered = worker.shared.settings.bounds.held_body.min(service.max_body);
+    let max_buffered = worker.shared.settings.bounds.max_buffered_body.min(service.max_body);
     let declared = whole::length(request.headers());
     if declared.is_some_and(|length| length > service.max_body) {
         return Err(Error::not_run(Reason::BodyTooLarge(service.max_body)));
@@ -157,7 +157,7 @@
 
 /// Fetches an answer: a small one completely, only the head of a large one.
 async fn fetch(attempts: &mut Attempts, outgoing: Outgoing) -> Result<Answer, exchange::Error> {
-    let bound = attempts.worker().shared.settings.bounds.held_answer;
+    let bound = attempts.worker().shared.settings.bounds.max_buffered_answer;
     let mut outgoing = Some(outgoing);
     loop {
         let body = outgoing
--- a/bergamotshift-entry/src/api/protocol.rs
+++ b/bergamotshift-entry/src/api/protocol.rs
@@ -30,7 +30,7 @@
 fn response(worker: &Worker, error: &ProtocolError) -> Response {
     let reason = match error {
         ProtocolError::Decode(DecodeError::TooLarge(_) | DecodeError::MaxHeaders) => {
-            Reason::HeadTooLarge(worker.shared.settings.bounds.head)
+            Reason::HeadTooLarge(worker.shared.settings.bounds.max_head)
         }
         ProtocolError::SlowRequestTimeout | ProtocolError::SlowPayloadTimeout => Reason::TooSlow,
         other => Reason::Protocol(other.to_string()),
@@ -44,5 +44,5 @@
     };
     let error = Error { reason, outcome };
     worker.shared.metrics.failed(error.code(), error.outcome);
-    error.response(worker.draw())
+    error.response(worker.generate_id())
 }
--- a/bergamotshift-entry/src/configuration/follow.rs
+++ b/bergamotshift-entry/src/configuration/follow.rs
@@ -26,9 +26,9 @@
 /// How long the member sleeps at least, so that a wake-up that is already due does not spin.
 const LEAST_SLEEP: Duration = Duration::from_millis(1);
 
-/// What the member needs from outside.
+/// What the member needs from dependencies.
 #[derive(Debug)]
-pub struct Outside {
+pub struct Dependencies {
     /// The platform's table.
     pub table: Rc<dyn Table>,
     /// The content.
@@ -46,11 +46,11 @@
 
 /// Runs the member until its task is cancelled.
 ///
-/// Each call to the outside runs in a task of its own and reports back as one event, so that a slow platform never
+/// Each call to the dependencies runs in a task of its own and reports back as one event, so that a slow platform never
 /// keeps the member from hearing its peers.
 pub async fn run(
     mut member: Member,
-    outside: Rc<Outside>,
+    dependencies: Rc<Dependencies>,
     clock: impl Fn() -> Instant,
     mut generator: Pcg64Mcg,
     sender: Sender,
@@ -64,32 +64,30 @@
             () = tokio::time::sleep(sleep) => Event::Tick,
         };
         let actions = member.handle(clock(), event, &mut generator);
-        outside.peers.hold(&member);
+        dependencies.peers.update(&member);
         for action in actions {
-            perform(&member, &outside, action, &sender);
+            perform(&member, &dependencies, action, &sender);
         }
     }
 }
 
-fn perform(member: &Member, outside: &Rc<Outside>, action: Action, sender: &Sender) {
+fn perform(member: &Member, dependencies: &Rc<Dependencies>, action: Action, sender: &Sender) {
     match action {
-        Action::Announce(announcement) => outside.peers.announce(announcement),
-        Action::Reply { to, announcement } => outside.peers.tell(&to, announcement),
+        Action::Announce(announcement) => dependencies.peers.announce(announcement),
+        Action::Reply { to, announcement } => dependencies.peers.reply(&to, announcement),
         Action::Switch { revision, config } => {
-            info!(outside.logger, "configuration in force"; "version" => revision.version.get());
-            outside
-                .control
-                .send(watch::Event::Configured { mark: revision, config });
+            info!(dependencies.logger, "configuration in force"; "version" => revision.version.get());
+            dependencies.control.send(watch::Event::Configured { revision, config });
         }
         Action::Reject { revision, reason } => {
-            error!(outside.logger, "this release cannot use the accepted configuration, the last one stays in force";
+            error!(dependencies.logger, "this release cannot use the accepted configuration, the last one stays in force";
                 "version" => revision.version.get(), "reason" => reason);
         }
         call @ (Action::Read(_) | Action::Write(_) | Action::Fetch { .. }) => {
             let held = member.in_force().and_then(|mark| member.content(&mark.digest).cloned());
-            let (outside, sender) = (Rc::clone(outside), sender.clone());
+            let (dependencies, sender) = (Rc::clone(dependencies), sender.clone());
             let task = async move {
-                let event = answer(&outside, call, held.unwrap_or_default()).await;
+                let event = answer(&dependencies, call, held.unwrap_or_default()).await;
                 // The member's task may have been cancelled meanwhile.
                 drop(sender.send(event));
             };
@@ -99,28 +97,28 @@
 }
 
 /// Carries a call out and returns the event that answers it.
-async fn answer(outside: &Outside, call: Action, held: Manifest) -> Event {
+async fn answer(dependencies: &Dependencies, call: Action, held: Manifest) -> Event {
     match call {
-        Action::Read(keys) => match outside.table.get(keys).await {
+        Action::Read(keys) => match dependencies.table.get(keys).await {
             Ok(rows) => Event::Rows(rows),
             Err(error) => {
-                warn!(outside.logger, "cannot read the configuration's rows"; "error" => %error);
+                warn!(dependencies.logger, "cannot read the configuration's rows"; "error" => %error);
                 Event::ReadFailed
             }
         },
-        Action::Write(writes) => Event::Ended(outside.table.transact(writes).await),
-        Action::Fetch { digest, from } => fetch(outside, digest, from, held).await,
+        Action::Write(writes) => Event::Ended(dependencies.table.transact(writes).await),
+        Action::Fetch { digest, from } => fetch(dependencies, digest, from, held).await,
         _ => Event::Tick,
     }
 }
 
-async fn fetch(outside: &Outside, digest: Digest, from: Source, held: Manifest) -> Event {
+async fn fetch(dependencies: &Dependencies, digest: Digest, from: Source, held: Manifest) -> Event {
     let found = match from {
-        Source::Peer(peer) => outside.peers.fetch(&peer, digest).await,
-        Source::Platform => match outside.store.get(&digest, &held).await {
+        Source::Peer(peer) => dependencies.peers.fetch(&peer, digest).await,
+        Source::Platform => match dependencies.store.get(&digest, &held).await {
             Ok(manifest) => Some(manifest),
             Err(error) => {
-                warn!(outside.logger, "cannot fetch a configuration"; "error" => %error);
+                warn!(dependencies.logger, "cannot fetch a configuration"; "error" => %error);
                 None
             }
         },
--- a/bergamotshift-entry/src/configuration/peers.rs
+++ b/bergamotshift-entry/src/configuration/peers.rs
@@ -15,10 +15,10 @@
     fn announce(&self, announcement: Announcement);
 
     /// Sends an announcement to one entry that knows less.
-    fn tell(&self, to: &name::Entry, announcement: Announcement);
+    fn reply(&self, to: &name::Entry, announcement: Announcement);
 
     /// Keeps what the member holds ready for others; called after each of its steps.
-    fn hold(&self, _member: &Member) {}
+    fn update(&self, _member: &Member) {}
 
     /// Asks an entry for content; nothing when it does not have it or cannot be reached.
     fn fetch(&self, from: &name::Entry, digest: Digest) -> LocalBoxFuture<'static, Option<Manifest>>;
@@ -26,12 +26,12 @@
 
 /// No other entry: what is known comes from the platform.
 #[derive(Clone, Copy, Debug)]
-pub struct Alone;
+pub struct Standalone;
 
-impl Peers for Alone {
+impl Peers for Standalone {
     fn announce(&self, _announcement: Announcement) {}
 
-    fn tell(&self, _to: &name::Entry, _announcement: Announcement) {}
+    fn reply(&self, _to: &name::Entry, _announcement: Announcement) {}
 
     fn fetch(&self, _from: &name::Entry, _digest: Digest) -> LocalBoxFuture<'static, Option<Manifest>> {
         Box::pin(async { None })
--- a/bergamotshift-entry/src/control/death.rs
+++ b/bergamotshift-entry/src/control/death.rs
@@ -16,17 +16,17 @@
 use super::Verdict;
 use super::state::Due;
 use crate::snapshot::Endpoint;
-use crate::watch::Waiting;
+use crate::watch::Waiter;
 
 impl State {
     /// Determines the state of an endpoint after a failed attempt and sends the verdict.
     ///
     /// A failed attempt alone does not show that the endpoint is dead: it may have closed only this connection. The
     /// endpoint is therefore probed, and only a death counts against the request that ran there.
-    pub(super) fn handle_failed_attempt(&mut self, endpoint: Arc<Endpoint>, connected: bool, waiting: Waiting) {
+    pub(super) fn handle_failed_attempt(&mut self, endpoint: Arc<Endpoint>, connected: bool, waiter: Waiter) {
         let announced = self.fleet.find(&endpoint).is_some_and(|record| record.leaving);
         if announced {
-            let _ = waiting.answer.send(Verdict { announced, dead: false });
+            let _ = waiter.answer.send(Verdict { announced, dead: false });
             return;
         }
         if connected {
@@ -35,13 +35,13 @@
                 warn!(self.shared.settings.logger, "endpoint is suspended"; &*endpoint);
                 self.schedule(Due::Now);
             }
-            self.probe(endpoint, Some(waiting));
+            self.probe(endpoint, Some(waiter));
             return;
         }
         self.handle_death(&endpoint, None);
         // The snapshot is published first, so that the worker does not choose the dead endpoint again.
         self.publish();
-        let _ = waiting.answer.send(Verdict { announced, dead: true });
+        let _ = waiter.answer.send(Verdict { announced, dead: true });
     }
 
     /// Handles the result of a load probe and sends the verdict to the worker that waits for it, if any.
@@ -49,10 +49,10 @@
         &mut self,
         endpoint: &Arc<Endpoint>,
         report: &Result<load::Report, Failure>,
-        waiting: Option<Waiting>,
+        waiter: Option<Waiter>,
     ) {
-        let (fingerprint, answer) = match waiting {
-            Some(waiting) => (Some(waiting.fingerprint), Some(waiting.answer)),
+        let (fingerprint, answer) = match waiter {
+            Some(waiter) => (Some(waiter.fingerprint), Some(waiter.answer)),
             None => (None, None),
         };
         if let Some(record) = self.fleet.find(endpoint) {
--- a/bergamotshift-entry/src/control/fleet.rs
+++ b/bergamotshift-entry/src/control/fleet.rs
@@ -63,7 +63,7 @@
                 zone: listed.zone.clone(),
                 service: listed.service.clone(),
                 target: Target::new(listed.address, tls),
-                seat: sharing::Isolation::default(),
+                isolation: sharing::Isolation::default(),
             };
             self.insert(config, endpoint, listed.class.clone(), listed.market);
         }
--- a/bergamotshift-entry/src/control/listing.rs
+++ b/bergamotshift-entry/src/control/listing.rs
@@ -24,7 +24,7 @@
                     zone: vm.zone.clone(),
                     service: service.clone(),
                     target: Target::new(vm.address, self.shared.settings.endpoints.tls.is_some()),
-                    seat: sharing::Isolation::default(),
+                    isolation: sharing::Isolation::default(),
                 };
                 self.handle_endpoint(vm, &endpoint);
             }
--- a/bergamotshift-entry/src/control/state.rs
+++ b/bergamotshift-entry/src/control/state.rs
@@ -27,7 +27,7 @@
 use crate::snapshot::Endpoint;
 use crate::watch;
 use crate::watch::Event;
-use crate::watch::Waiting;
+use crate::watch::Waiter;
 use crate::worker::Shared;
 
 /// Urgency of the next snapshot.
@@ -97,7 +97,7 @@
                 connected,
                 fingerprint,
                 answer,
-            }) => self.handle_failed_attempt(endpoint, connected, Waiting { fingerprint, answer }),
+            }) => self.handle_failed_attempt(endpoint, connected, Waiter { fingerprint, answer }),
             Message::Request(Request::Status(answer)) => {
                 // The status shows the published snapshot, so urgent changes by earlier messages are published first.
                 self.publish();
@@ -105,15 +105,15 @@
             }
             Message::Request(Request::Stop) => return false,
             Message::Watch(Event::Tick) => self.tick(),
-            Message::Watch(Event::Configured { mark, config }) => self.configure(mark, config),
+            Message::Watch(Event::Configured { revision, config }) => self.configure(revision, config),
             Message::Watch(Event::Listed(listings)) => self.handle_list(&listings),
             Message::Watch(Event::Noticed(notices)) => self.handle_notices(&notices),
             Message::Peer(event) => self.handle_peer_event(event),
             Message::Watch(Event::Probed {
                 endpoint,
                 report,
-                waiting,
-            }) => self.handle_probe(&endpoint, &report, waiting),
+                waiter,
+            }) => self.handle_probe(&endpoint, &report, waiter),
         }
         true
     }
@@ -124,9 +124,9 @@
     }
 
     /// Applies a configuration version; requests in flight keep the version they started with.
-    fn configure(&mut self, mark: Revision, config: Arc<Config>) {
+    fn configure(&mut self, revision: Revision, config: Arc<Config>) {
         self.config = config;
-        self.version = Some(mark.version);
+        self.version = Some(revision.version);
         let tls = self.shared.settings.endpoints.tls.is_some();
         self.fleet.add_configured(&self.config, tls);
         self.schedule(Due::Now);
@@ -137,7 +137,7 @@
     /// A new entry that knows no organisation yet would answer every caller with 401. It is not ready until it has been
     /// started with a configuration or has received the accepted one.
     pub(super) fn is_configured(&self) -> bool {
-        self.version.is_some() || !self.shared.settings.follows()
+        self.version.is_some() || !self.shared.settings.uses_platform_config()
     }
 
     /// Schedules a snapshot; the more urgent request wins.
@@ -148,7 +148,7 @@
     /// Probes the endpoints whose probes are due, and publishes changed load reports.
     fn tick(&mut self) {
         let now = self.shared.now();
-        let interval = self.shared.settings.watch.reports;
+        let interval = self.shared.settings.watch.report_interval;
         let mut endpoints = Vec::new();
         let others = self.probed_by_others();
         for record in self.fleet.records.values_mut() {
@@ -167,15 +167,15 @@
         self.sharing.tick(now, &self.shared.publisher.current());
     }
 
-    /// Starts a load probe of an endpoint; `waiting` receives the verdict.
-    pub(super) fn probe(&self, endpoint: Arc<Endpoint>, waiting: Option<Waiting>) {
+    /// Starts a load probe of an endpoint; `waiter` receives the verdict.
+    pub(super) fn probe(&self, endpoint: Arc<Endpoint>, waiter: Option<Waiter>) {
         let adapter = self
             .config
             .services
             .get(&endpoint.service)
             .and_then(|service| self.adapters.get(&service.adapter));
         let Some(adapter) = adapter else { return };
-        ntex::rt::spawn(watch::probe(Rc::clone(adapter), endpoint, waiting, self.sender.clone())).detach();
+        ntex::rt::spawn(watch::probe(Rc::clone(adapter), endpoint, waiter, self.sender.clone())).detach();
     }
 
     /// Returns the status of the entry, with the published counts of requests in flight.
--- a/bergamotshift-entry/src/daemon/handle.rs
+++ b/bergamotshift-entry/src/daemon/handle.rs
@@ -87,8 +87,8 @@
         let logger = &self.shared.settings.logger;
         self.shared.draining.store(true, Ordering::Release);
         info!(logger, "draining"; "active" => self.active());
-        let settle = self.shared.settings.settle.min(grace);
-        while began.elapsed() < settle {
+        let drain_delay = self.shared.settings.drain_delay.min(grace);
+        while began.elapsed() < drain_delay {
             thread::sleep(LOOK);
         }
         if let Some(stop) = &self.stop {
--- a/bergamotshift-entry/src/daemon/mod.rs
+++ b/bergamotshift-entry/src/daemon/mod.rs
@@ -234,17 +234,17 @@
 
 /// Starts the task that follows the accepted configuration, when nothing else gives one.
 fn follow(shared: &Arc<Shared>, platform: &Platform, content: &Rc<peers::Content>) -> Option<JoinHandle<()>> {
-    if !shared.settings.follows() {
+    if !shared.settings.uses_platform_config() {
         return None;
     }
     let (Some(table), Some(objects)) = (&platform.table, &platform.objects) else {
         return None;
     };
-    let outside = configuration::follow::Outside {
+    let dependencies = configuration::follow::Dependencies {
         table: Rc::clone(table),
         store: configuration::Store::new(Rc::clone(objects)),
         peers: shared.peers.get().map_or_else(
-            || Rc::new(configuration::peers::Alone) as Rc<dyn configuration::Peers>,
+            || Rc::new(configuration::peers::Standalone) as Rc<dyn configuration::Peers>,
             |sender| Rc::new(peers::Gossip::new(sender.clone(), Rc::clone(content))),
         ),
         control: shared.control.clone(),
@@ -263,7 +263,7 @@
         let shared = Arc::clone(shared);
         move || shared.now()
     };
-    let run = configuration::follow::run(member, Rc::new(outside), clock, generator, sender, events);
+    let run = configuration::follow::run(member, Rc::new(dependencies), clock, generator, sender, events);
     Some(ntex::rt::spawn(run))
 }
 
@@ -280,8 +280,8 @@
     }
     if let Some(vms) = &platform.vms {
         let Settings { watch, logger, .. } = &shared.settings;
-        let list = watch::list(Rc::clone(vms), watch.list, sender.clone(), logger.clone());
-        let notices = watch::notices(Rc::clone(vms), watch.notices, sender.clone(), logger.clone());
+        let list = watch::list(Rc::clone(vms), watch.list_interval, sender.clone(), logger.clone());
+        let notices = watch::notices(Rc::clone(vms), watch.notice_interval, sender.clone(), logger.clone());
         tasks.push(ntex::rt::spawn(list));
         tasks.push(ntex::rt::spawn(notices));
     }
--- a/bergamotshift-entry/src/daemon/server.rs
+++ b/bergamotshift-entry/src/daemon/server.rs
@@ -94,11 +94,11 @@
 
 fn http(shared: &Shared) -> HttpServiceConfig {
     let bounds = shared.settings.bounds;
-    let head_time = Seconds(bounds.head_time);
+    let head_timeout = Seconds(bounds.head_timeout);
     HttpServiceConfig::new()
         .set_keepalive(KeepAlive::Timeout(KEEP_ALIVE))
-        .set_max_buf_size(bounds.head)
-        .set_headers_read_rate(head_time, head_time, u32::MAX)
+        .set_max_buf_size(bounds.max_head)
+        .set_headers_read_rate(head_timeout, head_timeout, u32::MAX)
 }
 
 fn serve_callers(shared: Arc<Shared>, listener: TcpListener) -> io::Result<Server> {
--- a/bergamotshift-entry/src/exchange/choose.rs
+++ b/bergamotshift-entry/src/exchange/choose.rs
@@ -56,7 +56,7 @@
             let occupied = snapshot
                 .endpoints
                 .iter()
-                .filter(|(_, endpoint)| endpoint.seat.is_acquired());
+                .filter(|(_, endpoint)| endpoint.isolation.is_acquired());
             exclude.to_mut().extend(occupied.map(|(key, _)| key));
         }
         let has_occupied = exclude.len() > self.tried.len();
@@ -65,7 +65,11 @@
                 let Some(endpoint) = snapshot.endpoints.get(choice.key) else {
                     return Ok(None);
                 };
-                let seat = if isolate { endpoint.seat.try_acquire() } else { None };
+                let seat = if isolate {
+                    endpoint.isolation.try_acquire()
+                } else {
+                    None
+                };
                 // Another suspected request may have taken the endpoint first; the next try excludes that endpoint.
                 Ok((seat.is_some() || !isolate).then(|| Running {
                     endpoint: Arc::clone(endpoint),
--- a/bergamotshift-entry/src/exchange/send.rs
+++ b/bergamotshift-entry/src/exchange/send.rs
@@ -52,7 +52,7 @@
         running.span.pass_on(&mut headers);
         let attempt = call::Call {
             target: running.endpoint.target.clone(),
-            attempt: self.worker.draw(),
+            attempt: self.worker.generate_id(),
             method: call.method.clone(),
             path: call.path.clone(),
             headers,
--- a/bergamotshift-entry/src/jobs/run.rs
+++ b/bergamotshift-entry/src/jobs/run.rs
@@ -43,7 +43,7 @@
     let settings = worker.shared.settings.jobs.runner;
     let holder = worker.shared.settings.name.clone();
     let job::Candidate { id, open, version } = candidate;
-    let runner = Runner::new(settings, id, &open, version, holder, worker.draw());
+    let runner = Runner::new(settings, id, &open, version, holder, worker.generate_id());
     let (events, received) = mpsc::unbounded_channel();
     let _recording = Recording::start(&worker.shared);
     let job = Job {
@@ -179,7 +179,7 @@
     const MAX_INLINE_BODY: usize = 16 << 10;
     let mut answer = claims::from_whole(whole);
     if whole.body.len() > MAX_INLINE_BODY {
-        let key = format_smolstr!("job/{id}/answer/{}", worker.draw());
+        let key = format_smolstr!("job/{id}/answer/{}", worker.generate_id());
         let is_stored = worker.shared.store.put_object(key.clone(), whole.body.to_vec()).await;
         let length = whole.body.len() as u64;
         // A job whose answer cannot be stored has to run again, or its caller would never get the answer.
@@ -206,7 +206,7 @@
     let handling = snapshot.config.handling(service, method, path);
     let times = request::times(&HeaderMap::new(), &handling, service, worker.shared.now()).ok()?;
     Some(Rc::new(Call {
-        id: worker.draw(),
+        id: worker.generate_id(),
         organisation: record.organisation.clone(),
         service: record.service.clone(),
         method: Method::from_bytes(method.as_bytes()).ok()?,
--- a/bergamotshift-entry/src/peers/content.rs
+++ b/bergamotshift-entry/src/peers/content.rs
@@ -129,7 +129,7 @@
         });
     }
 
-    fn tell(&self, _to: &name::Entry, announcement: Announcement) {
+    fn reply(&self, _to: &name::Entry, announcement: Announcement) {
         // Probes carry digests of the notes, so the neighbours of an entry that is behind detect it and send the note.
         self.announce(announcement);
     }
@@ -150,7 +150,7 @@
         })
     }
 
-    fn hold(&self, member: &Member) {
+    fn update(&self, member: &Member) {
         self.content.hold(member);
     }
 }
--- a/bergamotshift-entry/src/settings/mod.rs
+++ b/bergamotshift-entry/src/settings/mod.rs
@@ -57,20 +57,20 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Watch {
     /// The time between two load reports of one endpoint.
-    pub reports: Duration,
+    pub report_interval: Duration,
     /// The time between two readings of the VM list.
-    pub list: Duration,
+    pub list_interval: Duration,
     /// The time between two readings of the notices.
-    pub notices: Duration,
+    pub notice_interval: Duration,
 }
 
 impl Default for Watch {
     fn default() -> Self {
         // The platform gives about two thousand reads a second: 390 entries take a quarter of them.
         Self {
-            reports: Duration::from_millis(500),
-            list: Duration::from_secs(5),
-            notices: Duration::from_secs(1),
+            report_interval: Duration::from_millis(500),
+            list_interval: Duration::from_secs(5),
+            notice_interval: Duration::from_secs(1),
         }
     }
 }
@@ -79,25 +79,25 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Bounds {
     /// The largest head of any request, in bytes.
-    pub head: usize,
+    pub max_head: usize,
     /// How long a caller may take over a request's head, in seconds.
-    pub head_time: u16,
+    pub head_timeout: u16,
     /// How long a caller may take over each kilobyte of a body, in seconds.
-    pub body_time: u16,
+    pub body_timeout: u16,
     /// Bodies up to this many bytes are held until the answer is there, so that they can be sent again.
-    pub held_body: usize,
+    pub max_buffered_body: usize,
     /// Answers up to this many bytes are held until they are whole, so that a broken one can be fetched again.
-    pub held_answer: usize,
+    pub max_buffered_answer: usize,
 }
 
 impl Default for Bounds {
     fn default() -> Self {
         Self {
-            head: 64 * 1024,
-            head_time: 5,
-            body_time: 5,
-            held_body: 256 * 1024,
-            held_answer: 256 * 1024,
+            max_head: 64 * 1024,
+            head_timeout: 5,
+            body_timeout: 5,
+            max_buffered_body: 256 * 1024,
+            max_buffered_answer: 256 * 1024,
         }
     }
 }
@@ -136,7 +136,7 @@
     /// When requests are suspected of killing endpoints.
     pub quarantine: quarantine::Settings,
     /// How long new requests are still taken after a drain began, while the balancer learns of it.
-    pub settle: Duration,
+    pub drain_delay: Duration,
     /// How the entry takes part in the fleet; without it, it stands alone.
     pub peers: Option<peers::Settings>,
     /// Where traces go; without it none are made.
@@ -166,7 +166,7 @@
             policy: SmolStr::new_static(policy::DEFAULT),
             duties: duties::Settings::default(),
             quarantine: quarantine::Settings::default(),
-            settle: Duration::from_millis(500),
+            drain_delay: Duration::from_millis(500),
             peers: None,
             otlp: None,
             jobs: jobs::Settings::default(),
@@ -177,7 +177,7 @@
 
 impl Settings {
     /// Returns whether the configuration comes from the platform and from peers.
-    pub const fn follows(&self) -> bool {
+    pub const fn uses_platform_config(&self) -> bool {
         let given = self.config.is_some() || self.folder.is_some();
         !given && self.platform.table.is_some() && self.platform.objects.is_some()
     }
--- a/bergamotshift-entry/src/snapshot/mod.rs
+++ b/bergamotshift-entry/src/snapshot/mod.rs
@@ -36,7 +36,7 @@
     /// Where it listens.
     pub target: Target,
     /// Its place for suspected work.
-    pub seat: sharing::Isolation,
+    pub isolation: sharing::Isolation,
 }
 
 /// What the request path needs of a service beside its configuration.
--- a/bergamotshift-entry/src/watch/mod.rs
+++ b/bergamotshift-entry/src/watch/mod.rs
@@ -27,7 +27,7 @@
 
 /// Somebody who waits for the outcome of a probe.
 #[derive(Debug)]
-pub struct Waiting {
+pub struct Waiter {
     /// What ran at the endpoint when its attempt broke.
     pub fingerprint: Fingerprint,
     /// Gets the verdict.
@@ -42,7 +42,7 @@
     /// A configuration version is to be in force from now on.
     Configured {
         /// The version, higher than any before.
-        mark: Revision,
+        revision: Revision,
         /// What it says.
         config: Arc<Config>,
     },
@@ -57,7 +57,7 @@
         /// What it said, or why it did not.
         report: Result<load::Report, Failure>,
         /// Who waits for it.
-        waiting: Option<Waiting>,
+        waiter: Option<Waiter>,
     },
 }
 
@@ -72,11 +72,11 @@
 }
 
 /// Asks one endpoint for its load and tells the control thread.
-pub async fn probe(adapter: Rc<dyn Adapter>, endpoint: Arc<Endpoint>, waiting: Option<Waiting>, sender: Sender) {
+pub async fn probe(adapter: Rc<dyn Adapter>, endpoint: Arc<Endpoint>, waiter: Option<Waiter>, sender: Sender) {
     let report = adapter.load(&endpoint.target).await;
     sender.send(Event::Probed {
         endpoint,
         report,
-        waiting,
+        waiter,
     });
 }
--- a/bergamotshift-entry/src/worker/mod.rs
+++ b/bergamotshift-entry/src/worker/mod.rs
@@ -168,7 +168,7 @@
     }
 
     /// Draws an identifier that no other attempt or request has.
-    pub fn draw(&self) -> attempt::Id {
+    pub fn generate_id(&self) -> attempt::Id {
         let mut generator = self.generator.borrow_mut();
         let high = u128::from(generator.next_u64());
         attempt::Id::new(high << 64 | u128::from(generator.next_u64()))
--- a/bergamotshift-entry/tests/admin/status.rs
+++ b/bergamotshift-entry/tests/admin/status.rs
@@ -48,7 +48,7 @@
     // All endpoints of one zone die unannounced. Load reports fail one by one; when the last of them is gone the zone
     // shows as cut off, and the other one does not.
     let mut layout = Layout::default();
-    layout.settings.watch.reports = REPORTS;
+    layout.settings.watch.report_interval = REPORTS;
     let site = Site::start(layout).await;
     site.engines[0].kill();
     site.plains[0].kill();
--- a/bergamotshift-entry/tests/entry/drain.rs
+++ b/bergamotshift-entry/tests/entry/drain.rs
@@ -32,7 +32,7 @@
         },
         ..Layout::default()
     };
-    layout.settings.settle = Duration::from_millis(400);
+    layout.settings.drain_delay = Duration::from_millis(400);
     let site = Site::start(layout).await;
     let bodies: Vec<_> = (0..8)
         .map(|number| {
--- a/bergamotshift-entry/tests/entry/input.rs
+++ b/bergamotshift-entry/tests/entry/input.rs
@@ -146,8 +146,8 @@
     // One caller stops in the middle of its head, one in the middle of its body. Both are told so after their time,
     // and neither holds anything up.
     let mut layout = Layout::default();
-    layout.settings.bounds.head_time = 1;
-    layout.settings.bounds.body_time = 1;
+    layout.settings.bounds.head_timeout = 1;
+    layout.settings.bounds.body_timeout = 1;
     let site = Site::start(layout).await;
     assert_refused(&raw(&site, &[b"GET /app/x HT"]), "408", "too_slow");
     let head = format!("PUT /app/x HTTP/1.1\r\nauthorization: Bearer {KEY}\r\ncontent-length: 100\r\n\r\nfew");
--- a/bergamotshift-entry/tests/entry/leaving.rs
+++ b/bergamotshift-entry/tests/entry/leaving.rs
@@ -51,8 +51,8 @@
         ..Platform::default()
     };
     layout.settings.watch = Watch {
-        list,
-        notices: Duration::from_millis(10),
+        list_interval: list,
+        notice_interval: Duration::from_millis(10),
         ..Watch::default()
     };
     Site::start(layout).await
--- a/bergamotshift-entry/tests/entry/site.rs
+++ b/bergamotshift-entry/tests/entry/site.rs
@@ -62,7 +62,7 @@
             more: "",
             settings: Settings {
                 threads: 1,
-                settle: core::time::Duration::from_millis(50),
+                drain_delay: core::time::Duration::from_millis(50),
                 // Tests that order faults of the table mean them for their own requests, not for a look for jobs.
                 jobs: jobs::Settings {
                     max_running: 0,
--- a/bergamotshift-entry/tests/observe/log.rs
+++ b/bergamotshift-entry/tests/observe/log.rs
@@ -121,7 +121,7 @@
     // one record of each, and one more when the dead one is back.
     let journal = Journal::default();
     let mut settings = journal.settings();
-    settings.watch.reports = Duration::from_millis(20);
+    settings.watch.report_interval = Duration::from_millis(20);
     let site = Site::start(Layout {
         engines: 0,
         settings,
@@ -186,8 +186,8 @@
     let vms = vms::Server::start(vms::Settings::default()).unwrap();
     let mut settings = journal.settings();
     settings.platform.vms = Some(vms.address());
-    settings.watch.list = Duration::from_millis(5);
-    settings.watch.notices = Duration::from_millis(5);
+    settings.watch.list_interval = Duration::from_millis(5);
+    settings.watch.notice_interval = Duration::from_millis(5);
     let site = Site::start(Layout {
         settings,
         ..Layout::default()
--- a/bergamotshift-entry/tests/observe/metrics.rs
+++ b/bergamotshift-entry/tests/observe/metrics.rs
@@ -124,7 +124,7 @@
         engines: 0,
         ..Layout::default()
     };
-    layout.settings.bounds.held_answer = 16;
+    layout.settings.bounds.max_buffered_answer = 16;
     let site = Site::start(layout).await;
     let reply = site.send(Method::GET, "/app/shifts", &[], "").await;
     assert!(reply.whole && reply.body.len() > 16);
@@ -144,7 +144,7 @@
         engines: 0,
         ..Layout::default()
     };
-    layout.settings.watch.reports = Duration::from_millis(20);
+    layout.settings.watch.report_interval = Duration::from_millis(20);
     let site = Site::start(layout).await;
     let state = |zone: &str, state: &str| format!("endpoints{{service=\"app\",zone=\"{zone}\",state=\"{state}\"}}");
     site.until(&state("zone-a", "live"), 1).await;
--- a/bergamotshift-entry/tests/peers.rs
+++ b/bergamotshift-entry/tests/peers.rs
@@ -111,8 +111,8 @@
         threads: 1,
         config: Some(Arc::new(folder::parse(&[("site.toml", CONFIG)]).unwrap())),
         watch: Watch {
-            list: Duration::from_millis(50),
-            notices: Duration::from_millis(10),
+            list_interval: Duration::from_millis(50),
+            notice_interval: Duration::from_millis(10),
             ..Watch::default()
         },
         peers: Some(peers::Settings {
@@ -121,7 +121,7 @@
             fleet,
             ..peers::Settings::default()
         }),
-        settle: Duration::ZERO,
+        drain_delay: Duration::ZERO,
         ..Settings::default()
     }
 }
--- a/bergamotshift-entry/tests/security/fuzz.rs
+++ b/bergamotshift-entry/tests/security/fuzz.rs
@@ -62,8 +62,8 @@
 async fn any_bytes_of_callers_run_nothing_without_a_key() {
     // What is cut off is answered after its time, so that time is short, and all connections wait side by side.
     let mut layout = Layout::default();
-    layout.settings.bounds.head_time = 1;
-    layout.settings.bounds.body_time = 1;
+    layout.settings.bounds.head_timeout = 1;
+    layout.settings.bounds.body_timeout = 1;
     let site = Site::start(layout).await;
     let wrong = KEY.replace('k', "c");
     let body = json!({"model": "tiny", "messages": [{"role": "user", "content": "x"}]}).to_string();
--- a/bergamotshift-entry/tests/sharing/flood.rs
+++ b/bergamotshift-entry/tests/sharing/flood.rs
@@ -37,7 +37,7 @@
         more: more.leak(),
         settings: Settings {
             watch: Watch {
-                reports: Duration::from_millis(50),
+                report_interval: Duration::from_millis(50),
                 ..Watch::default()
             },
             ..Layout::default().settings
