--- a/bergamotshift-entry/src/duties/capacity.rs
+++ b/bergamotshift-entry/src/duties/capacity.rs
@@ -1,4 +1,4 @@
-//! The capacity of one service: decided while its lease is held, and carried out.
+//! Decides on the capacity of one service while its lease is held, and carries the decisions out.
 
 use std::rc::Rc;
 
@@ -24,70 +24,70 @@
 use super::Change;
 use super::Clock;
 use super::Lease;
-use super::Picture;
+use super::Observation;
 use super::Settings;
 use super::loader::Loader;
 
-/// What orders are carried out with.
+/// Clients that carry out orders.
 #[derive(Clone, Debug)]
-pub struct Hands {
-    /// The cloud, which knows no fencing numbers.
+pub struct Clients {
+    /// The cloud, which does not check fencing numbers.
     pub cloud: Rc<dyn Cloud>,
-    /// The weight store, when models are loaded by order.
+    /// The weight store, if models are loaded by order.
     pub weights: Option<Rc<dyn Weights>>,
-    /// Speaks to the service's endpoints.
+    /// Adapter that sends orders to the service's endpoints.
     pub adapter: Rc<dyn Adapter>,
-    /// Where log records go.
+    /// Destination of log records.
     pub logger: Logger,
 }
 
-/// One service's capacity duty at one entry, held or watched.
+/// Capacity duty of one service at one entry, which holds it or watches its holder.
 #[derive(Debug)]
 pub struct Capacity {
     settings: Settings,
     service: Service,
     lease: Lease,
-    hands: Hands,
+    clients: Clients,
     clock: Clock,
     kernel: Option<Kernel>,
     loader: Loader,
 }
 
-/// Whether any further orders of the kernel may be given in this round.
+/// Decision on the remaining orders of a round: carry them out, or drop them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Pace {
-    On,
+enum Flow {
+    Continue,
     Stop,
 }
 
 impl Capacity {
-    /// Makes the duty of a service; nobody holds it as far as it knows.
-    pub fn new(settings: Settings, service: Service, lease: Lease, hands: Hands, clock: Clock) -> Self {
+    /// Creates the duty of a service, which this entry does not hold yet.
+    pub fn new(settings: Settings, service: Service, lease: Lease, clients: Clients, clock: Clock) -> Self {
         Self {
             settings,
             service,
             lease,
-            hands,
+            clients,
             clock,
             kernel: None,
             loader: Loader::default(),
         }
     }
 
-    /// Returns whether this entry holds the duty as far as it knows, so that it has to look at the VM list.
+    /// Returns whether this entry believes that it holds the duty, and so has to read the VM list.
     pub const fn is_held(&self) -> bool {
         self.kernel.is_some()
     }
 
-    /// Follows the service's configuration.
-    pub fn follow(&mut self, service: &Service) {
+    /// Replaces the service's configuration.
+    pub fn update_service(&mut self, service: &Service) {
         if self.service != *service {
             self.service = service.clone();
         }
     }
 
-    /// Renews or watches the lease, when that is due.
-    pub async fn keep(&mut self) {
+    /// Renews the lease, or checks its holder, if that is due; starts or drops the kernel when the holder changes.
+    pub async fn update_lease(&mut self) {
         for change in self.lease.step().await {
             self.kernel = match change {
                 Change::Begun(number) => self.begin(number),
@@ -96,14 +96,14 @@
         }
     }
 
-    /// Gives the duty up.
+    /// Releases the duty.
     pub async fn resign(&mut self) {
         self.kernel = None;
         self.lease.resign().await;
     }
 
-    /// Takes over what the VM list says.
-    pub fn listed(&mut self, listings: &[Listing]) {
+    /// Records the service's VMs from the VM list, if this entry holds the duty.
+    pub fn record_listings(&mut self, listings: &[Listing]) {
         let now = self.clock.now();
         let role = Role::Endpoint(self.service.name.clone());
         let own: Vec<_> = listings.iter().filter(|vm| vm.role == role).cloned().collect();
@@ -112,29 +112,36 @@
         }
     }
 
-    /// Decides and carries out what is decided.
-    pub async fn act(&mut self, picture: &Picture) {
+    /// Runs one round: decides on orders, carries them out, and loads models; does nothing if the duty is not held.
+    pub async fn tick(&mut self, observation: &Observation) {
         let now = self.clock.now();
         let Some(kernel) = &mut self.kernel else { return };
-        for (vm, reached) in &picture.reached {
-            kernel.record_serving(now, vm, reached.idle);
+        for (vm, endpoint) in &observation.endpoints {
+            kernel.record_serving(now, vm, endpoint.idle);
         }
-        for order in kernel.tick(now, &picture.offers, picture.demand) {
-            if self.carry_out(order, picture).await == Pace::Stop {
+        for order in kernel.tick(now, &observation.offers, observation.demand) {
+            if self.carry_out(order, observation).await == Flow::Stop {
                 break;
             }
         }
-        let Hands { weights, adapter, .. } = &self.hands;
+        let Clients { weights, adapter, .. } = &self.clients;
         if let Some(weights) = weights {
             let loader = &mut self.loader;
             loader
-                .load(&self.lease, &self.clock, &self.service, &**weights, &**adapter, picture)
+                .load(
+                    &self.lease,
+                    &self.clock,
+                    &self.service,
+                    &**weights,
+                    &**adapter,
+                    observation,
+                )
                 .await;
         }
     }
 
     fn begin(&mut self, number: u64) -> Option<Kernel> {
-        info!(self.hands.logger, "capacity duty begins"; "service" => self.service.name.as_str(), "number" => number);
+        info!(self.clients.logger, "capacity duty begins"; "service" => self.service.name.as_str(), "number" => number);
         self.loader = Loader::default();
         let Settings {
             duty,
@@ -146,28 +153,27 @@
         Some(Kernel::new(*duty, policy, number))
     }
 
-    async fn carry_out(&mut self, order: Order, picture: &Picture) -> Pace {
-        // Failure: the process is paused, its lease lapses, and it wakes up in the middle of its orders. Symptom: it
-        // undoes what its successor does. So the permit is asked for before each order and by the clock of that
-        // moment. The cloud and a drain check no number: for them a new holder waits until no order of the last one
-        // can be on its way.
+    async fn carry_out(&mut self, order: Order, observation: &Observation) -> Flow {
+        // A process that is paused until its lease expires and resumes between two orders would undo its successor's
+        // work. The permit is therefore checked against the current time before each order. The cloud and drains do
+        // not check fencing numbers: for these, a new holder waits until no order of the previous one can be in flight.
         let Some(fencing) = self.lease.permit(false) else {
-            return Pace::Stop;
+            return Flow::Stop;
         };
         match order {
             Order::Start { token, pool } => self.start(token, pool).await,
             Order::Stop(vm) => {
-                if let Err(error) = self.hands.cloud.stop(vm.clone()).await {
-                    warn!(self.hands.logger, "a VM is not stopped"; "vm" => vm.as_str(), "error" => %error);
+                if let Err(error) = self.clients.cloud.stop(vm.clone()).await {
+                    warn!(self.clients.logger, "a VM is not stopped"; "vm" => vm.as_str(), "error" => %error);
                 }
             }
-            Order::Drain(vm) => self.drain(vm, fencing, picture).await,
+            Order::Drain(vm) => self.drain(vm, fencing, observation).await,
         }
-        Pace::On
+        Flow::Continue
     }
 
     async fn start(&mut self, token: Token, pool: Pool) {
-        // The name follows from the purchase, so asking again buys nothing twice.
+        // The name is derived from the purchase, so a repeated call does not buy a second VM.
         let Token { fencing, number } = token;
         let name = name::Vm::new(format!("{}-{fencing}-{number}", self.service.name));
         let spec = Spec {
@@ -177,29 +183,30 @@
             market: pool.market,
             role: Role::Endpoint(self.service.name.clone()),
         };
-        let sold = self.hands.cloud.start(spec).await;
+        let result = self.clients.cloud.start(spec).await;
         let now = self.clock.now();
         let Some(kernel) = &mut self.kernel else { return };
-        match sold {
+        match result {
             Ok(()) => kernel.record_purchase(now, token, name),
-            // It may have been sold; the kernel asks again under the same name.
+            // The VM may have been started; the kernel repeats the order under the same name.
             Err(Error::Unknown(_)) => {}
             Err(error) => {
-                info!(self.hands.logger, "a VM is refused"; "vm" => name.as_str(), "error" => %error);
+                info!(self.clients.logger, "a VM is refused"; "vm" => name.as_str(), "error" => %error);
                 kernel.record_refusal(now, token);
             }
         }
     }
 
-    async fn drain(&self, vm: name::Vm, fencing: u64, picture: &Picture) {
-        // One that cannot be reached is asked again later; it is not given back before it says that it is idle.
-        let Some(reached) = picture.reached.get(&vm) else {
+    async fn drain(&self, vm: name::Vm, fencing: u64, observation: &Observation) {
+        // The kernel repeats the order for an endpoint that cannot be reached. Its VM is not stopped before it reports
+        // that it is idle.
+        let Some(endpoint) = observation.endpoints.get(&vm) else {
             return;
         };
         let action = order::Action::Drain;
         let order = order::Order { action, fencing };
-        if let Err(error) = self.hands.adapter.order(&reached.target, order).await {
-            warn!(self.hands.logger, "an endpoint is not drained"; "vm" => vm.as_str(), "error" => %error);
+        if let Err(error) = self.clients.adapter.order(&endpoint.target, order).await {
+            warn!(self.clients.logger, "an endpoint is not drained"; "vm" => vm.as_str(), "error" => %error);
         }
     }
 }
--- a/bergamotshift-entry/src/duties/loader.rs
+++ b/bergamotshift-entry/src/duties/loader.rs
@@ -1,4 +1,4 @@
-//! Loads a service's models at its endpoints, at the weight store's rate.
+//! Loads a service's models at its endpoints, no faster than the weight store allows.
 
 use core::time::Duration;
 use std::collections::BTreeSet;
@@ -15,12 +15,14 @@
 
 use super::Clock;
 use super::Lease;
-use super::Picture;
+use super::Observation;
 
-/// How long to wait when the store does not say.
-const WAIT: Duration = Duration::from_secs(10);
+/// Delay before the next load when the weight store names none.
+const DEFAULT_RETRY_DELAY: Duration = Duration::from_secs(10);
 
-/// What one holder has had loaded; a new holder orders everything again, which changes nothing where it is loaded.
+/// Models that one holder of the duty has had loaded.
+///
+/// A new holder orders every load again; an order for a model that is already loaded has no effect.
 #[derive(Debug, Default)]
 pub(super) struct Loader {
     loaded: BTreeSet<(name::Vm, Incarnation, name::Model)>,
@@ -28,7 +30,7 @@
 }
 
 impl Loader {
-    /// Orders what is missing, until the store's rate is used up or the lease gives no permit.
+    /// Orders the missing loads until the weight store throttles them or the lease gives no permit.
     pub(super) async fn load(
         &mut self,
         lease: &Lease,
@@ -36,23 +38,23 @@
         service: &Service,
         weights: &dyn Weights,
         adapter: &dyn Adapter,
-        picture: &Picture,
+        observation: &Observation,
     ) {
-        let live = |vm: &name::Vm, life: Incarnation| {
-            let reached = picture.reached.get(vm);
-            reached.is_some_and(|reached| reached.incarnation == life)
+        let is_current = |vm: &name::Vm, incarnation: Incarnation| {
+            let endpoint = observation.endpoints.get(vm);
+            endpoint.is_some_and(|endpoint| endpoint.incarnation == incarnation)
         };
-        self.loaded.retain(|(vm, life, _)| live(vm, *life));
-        for (vm, reached) in &picture.reached {
+        self.loaded.retain(|(vm, incarnation, _)| is_current(vm, *incarnation));
+        for (vm, endpoint) in &observation.endpoints {
             for model in &service.models {
-                let item = (vm.clone(), reached.incarnation, model.clone());
+                let item = (vm.clone(), endpoint.incarnation, model.clone());
                 if self.loaded.contains(&item) {
                     continue;
                 }
                 if clock.now() < self.not_before || !self.may_load(clock, weights, model).await {
                     return;
                 }
-                // Endpoints that check the number refuse an old one themselves, so no time need be waited out.
+                // Endpoints that check fencing numbers refuse orders of an earlier holder, so a new holder need not wait.
                 let Some(fencing) = lease.permit(service.checks_fencing) else {
                     return;
                 };
@@ -61,25 +63,25 @@
                     version: SmolStr::default(),
                 };
                 let order = Order { action, fencing };
-                if adapter.order(&reached.target, order).await.is_ok() {
+                if adapter.order(&endpoint.target, order).await.is_ok() {
                     self.loaded.insert(item);
                 }
             }
         }
     }
 
-    /// Asks the store for leave to load a model.
+    /// Asks the weight store whether a model may be loaded now; if not, sets the time before which not to ask again.
     async fn may_load(&mut self, clock: &Clock, weights: &dyn Weights, model: &name::Model) -> bool {
         let spec = Spec {
             model: model.clone(),
             version: SmolStr::default(),
         };
-        let wait = match weights.fetch(spec).await {
+        let delay = match weights.fetch(spec).await {
             Ok(_) => return true,
-            Err(Error::Throttled { retry_after }) => retry_after.unwrap_or(WAIT),
-            Err(_) => WAIT,
+            Err(Error::Throttled { retry_after }) => retry_after.unwrap_or(DEFAULT_RETRY_DELAY),
+            Err(_) => DEFAULT_RETRY_DELAY,
         };
-        self.not_before = clock.now() + wait;
+        self.not_before = clock.now() + delay;
         false
     }
 }
--- a/bergamotshift-entry/src/duties/mod.rs
+++ b/bergamotshift-entry/src/duties/mod.rs
@@ -1,16 +1,16 @@
-//! Control duties: the capacity of each service, held by one entry at a time.
+//! Control duties: the capacity of each service, managed by one entry at a time.
 //!
-//! A [`Lease`] holds the duty through the platform's table, or watches who does. While it is held a [`Capacity`]
-//! decides what to buy, drain and give back, and carries that out through the platform's cloud and the endpoints'
-//! orders. Each order is given only with the lease's permit, which is asked for anew just before, by this entry's own
-//! clock: a holder that was paused finds its lease over, and gives none.
+//! A [`Lease`] holds the duty through the platform's table, or watches its holder. While the duty is held, a
+//! [`Capacity`] decides which VMs to buy, drain and stop, and carries this out through the platform's cloud and orders
+//! to endpoints. Each order needs a permit of the lease, which is checked immediately before by this entry's own clock:
+//! a holder that was paused finds its lease expired and gives no order.
 //!
-//! With the table away the lease runs out and no order is given; requests are served on. [`task::run`] keeps all duties
-//! of an entry that has the platform's table, VM list and cloud.
+//! While the table is unavailable the lease expires and no order is given; requests are still served. [`task::run`]
+//! runs all duties of an entry that has the platform's table, VM list and cloud.
 
 mod capacity;
 mod loader;
-mod picture;
+mod observation;
 pub mod task;
 
 use core::time::Duration;
@@ -25,25 +25,25 @@
 pub use bergamotshift_forward::duty::Lease;
 
 pub use self::capacity::Capacity;
-pub use self::capacity::Hands;
-pub use self::picture::Picture;
-pub use self::picture::Reached;
+pub use self::capacity::Clients;
+pub use self::observation::Endpoint;
+pub use self::observation::Observation;
 
-/// How control duties are done.
+/// Settings of control duties.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// How leases are kept.
+    /// Settings of leases.
     pub lease: keeper::Settings,
-    /// How long a duty waits for others.
+    /// Settings of the capacity kernel, such as how long it waits for the VM list.
     pub duty: duty::Settings,
-    /// What the capacity policy is told.
+    /// Settings of the capacity policy.
     pub policy: policy::Settings,
-    /// The capacity policy's name.
+    /// Name of the capacity policy.
     pub policy_name: SmolStr,
-    /// The time between two looks at a duty.
-    pub tick: Duration,
-    /// The time between two readings of the VM list by a duty's holder.
-    pub list: Duration,
+    /// Interval between two rounds of the duties.
+    pub tick_interval: Duration,
+    /// Interval between two reads of the VM list by a duty's holder.
+    pub list_interval: Duration,
 }
 
 impl Default for Settings {
@@ -53,8 +53,8 @@
             duty: duty::Settings::default(),
             policy: policy::Settings::default(),
             policy_name: SmolStr::new_static(policy::DEFAULT),
-            tick: Duration::from_secs(1),
-            list: Duration::from_secs(5),
+            tick_interval: Duration::from_secs(1),
+            list_interval: Duration::from_secs(5),
         }
     }
 }
--- a/bergamotshift-entry/src/duties/picture.rs
+++ b/bergamotshift-entry/src/duties/observation.rs
@@ -1,4 +1,4 @@
-//! What a duty's holder sees of its service.
+//! State of a service, as its capacity duty observes it.
 
 use std::collections::BTreeMap;
 
@@ -12,34 +12,34 @@
 
 use crate::snapshot::Snapshot;
 
-/// An endpoint that answers.
+/// Endpoint that answers.
 #[derive(Clone, Debug)]
-pub struct Reached {
-    /// Which life of its VM.
+pub struct Endpoint {
+    /// Incarnation of its VM.
     pub incarnation: Incarnation,
-    /// Where it takes orders.
+    /// Address that takes orders.
     pub target: Target,
-    /// Whether nothing runs there.
+    /// Whether no request runs, waits or is in flight there.
     pub idle: bool,
 }
 
-/// A service at one moment.
+/// State of a service at one time.
 #[derive(Clone, Debug, Default)]
-pub struct Picture {
-    /// What can be bought.
+pub struct Observation {
+    /// VMs that can be bought, with price and rate.
     pub offers: Vec<Offer>,
-    /// The work asked for.
+    /// Demand for the service's work.
     pub demand: Demand,
-    /// The endpoints that answer.
-    pub reached: BTreeMap<name::Vm, Reached>,
+    /// Endpoints that answer, by VM.
+    pub endpoints: BTreeMap<name::Vm, Endpoint>,
 }
 
-impl Picture {
-    /// Takes a service's picture; there is none before one of its endpoints has said what it can do.
-    pub fn take(snapshot: &Snapshot, service: &Service) -> Option<Self> {
+impl Observation {
+    /// Reads a service's state from a snapshot, or returns `None` while no endpoint of it has reported.
+    pub fn new(snapshot: &Snapshot, service: &Service) -> Option<Self> {
         let (urgent, rate) = snapshot.sharing.demand_and_rate(&service.name)?;
         let numbers = snapshot.services.get(&service.name)?;
-        let mut reached = BTreeMap::new();
+        let mut endpoints = BTreeMap::new();
         for row in snapshot.view.rows() {
             let Some((report, _)) = row.report().filter(|_| row.endpoint().service == numbers.number) else {
                 continue;
@@ -48,12 +48,12 @@
                 continue;
             };
             let idle = report.running + report.waiting + row.counter().in_flight() == 0;
-            let seen = Reached {
+            let observed = Endpoint {
                 incarnation: endpoint.incarnation,
                 target: endpoint.target.clone(),
                 idle,
             };
-            reached.insert(endpoint.vm.clone(), seen);
+            endpoints.insert(endpoint.vm.clone(), observed);
         }
         Some(Self {
             offers: offers(&snapshot.config, service, rate),
@@ -61,18 +61,18 @@
                 urgent,
                 deferrable: 0.0,
             },
-            reached,
+            endpoints,
         })
     }
 }
 
-/// Returns what the configuration lets a service buy.
+/// Returns the VMs that a service may buy: those in allowed zones, of allowed classes, that have a price.
 fn offers(config: &Config, service: &Service, rate: f64) -> Vec<Offer> {
-    let allowed = |zone: &&name::Zone| service.zones.is_empty() || service.zones.contains(zone);
-    let fits = |class: &&name::Class| service.classes.is_empty() || service.classes.contains(class);
+    let is_allowed_zone = |zone: &&name::Zone| service.zones.is_empty() || service.zones.contains(zone);
+    let is_allowed_class = |class: &&name::Class| service.classes.is_empty() || service.classes.contains(class);
     let mut offers = Vec::new();
-    for zone in config.zones.keys().filter(allowed) {
-        for class in config.classes.keys().filter(fits) {
+    for zone in config.zones.keys().filter(is_allowed_zone) {
+        for class in config.classes.keys().filter(is_allowed_class) {
             for market in [Market::Reclaimable, Market::OnDemand] {
                 let price = config.price(zone, class, market);
                 let pool = Pool::new(zone.clone(), class.clone(), market);
--- a/bergamotshift-entry/src/duties/task.rs
+++ b/bergamotshift-entry/src/duties/task.rs
@@ -1,4 +1,4 @@
-//! The task that keeps all duties of one entry.
+//! Task that runs all duties of one entry.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -18,72 +18,72 @@
 use smol_str::format_smolstr;
 
 use super::Capacity;
+use super::Clients;
 use super::Clock;
-use super::Hands;
 use super::Lease;
-use super::Picture;
+use super::Observation;
 use crate::worker;
 use crate::worker::Shared;
 
-/// The parts of the platform that duties cannot do without.
+/// Services of the platform that duties require.
 #[derive(Clone, Debug)]
-struct Parts {
+struct Services {
     table: Rc<dyn Table>,
     vms: Rc<dyn Vms>,
     cloud: Rc<dyn Cloud>,
 }
 
-/// Keeps the duties of an entry until it ends; returns at once when the platform's parts for them are not given.
+/// Runs the duties of an entry until it drains; returns at once if the platform lacks a service that they require.
 pub async fn run(shared: Arc<Shared>, platform: Platform, adapters: BTreeMap<SmolStr, Rc<dyn Adapter>>) {
     let (Some(table), Some(vms), Some(cloud)) = (&platform.table, &platform.vms, &platform.cloud) else {
         return;
     };
-    let parts = Parts {
+    let services = Services {
         table: Rc::clone(table),
         vms: Rc::clone(vms),
         cloud: Rc::clone(cloud),
     };
     let mut duties = BTreeMap::new();
-    let mut listed = None;
+    let mut last_listed = None;
     let settings = shared.settings.duties.clone();
-    let mut interval = tokio::time::interval(settings.tick);
+    let mut interval = tokio::time::interval(settings.tick_interval);
     interval.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     while !shared.is_draining() {
         interval.tick().await;
-        reconcile(&shared, &platform, &parts, &adapters, &mut duties);
+        reconcile(&shared, &platform, &services, &adapters, &mut duties);
         for duty in duties.values_mut() {
-            duty.keep().await;
+            duty.update_lease().await;
         }
         let now = shared.now();
-        let due = listed.is_none_or(|at| now.since(at) >= settings.list);
+        let due = last_listed.is_none_or(|at| now.since(at) >= settings.list_interval);
         if due && duties.values().any(Capacity::is_held) {
-            listed = Some(now);
-            if let Ok(listings) = parts.vms.list().await {
+            last_listed = Some(now);
+            if let Ok(listings) = services.vms.list().await {
                 for duty in duties.values_mut() {
-                    duty.listed(&listings);
+                    duty.record_listings(&listings);
                 }
             }
         }
         let snapshot = shared.publisher.current();
         for (name, duty) in &mut duties {
             let service = snapshot.config.services.get(name);
-            let picture = service.and_then(|service| Picture::take(&snapshot, service));
-            if let Some(picture) = picture {
-                duty.act(&picture).await;
+            let observation = service.and_then(|service| Observation::new(&snapshot, service));
+            if let Some(observation) = observation {
+                duty.tick(&observation).await;
             }
         }
     }
-    // No order is on its way any more, so a successor need not wait.
+    // No order is in flight any more, so a successor need not wait.
     for duty in duties.values_mut() {
         duty.resign().await;
     }
 }
 
-/// Takes up the duties of services that came, and lets go of those that went.
+/// Adds duties for new services, drops those of removed services and updates the others.
 fn reconcile(
     shared: &Arc<Shared>,
     platform: &Platform,
-    parts: &Parts,
+    services: &Services,
     adapters: &BTreeMap<SmolStr, Rc<dyn Adapter>>,
     duties: &mut BTreeMap<name::Service, Capacity>,
 ) {
@@ -91,32 +91,33 @@
     duties.retain(|name, _| config.services.contains_key(name));
     for (name, service) in &config.services {
         if let Some(duty) = duties.get_mut(name) {
-            duty.follow(service);
+            duty.update_service(service);
             continue;
         }
         let Some(adapter) = adapters.get(&service.adapter) else {
             continue;
         };
-        let hands = Hands {
-            cloud: Rc::clone(&parts.cloud),
+        let clients = Clients {
+            cloud: Rc::clone(&services.cloud),
             weights: platform.weights.clone(),
             adapter: Rc::clone(adapter),
             logger: shared.settings.logger.clone(),
         };
-        duties.insert(name.clone(), duty(shared, parts, service, hands));
+        duties.insert(name.clone(), build_duty(shared, services, service, clients));
     }
 }
 
-fn duty(shared: &Arc<Shared>, parts: &Parts, service: &Service, hands: Hands) -> Capacity {
+/// Creates the capacity duty of a service.
+fn build_duty(shared: &Arc<Shared>, services: &Services, service: &Service, clients: Clients) -> Capacity {
     let settings = shared.settings.duties.clone();
     let clock = {
         let shared = Arc::clone(shared);
         Clock::new(move || shared.now())
     };
     let mut generator = worker::generator();
-    let life = attempt::Id::new(u128::from(generator.next_u64()) << 64 | u128::from(generator.next_u64()));
+    let process = attempt::Id::new(u128::from(generator.next_u64()) << 64 | u128::from(generator.next_u64()));
     let name = format_smolstr!("capacity/{}", service.name);
-    let keeper = Keeper::new(settings.lease, name, shared.settings.name.clone(), life);
-    let lease = Lease::new(keeper, Rc::clone(&parts.table), clock.clone(), generator);
-    Capacity::new(settings, service.clone(), lease, hands, clock)
+    let keeper = Keeper::new(settings.lease, name, shared.settings.name.clone(), process);
+    let lease = Lease::new(keeper, Rc::clone(&services.table), clock.clone(), generator);
+    Capacity::new(settings, service.clone(), lease, clients, clock)
 }
--- a/bergamotshift-entry/tests/duties/capacity.rs
+++ b/bergamotshift-entry/tests/duties/capacity.rs
@@ -1,4 +1,4 @@
-//! Buying where there is room, and giving back what runs nothing.
+//! Purchases in zones with free capacity, and stops of idle VMs.
 
 use bergamotshift_core::prelude::*;
 
@@ -8,8 +8,8 @@
 
 #[ntex::test]
 async fn starts_that_are_refused_go_elsewhere() {
-    // One zone has no reclaimable VMs left just when more are needed. The cloud refuses them; what they
-    // should have carried is bought elsewhere, so that the loss of any zone can still be borne.
+    // One zone has no reclaimable VMs left and the cloud refuses to start them. The capacity has to be bought
+    // elsewhere, so that the remaining zones can carry the demand after the loss of any one.
     let mut site = Site::start(true).await;
     let full = name::Zone::from("zone-a");
     let class = name::Class::from("small");
@@ -28,8 +28,8 @@
 
 #[ntex::test]
 async fn a_vm_is_drained_and_idle_before_it_is_given_back() {
-    // Demand falls for good. VMs that are not needed are told to drain and kept as long as anything runs there, however
-    // long that takes; only when they say that they are idle are they given back.
+    // Demand falls permanently. VMs that are no longer needed are drained, but stopped only after their endpoints
+    // report that they are idle, however long that takes.
     const LONG: u64 = 3 * 3_600;
     let mut site = Site::start(true).await;
     let mut duty = site.entry();
--- a/bergamotshift-entry/tests/duties/daemon.rs
+++ b/bergamotshift-entry/tests/duties/daemon.rs
@@ -1,4 +1,4 @@
-//! A whole entry that does a duty because it has a cloud.
+//! A complete entry that runs the capacity duty because a cloud is configured.
 
 use core::net::SocketAddr;
 use core::time::Duration;
@@ -60,8 +60,8 @@
 
 #[ntex::test]
 async fn an_entry_with_a_cloud_buys_what_its_callers_need() {
-    // One engine serves in one zone. Callers come, and the entry, which alone has the duty, buys a VM in the other zone
-    // by itself, as the loss of the one zone would leave nothing.
+    // One engine serves in one zone, so that the loss of this zone would leave no capacity. Once callers send requests,
+    // the only entry has to take the duty and buy a VM in the other zone.
     const REQUESTS: usize = 2_000;
     let (sender, mut started) = mpsc::unbounded_channel();
     let on_event = move |event| drop(sender.send(event));
@@ -94,7 +94,7 @@
                 damping: instant,
                 ..policy::Settings::default()
             },
-            tick: Duration::from_millis(50),
+            tick_interval: Duration::from_millis(50),
             ..duties::Settings::default()
         },
         ..Settings::default()
--- a/bergamotshift-entry/tests/duties/main.rs
+++ b/bergamotshift-entry/tests/duties/main.rs
@@ -1,4 +1,4 @@
-//! Tests of control duties against the platform's stand-ins, on a clock of their own.
+//! Tests of control duties against stand-ins of the platform.
 
 mod capacity;
 mod daemon;
--- a/bergamotshift-entry/tests/duties/site.rs
+++ b/bergamotshift-entry/tests/duties/site.rs
@@ -1,4 +1,4 @@
-//! A platform and endpoints of stand-ins, and entries that do one service's duty on a virtual clock.
+//! Stand-ins of the platform and of endpoints, and entries that run one service's duty on a virtual clock.
 
 use core::cell::Cell;
 use core::time::Duration;
@@ -24,11 +24,11 @@
 use bergamotshift_endpoint::call::Target;
 use bergamotshift_endpoint::client;
 use bergamotshift_entry::duties::Capacity;
+use bergamotshift_entry::duties::Clients;
 use bergamotshift_entry::duties::Clock;
-use bergamotshift_entry::duties::Hands;
+use bergamotshift_entry::duties::Endpoint;
 use bergamotshift_entry::duties::Lease;
-use bergamotshift_entry::duties::Picture;
-use bergamotshift_entry::duties::Reached;
+use bergamotshift_entry::duties::Observation;
 use bergamotshift_entry::duties::Settings;
 use bergamotshift_entry::worker;
 use bergamotshift_platform::Error;
@@ -45,19 +45,19 @@
 use smol_str::SmolStr;
 use smol_str::format_smolstr;
 
-/// The work that one VM does per second.
+/// Work that one VM does per second.
 pub const RATE: f64 = 10.0;
 
 pub const ZONES: [&str; 3] = ["zone-a", "zone-b", "zone-c"];
 
-/// Counts the calls to a table.
+/// Table that counts its calls.
 #[derive(Debug)]
-struct Counted {
+struct Counter {
     table: Rc<dyn Table>,
     calls: Rc<Cell<u32>>,
 }
 
-impl Table for Counted {
+impl Table for Counter {
     fn transact(&self, writes: Vec<Write>) -> Future<'_, Ending> {
         self.calls.update(|calls| calls + 1);
         self.table.transact(writes)
@@ -74,7 +74,7 @@
     }
 }
 
-/// The platform, the VMs it sold, and the time.
+/// Platform, the engines on its VMs, and a virtual clock.
 pub struct Site {
     pub table: table::Server,
     pub cloud: cloud::Server,
@@ -83,15 +83,15 @@
     pub engine: engine::Settings,
     pub settings: Settings,
     pub service: Service,
-    /// Calls to the table so far.
+    /// Number of calls to the table.
     pub calls: Rc<Cell<u32>>,
     platform: Platform,
     now: Rc<Cell<Instant>>,
-    lives: u128,
+    entries: u128,
 }
 
 impl Site {
-    /// Starts the platform; `checks` tells whether engines refuse orders with old numbers.
+    /// Starts the platform; `checks` is whether engines refuse orders with old fencing numbers.
     pub async fn start(checks: bool) -> Self {
         let table = table::Server::start(table::Settings::default()).unwrap();
         let cloud = cloud::Server::start(cloud::Settings::default(), |_| {}).unwrap();
@@ -124,46 +124,48 @@
             calls: Rc::default(),
             platform,
             now: Rc::new(Cell::new(Instant::from_secs(1))),
-            lives: 0,
+            entries: 0,
         }
     }
 
-    /// Makes another entry that does or watches the duty.
+    /// Creates another entry, which holds or watches the duty.
     pub fn entry(&mut self) -> Capacity {
-        self.lives += 1;
+        self.entries += 1;
         let now = Rc::clone(&self.now);
         let clock = Clock::new(move || now.get());
         let settings = self.settings.clone();
-        let holder = name::Entry::new(format!("entry-{}", self.lives));
+        let holder = name::Entry::new(format!("entry-{}", self.entries));
         let keeper = Keeper::new(
             settings.lease,
             "capacity/llm".into(),
             holder,
-            attempt::Id::new(self.lives),
+            attempt::Id::new(self.entries),
         );
-        let table = Rc::new(Counted {
+        let table = Rc::new(Counter {
             table: self.platform.table.clone().unwrap(),
             calls: Rc::clone(&self.calls),
         });
-        let lease = Lease::new(keeper, table, clock.clone(), Pcg64Mcg::new(self.lives));
+        let lease = Lease::new(keeper, table, clock.clone(), Pcg64Mcg::new(self.entries));
         let adapters = worker::adapters(&client::Settings::default()).unwrap();
-        let hands = Hands {
+        let clients = Clients {
             cloud: self.platform.cloud.clone().unwrap(),
             weights: self.platform.weights.clone(),
             adapter: Rc::clone(&adapters["engine"]),
             logger: slog::Logger::root(slog::Discard, slog::o!()),
         };
-        Capacity::new(settings, self.service.clone(), lease, hands, clock)
+        Capacity::new(settings, self.service.clone(), lease, clients, clock)
     }
 
-    /// Lets time pass for everybody.
-    pub fn pass(&self, time: Duration) {
+    /// Advances the clock of all entries.
+    pub fn advance(&self, time: Duration) {
         self.now.set(self.now.get() + time);
     }
 
-    /// Returns what can be seen now, given the work asked for and whether endpoints are idle.
-    pub fn picture(&mut self, urgent: f64, idle: bool) -> Picture {
-        let mut reached = BTreeMap::new();
+    /// Returns the state of the service for a given demand, with all endpoints idle or all busy.
+    ///
+    /// Starts an engine for each VM that has none.
+    pub fn observation(&mut self, urgent: f64, idle: bool) -> Observation {
+        let mut endpoints = BTreeMap::new();
         for spec in self.cloud.vms() {
             let settings = engine::Settings {
                 name: spec.name.as_str().into(),
@@ -173,9 +175,9 @@
             let engine = self.engines.entry(spec.name.clone()).or_insert_with(start);
             let incarnation = Incarnation::new(1);
             let target = Target::new(engine.address(), false);
-            reached.insert(
+            endpoints.insert(
                 spec.name,
-                Reached {
+                Endpoint {
                     incarnation,
                     target,
                     idle,
@@ -186,28 +188,28 @@
             urgent,
             deferrable: 0.0,
         };
-        Picture {
+        Observation {
             offers: offers(),
             demand,
-            reached,
+            endpoints,
         }
     }
 
-    /// Lets an entry do its duty for some seconds.
+    /// Runs an entry's duty for a number of seconds.
     pub async fn run(&mut self, duty: &mut Capacity, seconds: u64, urgent: f64, idle: bool) {
-        const LIST: u64 = 5;
+        const LIST_INTERVAL: u64 = 5;
         for second in 0..seconds {
-            self.pass(Duration::from_secs(1));
-            duty.keep().await;
-            if second % LIST == 0 {
-                duty.listed(&self.listings());
+            self.advance(Duration::from_secs(1));
+            duty.update_lease().await;
+            if second % LIST_INTERVAL == 0 {
+                duty.record_listings(&self.listings());
             }
-            let picture = self.picture(urgent, idle);
-            duty.act(&picture).await;
+            let observation = self.observation(urgent, idle);
+            duty.tick(&observation).await;
         }
     }
 
-    /// Returns the platform's list.
+    /// Returns the platform's VM list.
     pub fn listings(&self) -> Vec<Listing> {
         let listing = |spec: cloud::Spec| {
             let engine = self.engines.get(&spec.name)?;
@@ -225,7 +227,7 @@
         self.cloud.vms().into_iter().filter_map(listing).collect()
     }
 
-    /// Returns the VMs whose endpoints say that they take nothing new.
+    /// Returns the VMs whose endpoints report that they take no new requests.
     pub async fn draining(&self) -> Vec<name::Vm> {
         let adapters = worker::adapters(&client::Settings::default()).unwrap();
         let mut draining = Vec::new();
@@ -238,8 +240,8 @@
         draining
     }
 
-    /// Returns the fencing numbers of the orders that an engine carried out, in order.
-    pub fn numbers(&self, vm: &name::Vm) -> Vec<u64> {
+    /// Returns the fencing numbers of the orders that an engine carried out, in their order.
+    pub fn fencing_numbers(&self, vm: &name::Vm) -> Vec<u64> {
         let orders = self.engines[vm].duty().orders;
         orders.iter().map(|order| order.fencing.unwrap()).collect()
     }
@@ -265,7 +267,7 @@
     config.services["llm"].clone()
 }
 
-/// Returns whether a VM is one of the service's.
+/// Returns whether a VM belongs to the service.
 pub fn is_own(spec: &cloud::Spec) -> bool {
     spec.role == Role::Endpoint(name::Service::from("llm"))
 }
