--- a/bergamotshift-entry/src/configuration/follow.rs
+++ b/bergamotshift-entry/src/configuration/follow.rs
@@ -1,4 +1,4 @@
-//! Runs one entry's member.
+//! Runs one entry's member of the acceptance protocol.
 
 use core::time::Duration;
 use std::rc::Rc;
@@ -23,31 +23,30 @@
 use crate::control;
 use crate::watch;
 
-/// How long the member sleeps at least, so that a wake-up that is already due does not spin.
-const LEAST_SLEEP: Duration = Duration::from_millis(1);
+/// Minimum sleep between two steps, so that a wake-up that is already due does not cause a busy loop.
+const MIN_SLEEP: Duration = Duration::from_millis(1);
 
-/// What the member needs from dependencies.
+/// Clients and channels through which the member's actions are carried out.
 #[derive(Debug)]
 pub struct Dependencies {
     /// The platform's table.
     pub table: Rc<dyn Table>,
-    /// The content.
+    /// Store of configuration content.
     pub store: Store,
     /// The other entries.
     pub peers: Rc<dyn Peers>,
-    /// The control thread, which puts versions in force.
+    /// Channel to the control thread, which puts versions in force.
     pub control: control::Sender,
-    /// Where records go.
+    /// Destination of log records.
     pub logger: Logger,
 }
 
-/// Sends events to the member.
+/// Channel that sends events to the member.
 pub type Sender = mpsc::UnboundedSender<Event>;
 
 /// Runs the member until its task is cancelled.
 ///
-/// Each call to the dependencies runs in a task of its own and reports back as one event, so that a slow platform never
-/// keeps the member from hearing its peers.
+/// Each call runs in its own task and returns one event, so that a slow platform does not delay the messages of peers.
 pub async fn run(
     mut member: Member,
     dependencies: Rc<Dependencies>,
@@ -58,7 +57,7 @@
 ) {
     loop {
         let now = clock();
-        let sleep = member.wake(now).since(now).max(LEAST_SLEEP);
+        let sleep = member.wake(now).since(now).max(MIN_SLEEP);
         let event = tokio::select! {
             event = events.recv() => event.unwrap_or(Event::Tick),
             () = tokio::time::sleep(sleep) => Event::Tick,
@@ -71,6 +70,7 @@
     }
 }
 
+/// Executes an action; calls to the platform or to peers run in tasks of their own.
 fn perform(member: &Member, dependencies: &Rc<Dependencies>, action: Action, sender: &Sender) {
     match action {
         Action::Announce(announcement) => dependencies.peers.announce(announcement),
@@ -84,11 +84,13 @@
                 "version" => revision.version.get(), "reason" => reason);
         }
         call @ (Action::Read(_) | Action::Write(_) | Action::Fetch { .. }) => {
-            let held = member.in_force().and_then(|mark| member.content(&mark.digest).cloned());
+            let held = member
+                .in_force()
+                .and_then(|revision| member.content(&revision.digest).cloned());
             let (dependencies, sender) = (Rc::clone(dependencies), sender.clone());
             let task = async move {
-                let event = answer(&dependencies, call, held.unwrap_or_default()).await;
-                // The member's task may have been cancelled meanwhile.
+                let event = execute(&dependencies, call, held.unwrap_or_default()).await;
+                // The member's task may have been cancelled in the meantime.
                 drop(sender.send(event));
             };
             ntex::rt::spawn(task).detach();
@@ -96,8 +98,8 @@
     }
 }
 
-/// Carries a call out and returns the event that answers it.
-async fn answer(dependencies: &Dependencies, call: Action, held: Manifest) -> Event {
+/// Executes a call and returns its result as an event.
+async fn execute(dependencies: &Dependencies, call: Action, held: Manifest) -> Event {
     match call {
         Action::Read(keys) => match dependencies.table.get(keys).await {
             Ok(rows) => Event::Rows(rows),
@@ -112,6 +114,7 @@
     }
 }
 
+/// Fetches content from a peer or from the object store.
 async fn fetch(dependencies: &Dependencies, digest: Digest, from: Source, held: Manifest) -> Event {
     let found = match from {
         Source::Peer(peer) => dependencies.peers.fetch(&peer, digest).await,
--- a/bergamotshift-entry/src/configuration/mod.rs
+++ b/bergamotshift-entry/src/configuration/mod.rs
@@ -1,7 +1,7 @@
-//! Carries the acceptance protocol of the configuration crate: rows to the table, content to the object store.
+//! I/O of the configuration crate's acceptance protocol, with rows in the table and content in the object store.
 //!
 //! [`follow::run`] runs one entry's member: it puts accepted versions in force and stages proposals for its zone.
-//! [`propose::run`] carries one operator's change to its outcome. Both decide nothing themselves.
+//! [`propose::run`] carries out one operator's change. The decisions are made in the configuration crate.
 
 pub mod follow;
 pub mod peers;
--- a/bergamotshift-entry/src/configuration/peers.rs
+++ b/bergamotshift-entry/src/configuration/peers.rs
@@ -1,4 +1,4 @@
-//! What the member needs of the other entries.
+//! Interface through which the member reaches the other entries.
 
 use core::fmt::Debug;
 
@@ -14,17 +14,17 @@
     /// Sends an announcement to the entry's neighbours.
     fn announce(&self, announcement: Announcement);
 
-    /// Sends an announcement to one entry that knows less.
+    /// Sends an announcement to one entry that is behind.
     fn reply(&self, to: &name::Entry, announcement: Announcement);
 
-    /// Keeps what the member holds ready for others; called after each of its steps.
+    /// Makes the member's content available to other entries; called after each of its steps.
     fn update(&self, _member: &Member) {}
 
-    /// Asks an entry for content; nothing when it does not have it or cannot be reached.
+    /// Fetches content from an entry, or returns `None` if the entry does not have it or cannot be reached.
     fn fetch(&self, from: &name::Entry, digest: Digest) -> LocalBoxFuture<'static, Option<Manifest>>;
 }
 
-/// No other entry: what is known comes from the platform.
+/// Implementation without other entries; all content comes from the platform.
 #[derive(Clone, Copy, Debug)]
 pub struct Standalone;
 
--- a/bergamotshift-entry/src/configuration/propose.rs
+++ b/bergamotshift-entry/src/configuration/propose.rs
@@ -1,4 +1,4 @@
-//! Carries one operator's change to its outcome.
+//! Proposes one operator's change and waits for the outcome.
 
 use std::rc::Rc;
 use std::time;
@@ -15,9 +15,9 @@
 
 use super::Store;
 
-/// Runs a proposer against the platform; returns what became of the change.
+/// Runs a proposer against the platform and returns the outcome of the change.
 ///
-/// Whoever ends it in the middle leaves a proposal behind that another proposer takes over: nothing is held.
+/// Cancellation is safe: no lock is held, and another proposer takes over a proposal that was left behind.
 pub async fn run(table: &Rc<dyn Table>, store: &Store, request: Request, timing: Timing) -> Outcome {
     let epoch = time::Instant::now();
     let now = || Instant::from_micros(u64::try_from(epoch.elapsed().as_micros()).unwrap_or(u64::MAX));
@@ -28,25 +28,27 @@
         for action in proposer.handle(now(), event) {
             match action {
                 Action::Finish(outcome) => return outcome,
-                // There is no member in this process that would want to know.
+                // This process has no member that could use it.
                 Action::Publish(_) => {}
-                call => answer = Some(carry(table, store, call).await),
+                call => answer = Some(execute(table, store, call).await),
             }
         }
         event = match answer {
             Some(answer) => answer,
-            None => pause(&proposer, now()).await,
+            None => sleep(&proposer, now()).await,
         };
     }
 }
 
-async fn pause(proposer: &Proposer, now: Instant) -> Event {
+/// Sleeps until the proposer's next wake-up.
+async fn sleep(proposer: &Proposer, now: Instant) -> Event {
     let until = proposer.wake().unwrap_or(now);
     tokio::time::sleep(until.since(now)).await;
     Event::Tick
 }
 
-async fn carry(table: &Rc<dyn Table>, store: &Store, call: Action) -> Event {
+/// Executes a call and returns its result as an event.
+async fn execute(table: &Rc<dyn Table>, store: &Store, call: Action) -> Event {
     match call {
         Action::Read(keys) => table.get(keys).await.map_or(Event::ReadFailed, Event::Rows),
         Action::Write(writes) => Event::Ended(table.transact(writes).await),
--- a/bergamotshift-entry/src/configuration/store.rs
+++ b/bergamotshift-entry/src/configuration/store.rs
@@ -1,4 +1,4 @@
-//! Content of configurations in the object store, each file under the digest of its text.
+//! Content of configurations in the object store, with each file stored under the digest of its text.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -14,12 +14,12 @@
 use smol_str::format_smolstr;
 use thiserror::Error as ThisError;
 
-/// Why content cannot be had or kept.
+/// Error of reading or writing content.
 #[derive(Debug)]
 #[derive(ThisError)]
 #[non_exhaustive]
 pub enum Error {
-    /// The object store gave no answer to use.
+    /// The object store failed.
     #[error(transparent)]
     Platform(#[from] bergamotshift_platform::Error),
     /// An object is missing.
@@ -28,30 +28,30 @@
     /// A listing can't be read.
     #[error("a listing cannot be read: {0}")]
     Listing(#[from] serde_json::Error),
-    /// A text isn't the one that its name promises, or no text at all.
+    /// A text does not match its digest or is missing.
     #[error(transparent)]
     Manifest(#[from] manifest::Error),
 }
 
-/// Keeps and finds content by its digest.
+/// Store of content, addressed by digest.
 ///
-/// Objects never change under their names, so writing one again does no harm, whoever else writes it.
+/// An object never changes under its name, so repeated and concurrent writes of it are harmless.
 #[derive(Clone, Debug)]
 pub struct Store {
     objects: Rc<dyn Objects>,
 }
 
 impl Store {
-    /// Makes a store on an object store.
+    /// Creates a store on top of an object store.
     pub const fn new(objects: Rc<dyn Objects>) -> Self {
         Self { objects }
     }
 
-    /// Makes content durable: first the texts, then the listing that names them.
+    /// Writes content: first the texts, then the listing that refers to them.
     ///
     /// # Errors
     ///
-    /// Returns an error when it may not be durable.
+    /// Returns an error if the content may not be stored completely.
     pub async fn put(&self, manifest: &Manifest) -> Result<(), Error> {
         for (name, digest) in manifest.listing().files() {
             let text = manifest
@@ -66,11 +66,11 @@
         Ok(())
     }
 
-    /// Finds content, and takes the texts that `held` has from there.
+    /// Reads content, reusing the texts that `held` already contains.
     ///
     /// # Errors
     ///
-    /// Returns an error when it is not all there.
+    /// Returns an error if any part is missing or cannot be read.
     pub async fn get(&self, digest: &Digest, held: &Manifest) -> Result<Manifest, Error> {
         let listing: Listing = serde_json::from_slice(&self.object(listing_key(digest)).await?)?;
         let missing = listing.missing(held);
@@ -93,14 +93,14 @@
 }
 
 fn file_key(digest: &Digest) -> SmolStr {
-    format_smolstr!("config/file/{}", name(digest))
+    format_smolstr!("config/file/{}", object_name(digest))
 }
 
 fn listing_key(digest: &Digest) -> SmolStr {
-    format_smolstr!("config/listing/{}", name(digest))
+    format_smolstr!("config/listing/{}", object_name(digest))
 }
 
-/// Returns the digest's text in a form that object names take everywhere.
-fn name(digest: &Digest) -> String {
+/// Returns the digest's text without `:`, which not every object store allows in names.
+fn object_name(digest: &Digest) -> String {
     digest.to_string().replace(':', "-")
 }
--- a/bergamotshift-entry/tests/configuration/main.rs
+++ b/bergamotshift-entry/tests/configuration/main.rs
@@ -1,4 +1,4 @@
-//! Configuration from an operator's change to being in force, over the platform's stand-ins on loopback.
+//! Tests of a configuration change, from the operator to the entries, against stand-ins of the platform.
 
 mod site;
 
@@ -18,7 +18,7 @@
         matches!(accepted, Outcome::Accepted { revision, .. } if revision.version.get() == 1),
         "{accepted:?}"
     );
-    site.in_force(1).await;
+    site.wait_in_force(1).await;
     site.assert_keys("first", "second").await;
     let changed = site
         .apply(&folder::with_key("first"), &folder::with_key("second"))
@@ -27,14 +27,14 @@
         matches!(changed, Outcome::Accepted { revision, .. } if revision.version.get() == 2),
         "{changed:?}"
     );
-    site.in_force(2).await;
+    site.wait_in_force(2).await;
     site.assert_keys("second", "first").await;
 }
 
 #[ntex::test]
 async fn a_lost_answer_to_the_accepting_write_accepts_once() {
-    // The operator's change is accepted, but the answers to writes are lost after they took effect. The operator is
-    // told of one acceptance, by reading the rows back; a proposer that believed the loss would propose once more.
+    // Writes take effect but their answers are lost. A proposer that took these writes for failed would propose the
+    // change twice; it has to read the rows back and report one acceptance.
     let site = Site::start(&["zone-a"]).await;
     site.table.fault(Fault::LoseAnswerAfterWrite { count: 3 });
     let accepted = site.apply(&folder::empty(), &folder::with_key("first")).await;
@@ -42,14 +42,14 @@
         matches!(accepted, Outcome::Accepted { revision, .. } if revision.version.get() == 1),
         "{accepted:?}"
     );
-    site.in_force(1).await;
-    assert_eq!(site.versions(), 1);
+    site.wait_in_force(1).await;
+    assert_eq!(site.version_count(), 1);
 }
 
 #[ntex::test]
 async fn two_operators_at_once_lose_no_change() {
-    // Two operators start from one version. One changes the organisation, the other adds a file: both changes are in
-    // force afterwards, as two versions. A third who changed the organisation's file too is told its name.
+    // Two operators start from the same version and change different files: both changes come into force, as two
+    // versions. A third change, to a file that was changed meanwhile, is refused with the name of that file.
     let site = Site::start(&["zone-a"]).await;
     let base = folder::with_key("first");
     site.apply(&folder::empty(), &base).await;
@@ -59,7 +59,7 @@
         both.iter().all(|outcome| matches!(outcome, Outcome::Accepted { .. })),
         "{both:?}"
     );
-    site.in_force(3).await;
+    site.wait_in_force(3).await;
     site.assert_keys("second", "first").await;
     let third = site.apply(&base, &folder::with_key("third")).await;
     assert_eq!(third, Outcome::Conflict(vec!["20-organisations.toml".into()]));
@@ -67,11 +67,11 @@
 
 #[ntex::test]
 async fn a_table_that_is_down_refuses_the_change_and_serving_goes_on() {
-    // The platform's table refuses connections. The operator learns that nothing was proposed; callers are served by
-    // the version in force, which is still there when the table comes back.
+    // The table refuses connections. The operator is told that it cannot be reached, callers are still served with the
+    // version in force, and a change is accepted again after the outage.
     let site = Site::start(&["zone-a"]).await;
     site.apply(&folder::empty(), &folder::with_key("first")).await;
-    site.in_force(1).await;
+    site.wait_in_force(1).await;
     site.table.fault(Fault::Down);
     let refused = site
         .apply_within(&folder::with_key("first"), &folder::with_key("second"), Duration::ZERO)
@@ -81,16 +81,16 @@
     site.table.fault(Fault::Up);
     site.apply(&folder::with_key("first"), &folder::with_key("second"))
         .await;
-    site.in_force(2).await;
+    site.wait_in_force(2).await;
 }
 
 #[ntex::test]
 async fn a_fresh_entry_is_not_ready_before_it_has_a_configuration() {
-    // An entry that starts before the first version exists answers 503 on its readiness check, so the balancer sends
-    // it nobody; it is ready once the version is in force.
+    // An entry that starts before the first version exists answers its readiness check with 503, so the load balancer
+    // sends it no callers until a version is in force.
     let site = Site::start(&["zone-a"]).await;
     assert_eq!(site.ready().await, [503]);
     site.apply(&folder::empty(), &folder::with_key("first")).await;
-    site.in_force(1).await;
+    site.wait_in_force(1).await;
     assert_eq!(site.ready().await, [200]);
 }
--- a/bergamotshift-entry/tests/configuration/site.rs
+++ b/bergamotshift-entry/tests/configuration/site.rs
@@ -1,4 +1,4 @@
-//! Entries without a configuration of their own, and the platform they learn it from.
+//! Entries without a local configuration, and the platform from which they fetch it.
 
 use core::cell::Cell;
 use core::net::SocketAddr;
@@ -23,10 +23,10 @@
 use ntex::client::Client;
 use serde_json::Value;
 
-/// How long to wait between two looks; what is waited for is told by the entry itself.
-const LOOK: Duration = Duration::from_millis(10);
+/// Interval between two polls of an entry's status.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Two zones, one organisation, and a class that one change adds.
+/// Folders with up to two zones, one organisation and an optional class.
 pub mod folder {
     use bergamotshift_config::digest::Digest;
     use bergamotshift_config::manifest::Manifest;
@@ -47,8 +47,8 @@
         make(token, &[("30-classes.toml", CLASS)])
     }
 
-    /// Makes the folder of a site with these zones.
-    pub fn zones(count: usize, manifest: &Manifest) -> Manifest {
+    /// Adds one or two zones to a folder that is not empty.
+    pub fn with_zones(count: usize, manifest: &Manifest) -> Manifest {
         let zones = if count == 1 { ONE_ZONE } else { ZONES };
         let mut files: Vec<_> = manifest
             .files()
@@ -107,13 +107,13 @@
         }
     }
 
-    /// Carries an operator's change.
+    /// Applies an operator's change with the default timeout.
     pub async fn apply(&self, base: &Manifest, ours: &Manifest) -> Outcome {
         self.apply_within(base, ours, Timing::default().turn_timeout).await
     }
 
-    /// Carries an operator's change and tries for so long.
-    pub async fn apply_within(&self, base: &Manifest, ours: &Manifest, patience: Duration) -> Outcome {
+    /// Applies an operator's change with a timeout; zero also disables the backoff.
+    pub async fn apply_within(&self, base: &Manifest, ours: &Manifest, timeout: Duration) -> Outcome {
         let kind = bergamotshift_core::plugin::find::<Kind>("http").expect("it registers itself");
         let addresses = Platform {
             table: Some(self.table.address()),
@@ -129,27 +129,27 @@
             id: Id::new(self.changes.replace(self.changes.get() + 1)),
             author: "test".into(),
             at: 0,
-            base: folder::zones(count, base),
-            ours: folder::zones(count, ours),
+            base: folder::with_zones(count, base),
+            ours: folder::with_zones(count, ours),
         };
-        let backoff = if patience.is_zero() {
+        let backoff = if timeout.is_zero() {
             Duration::ZERO
         } else {
             Timing::default().max_backoff
         };
         let timing = Timing {
-            turn_timeout: patience,
+            turn_timeout: timeout,
             max_backoff: backoff,
             ..Timing::default()
         };
         configuration::propose::run(&Rc::clone(&table), &configuration::Store::new(objects), request, timing).await
     }
 
-    /// Waits until every entry says that the version is in force.
-    pub async fn in_force(&self, version: u64) {
+    /// Waits until every entry reports that the version is in force.
+    pub async fn wait_in_force(&self, version: u64) {
         for entry in &self.entries {
             while self.status(entry.operators()).await["config"] != version {
-                tokio::time::sleep(LOOK).await;
+                tokio::time::sleep(POLL_INTERVAL).await;
             }
         }
     }
@@ -161,7 +161,7 @@
         serde_json::from_slice(&body).expect("it is JSON")
     }
 
-    /// Returns the status of each entry's readiness check.
+    /// Returns the status code of each entry's readiness check.
     pub async fn ready(&self) -> Vec<u16> {
         let mut codes = Vec::new();
         for entry in &self.entries {
@@ -170,7 +170,7 @@
         codes
     }
 
-    /// Checks that callers come in with one token and not with the other, at every entry.
+    /// Asserts that every entry accepts one token and refuses the other.
     pub async fn assert_keys(&self, valid: &str, invalid: &str) {
         for entry in &self.entries {
             assert_eq!(self.code(entry.callers(), "/v1/models", valid).await, 200);
@@ -183,8 +183,8 @@
         request.send().await.expect("the entry answers").status().as_u16()
     }
 
-    /// Counts the versions in the table.
-    pub fn versions(&self) -> usize {
+    /// Returns the number of versions in the table.
+    pub fn version_count(&self) -> usize {
         self.table
             .rows()
             .iter()
