--- a/bergamotshift-entry/src/settings/mod.rs
+++ b/bergamotshift-entry/src/settings/mod.rs
@@ -1,4 +1,4 @@
-//! What one entry is told when it starts.
+//! Settings with which an entry starts.
 
 pub mod traces;
 
@@ -23,23 +23,23 @@
 use crate::peers;
 use crate::tls;
 
-/// Where the platform's services listen; one that is missing is not used.
+/// Addresses of the platform's services; a service without an address is not used.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Platform {
-    /// The list of VMs and notices.
+    /// VM list and notices.
     pub vms: Option<SocketAddr>,
-    /// The transactional table.
+    /// Transactional table.
     pub table: Option<SocketAddr>,
-    /// The object store.
+    /// Object store.
     pub objects: Option<SocketAddr>,
-    /// The cloud API; control duties are done only by entries that have it.
+    /// Cloud API; only entries with this address run control duties.
     pub cloud: Option<SocketAddr>,
-    /// The weight store.
+    /// Weight store.
     pub weights: Option<SocketAddr>,
 }
 
 impl Platform {
-    /// Returns the settings of the adapter that speaks HTTP to these addresses.
+    /// Returns the settings of the platform adapter for HTTP at these addresses.
     pub fn over_http(&self) -> bergamotshift_platform::Settings {
         let base = |address: Option<SocketAddr>| address.map(|address| smol_str::format_smolstr!("http://{address}"));
         bergamotshift_platform::Settings {
@@ -53,20 +53,20 @@
     }
 }
 
-/// How the entry watches endpoints.
+/// Intervals at which the entry polls endpoints and the platform.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Watch {
-    /// The time between two load reports of one endpoint.
+    /// Interval between two load reports of one endpoint.
     pub report_interval: Duration,
-    /// The time between two readings of the VM list.
+    /// Interval between two reads of the VM list.
     pub list_interval: Duration,
-    /// The time between two readings of the notices.
+    /// Interval between two reads of the notices.
     pub notice_interval: Duration,
 }
 
 impl Default for Watch {
     fn default() -> Self {
-        // The platform gives about two thousand reads a second: 390 entries take a quarter of them.
+        // The platform answers about 2000 reads per second, of which 390 entries use a quarter.
         Self {
             report_interval: Duration::from_millis(500),
             list_interval: Duration::from_secs(5),
@@ -75,18 +75,19 @@
     }
 }
 
-/// Bounds on what callers may send, before any service is known.
+/// Limits on requests of callers that apply before the service is known, and on buffers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Bounds {
-    /// The largest head of any request, in bytes.
+    /// Maximum size of a request head, in bytes.
     pub max_head: usize,
-    /// How long a caller may take over a request's head, in seconds.
+    /// Timeout for the head of a request, in seconds.
     pub head_timeout: u16,
-    /// How long a caller may take over each kilobyte of a body, in seconds.
+    /// Timeout for each kilobyte of a body, in seconds.
     pub body_timeout: u16,
-    /// Bodies up to this many bytes are held until the answer is there, so that they can be sent again.
+    /// Maximum size of a body that is buffered until its answer arrives, so that it can be sent again, in bytes.
     pub max_buffered_body: usize,
-    /// Answers up to this many bytes are held until they are whole, so that a broken one can be fetched again.
+    /// Maximum size of an answer that is buffered until it is complete, so that a broken one can be fetched again, in
+    /// bytes.
     pub max_buffered_answer: usize,
 }
 
@@ -102,48 +103,48 @@
     }
 }
 
-/// Everything one entry is told when it starts.
+/// Settings of one entry.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// The entry's name.
+    /// Name of the entry.
     pub name: name::Entry,
-    /// The availability zone it stands in.
+    /// Availability zone in which it runs.
     pub zone: name::Zone,
-    /// Where callers reach it; port 0 takes a free one.
+    /// Address on which it listens for callers; port 0 selects a free port.
     pub callers: SocketAddr,
-    /// Where operators reach it; port 0 takes a free one.
+    /// Address on which it listens for operators; port 0 selects a free port.
     pub operators: SocketAddr,
-    /// What it proves itself with towards callers; without it they speak clear text.
+    /// Certificate and key for TLS with callers; `None` serves them in clear text.
     pub tls: Option<tls::Settings>,
-    /// Threads that serve callers.
+    /// Number of threads that serve callers.
     pub threads: usize,
-    /// The operators' folder.
+    /// Folder with the operators' configuration files.
     pub folder: Option<PathBuf>,
-    /// A configuration that is already read; it goes before the folder.
+    /// Configuration that is already parsed; takes precedence over the folder.
     pub config: Option<Arc<Config>>,
-    /// Where the platform's services listen.
+    /// Addresses of the platform's services.
     pub platform: Platform,
-    /// How endpoints are watched.
+    /// Intervals at which endpoints and the platform are polled.
     pub watch: Watch,
-    /// What callers may send.
+    /// Limits on requests of callers.
     pub bounds: Bounds,
-    /// How connections to endpoints behave.
+    /// Settings of connections to endpoints.
     pub endpoints: client::Settings,
-    /// The routing policy's name.
+    /// Name of the routing policy.
     pub policy: SmolStr,
-    /// How control duties are done.
+    /// Settings of control duties.
     pub duties: duties::Settings,
-    /// When requests are suspected of killing endpoints.
+    /// Settings of the quarantine of requests that are suspected of killing endpoints.
     pub quarantine: quarantine::Settings,
-    /// How long new requests are still taken after a drain began, while the balancer learns of it.
+    /// Time for which new requests are still accepted after a drain began, so that the load balancer can notice it.
     pub drain_delay: Duration,
-    /// How the entry takes part in the fleet; without it, it stands alone.
+    /// Settings of the fleet; `None` runs the entry without peers.
     pub peers: Option<peers::Settings>,
-    /// Where traces go; without it none are made.
+    /// Settings of trace export; `None` disables traces.
     pub otlp: Option<traces::Settings>,
-    /// How deferred jobs are found and run.
+    /// Settings of deferred jobs.
     pub jobs: jobs::Settings,
-    /// Where log records go.
+    /// Destination of log records.
     pub logger: Logger,
 }
 
@@ -176,9 +177,9 @@
 }
 
 impl Settings {
-    /// Returns whether the configuration comes from the platform and from peers.
+    /// Returns whether the configuration comes from the platform and peers rather than from a file or folder.
     pub const fn uses_platform_config(&self) -> bool {
-        let given = self.config.is_some() || self.folder.is_some();
-        !given && self.platform.table.is_some() && self.platform.objects.is_some()
+        let is_local = self.config.is_some() || self.folder.is_some();
+        !is_local && self.platform.table.is_some() && self.platform.objects.is_some()
     }
 }
--- a/bergamotshift-entry/src/settings/traces.rs
+++ b/bergamotshift-entry/src/settings/traces.rs
@@ -1,18 +1,18 @@
-//! Where traces go, and how many of them.
+//! Settings of trace export.
 
 use core::net::IpAddr;
 use core::net::Ipv4Addr;
 use core::net::SocketAddr;
 use core::time::Duration;
 
-/// Where traces go, and how many of them.
+/// Settings of trace export.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Settings {
-    /// The collector, which takes OTLP over HTTP.
+    /// Address of the collector, which receives OTLP over HTTP.
     pub address: SocketAddr,
-    /// The share of traces kept, from 0 to 1, among those that begin here; a caller's own choice goes first.
+    /// Fraction of traces that are sampled, from 0 to 1; the sampling decision of a caller takes precedence.
     pub ratio: f64,
-    /// How long the collector may take over one batch.
+    /// Timeout for sending one batch to the collector.
     pub timeout: Duration,
 }
 
--- a/bergamotshift-entry/src/snapshot/mod.rs
+++ b/bergamotshift-entry/src/snapshot/mod.rs
@@ -1,4 +1,4 @@
-//! The immutable picture that worker threads serve requests from.
+//! Immutable state from which worker threads serve requests.
 
 mod publisher;
 
@@ -22,62 +22,62 @@
 pub use self::publisher::Publisher;
 pub use self::publisher::Reader;
 
-/// One life of an endpoint, as far as reaching it goes.
+/// One incarnation of an endpoint, with its address.
 #[derive(Clone, Debug)]
 pub struct Endpoint {
-    /// The VM's name.
+    /// Name of its VM.
     pub vm: name::Vm,
-    /// Which life of that name.
+    /// Incarnation of its VM.
     pub incarnation: Incarnation,
-    /// The availability zone.
+    /// Availability zone of its VM.
     pub zone: name::Zone,
-    /// The service it runs.
+    /// Service that it runs.
     pub service: name::Service,
-    /// Where it listens.
+    /// Address on which it listens.
     pub target: Target,
-    /// Its place for suspected work.
+    /// Lock for the single request suspected of killing endpoints that may run there.
     pub isolation: sharing::Isolation,
 }
 
-/// What the request path needs of a service beside its configuration.
+/// State of a service on the request path, in addition to its configuration.
 #[derive(Clone, Debug)]
 pub struct Service {
-    /// Its number in the view.
+    /// Number of the service in the view.
     pub number: view::Service,
-    /// The zones that its rules allow.
+    /// Zones that its rules allow.
     pub zones: Set,
-    /// The machine classes that its rules allow.
+    /// Machine classes that its rules allow.
     pub classes: Set,
-    /// The plug-in that speaks to its endpoints.
+    /// Plug-in name of the adapter for its endpoints.
     pub adapter: SmolStr,
-    /// The budget that bounds its retries; it outlives snapshots.
+    /// Retry budget, which is shared by successive snapshots.
     pub budget: Arc<retry::Budget>,
-    /// Its counters.
+    /// Metrics of the service.
     pub metrics: Arc<ServiceMetrics>,
-    /// When a failed attempt is followed by another.
+    /// Policy for retries of failed attempts.
     pub retry: retry::Policy,
 }
 
-/// Everything a worker thread looks at while it serves a request.
+/// State that a worker thread reads while it serves a request.
 #[derive(Debug)]
 pub struct Snapshot {
-    /// Counts the snapshots of this process.
+    /// Number of this snapshot within the process.
     pub number: u64,
-    /// The configuration in force.
+    /// Configuration in force.
     pub config: Arc<Config>,
-    /// What routing knows of the endpoints.
+    /// Routing state of the endpoints.
     pub view: View,
-    /// How each endpoint is reached.
+    /// Endpoints, with their addresses.
     pub endpoints: SecondaryMap<key::Endpoint, Arc<Endpoint>>,
-    /// The services.
+    /// Services by name.
     pub services: BTreeMap<name::Service, Service>,
-    /// The zones that each organisation's rules allow.
+    /// Zones that each organisation's rules allow; an organisation that is missing here may use all zones of a service.
     pub zones: BTreeMap<name::Organisation, Set>,
-    /// The requests suspected of killing endpoints.
+    /// Requests suspected of killing endpoints.
     pub quarantine: quarantine::Table,
-    /// What organisations may use, and how busy the services are.
+    /// Limits and shares of organisations, and load of services.
     pub sharing: sharing::Table,
-    /// Whether endpoints have been looked up at least once, so that callers may come.
+    /// Whether endpoints have been looked up at least once, so that callers can be served.
     pub ready: bool,
 }
 
@@ -99,11 +99,11 @@
 
     /// Returns the zones in which a service may run for an organisation.
     pub fn zones_for(&self, service: &Service, organisation: &name::Organisation) -> Set {
-        let Some(theirs) = self.zones.get(organisation) else {
+        let Some(allowed) = self.zones.get(organisation) else {
             return service.zones;
         };
         (0..Set::CAPACITY as u8)
-            .filter(|zone| service.zones.contains(*zone) && theirs.contains(*zone))
+            .filter(|zone| service.zones.contains(*zone) && allowed.contains(*zone))
             .fold(Set::EMPTY, Set::with)
     }
 }
--- a/bergamotshift-entry/src/snapshot/publisher.rs
+++ b/bergamotshift-entry/src/snapshot/publisher.rs
@@ -1,4 +1,4 @@
-//! Hands snapshots from the control thread to the worker threads.
+//! Publishes snapshots from the control thread to the worker threads.
 
 use core::cell::RefCell;
 use std::sync::Arc;
@@ -8,17 +8,17 @@
 
 use super::Snapshot;
 
-/// Publishes snapshots; readers see each whole or not at all.
+/// Publisher that replaces the current snapshot atomically.
 #[derive(Clone, Debug)]
 pub struct Publisher(Arc<ArcSwap<Snapshot>>);
 
 impl Publisher {
-    /// Makes a publisher whose readers see `first`.
+    /// Creates a publisher with a first snapshot.
     pub fn new(first: Snapshot) -> Self {
         Self(Arc::new(ArcSwap::from_pointee(first)))
     }
 
-    /// Replaces the snapshot that readers see from now on.
+    /// Replaces the current snapshot.
     pub fn publish(&self, snapshot: Snapshot) {
         self.0.store(Arc::new(snapshot));
     }
@@ -34,7 +34,7 @@
     }
 }
 
-/// Reads snapshots on one thread, mostly without touching memory that other threads write.
+/// Reader of snapshots on one thread, whose cache mostly avoids access to memory that other threads write.
 #[derive(Debug)]
 pub struct Reader(RefCell<Cache<Arc<ArcSwap<Snapshot>>, Arc<Snapshot>>>);
 
--- a/bergamotshift-entry/src/watch/mod.rs
+++ b/bergamotshift-entry/src/watch/mod.rs
@@ -1,4 +1,4 @@
-//! Tasks that look at the outside and tell the control thread what they see.
+//! Tasks that poll the platform and endpoints and send events to the control thread.
 
 mod platform;
 
@@ -22,48 +22,48 @@
 use crate::control::Verdict;
 use crate::snapshot::Endpoint;
 
-/// The time between two looks at what is due.
-pub const TICK: Duration = Duration::from_millis(50);
+/// Interval between two [`Event::Tick`]s.
+pub const TICK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Somebody who waits for the outcome of a probe.
+/// Task that waits for the result of a probe.
 #[derive(Debug)]
 pub struct Waiter {
-    /// What ran at the endpoint when its attempt broke.
+    /// Fingerprint of the request whose attempt at the endpoint failed.
     pub fingerprint: Fingerprint,
-    /// Gets the verdict.
+    /// Channel for the verdict.
     pub answer: oneshot::Sender<Verdict>,
 }
 
-/// Something that a task saw.
+/// Event reported by a task.
 #[derive(Debug)]
 pub enum Event {
     /// Time passed.
     Tick,
-    /// A configuration version is to be in force from now on.
+    /// A configuration version comes into force.
     Configured {
-        /// The version, higher than any before.
+        /// Revision with a version higher than any before.
         revision: Revision,
-        /// What it says.
+        /// Configuration of this revision.
         config: Arc<Config>,
     },
     /// The platform listed its VMs.
     Listed(Vec<Listing>),
-    /// The platform gave notices.
+    /// The platform sent notices.
     Noticed(Vec<Notice>),
-    /// An endpoint was asked for its load.
+    /// A load probe of an endpoint ended.
     Probed {
-        /// The endpoint.
+        /// Endpoint that was probed.
         endpoint: Arc<Endpoint>,
-        /// What it said, or why it did not.
+        /// Load report, or the cause of the failure.
         report: Result<load::Report, Failure>,
-        /// Who waits for it.
+        /// Task that waits for the result, if any.
         waiter: Option<Waiter>,
     },
 }
 
-/// Tells the control thread that time passes, until it ends.
+/// Sends an [`Event::Tick`] at each interval until the task is cancelled.
 pub async fn tick(sender: Sender) {
-    let mut interval = tokio::time::interval(TICK);
+    let mut interval = tokio::time::interval(TICK_INTERVAL);
     interval.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
         interval.tick().await;
@@ -71,7 +71,7 @@
     }
 }
 
-/// Asks one endpoint for its load and tells the control thread.
+/// Probes the load of one endpoint and reports the result.
 pub async fn probe(adapter: Rc<dyn Adapter>, endpoint: Arc<Endpoint>, waiter: Option<Waiter>, sender: Sender) {
     let report = adapter.load(&endpoint.target).await;
     sender.send(Event::Probed {
--- a/bergamotshift-entry/src/watch/platform.rs
+++ b/bergamotshift-entry/src/watch/platform.rs
@@ -1,4 +1,4 @@
-//! Reads the platform's VM list and its notices.
+//! Polls the platform's VM list and notices.
 
 use core::time::Duration;
 use std::rc::Rc;
@@ -10,9 +10,9 @@
 use super::Event;
 use crate::control::Sender;
 
-/// Tells the control thread what the VM list says, until it ends.
+/// Reads the VM list at each interval and sends it to the control thread until the task is cancelled.
 ///
-/// A list that cannot be read changes nothing: endpoints that are known are served on.
+/// A list that cannot be read is skipped: known endpoints stay in use.
 pub async fn list(vms: Rc<dyn Vms>, interval: Duration, sender: Sender, logger: Logger) {
     loop {
         match vms.list().await {
@@ -23,7 +23,7 @@
     }
 }
 
-/// Tells the control thread of notices, until it ends.
+/// Reads new notices at each interval and sends them to the control thread until the task is cancelled.
 pub async fn notices(vms: Rc<dyn Vms>, interval: Duration, sender: Sender, logger: Logger) {
     let mut since = 0;
     loop {
--- a/bergamotshift-entry/src/worker/mod.rs
+++ b/bergamotshift-entry/src/worker/mod.rs
@@ -1,4 +1,4 @@
-//! What the threads of one entry share, and what each worker thread has of its own.
+//! State that all threads of one entry share, and state of each worker thread.
 
 use core::cell::Cell;
 use core::cell::RefCell;
@@ -37,64 +37,64 @@
 use crate::snapshot::Snapshot;
 use crate::tls::Certificate;
 
-/// What all threads of one entry share.
+/// State that all threads of one entry share.
 #[derive(Debug)]
 pub struct Shared {
-    /// What the entry was told.
+    /// Settings of the entry.
     pub settings: Settings,
-    /// Hands out snapshots.
+    /// Publisher of snapshots.
     pub publisher: Publisher,
-    /// Reaches the control thread.
+    /// Channel to the control thread.
     pub control: Sender,
-    /// Reaches the platform's table and object store.
+    /// Handle to the task that accesses the platform's table and object store.
     pub store: Store,
-    /// The requests that carry idempotency keys.
+    /// Deduplication windows of requests with idempotency keys.
     pub windows: Windows,
-    /// Claims that are not recorded to their end yet.
+    /// Number of claims whose outcome is not recorded yet.
     pub recordings: AtomicU64,
-    /// The metrics.
+    /// Metrics of the entry.
     pub metrics: Metrics,
-    /// What parts of the entry report for its status.
+    /// Reports of the entry's parts for its status page.
     pub reports: Reports,
-    /// Reaches the other entries, when this one takes part in a fleet.
+    /// Channel to the other entries, if this one belongs to a fleet.
     pub peers: OnceLock<peers::Sender>,
-    /// The traces, when they are wanted.
+    /// Traces, if enabled.
     pub traces: Option<Traces>,
-    /// What callers meet over TLS, when they do.
+    /// TLS certificate presented to callers, if TLS is enabled.
     pub certificate: Option<Arc<Certificate>>,
-    /// Chooses endpoints.
+    /// Routing policy that chooses endpoints.
     pub policy: Box<dyn Policy>,
-    /// Whether the entry is about to end.
+    /// Whether the entry is draining before it stops.
     pub draining: AtomicBool,
-    /// Whether new requests are refused, because the entry ends once those under way are served.
+    /// Whether new requests are refused, because the entry stops once the requests in flight have ended.
     pub closed: AtomicBool,
-    /// Kernel time counts from here.
+    /// Time at which kernel time starts.
     pub epoch: time::Instant,
 }
 
 impl Shared {
-    /// Returns the kernel's time.
+    /// Returns the kernel time, measured from the epoch.
     pub fn now(&self) -> Instant {
         Instant::from_micros(u64::try_from(self.epoch.elapsed().as_micros()).unwrap_or(u64::MAX))
     }
 
-    /// Returns whether the balancer may send callers.
+    /// Returns whether the load balancer may send callers.
     pub fn is_ready(&self) -> bool {
         !self.is_draining() && self.publisher.current().ready
     }
 
-    /// Returns whether the entry is about to end.
+    /// Returns whether the entry is draining before it stops.
     pub fn is_draining(&self) -> bool {
         self.draining.load(Ordering::Acquire)
     }
 }
 
-/// Counts one claim as not recorded yet, until it is dropped.
+/// Guard that counts one claim as unrecorded until it is dropped.
 #[derive(Debug)]
 pub struct Recording(Arc<Shared>);
 
 impl Recording {
-    /// Counts a claim.
+    /// Counts a claim as unrecorded.
     pub fn start(shared: &Arc<Shared>) -> Self {
         shared.recordings.fetch_add(1, Ordering::AcqRel);
         Self(Arc::clone(shared))
@@ -107,10 +107,10 @@
     }
 }
 
-/// What one worker thread has of its own.
+/// State of one worker thread.
 #[derive(Debug)]
 pub struct Worker {
-    /// What it shares with the others.
+    /// State that all threads share.
     pub shared: Arc<Shared>,
     snapshots: Reader,
     adapters: BTreeMap<SmolStr, Rc<dyn Adapter>>,
@@ -118,12 +118,12 @@
     uploads: Cell<usize>,
 }
 
-/// Counts one body that streams through the thread, until it is dropped.
+/// Guard that counts one request body as streaming through the thread until it is dropped.
 #[derive(Debug)]
 pub struct Upload(Rc<Worker>);
 
 impl Upload {
-    /// Counts a body.
+    /// Counts a request body as streaming.
     pub fn start(worker: &Rc<Worker>) -> Self {
         worker.uploads.update(|uploads| uploads + 1);
         Self(Rc::clone(worker))
@@ -137,11 +137,11 @@
 }
 
 impl Worker {
-    /// Makes the state of the current thread.
+    /// Creates the state of the current thread.
     ///
     /// # Errors
     ///
-    /// Returns an error when the client for endpoints cannot be made.
+    /// Returns an error if the client for endpoints cannot be created.
     pub fn new(shared: Arc<Shared>) -> Result<Self, client::Error> {
         Ok(Self {
             snapshots: shared.publisher.reader(),
@@ -157,34 +157,34 @@
         self.snapshots.current()
     }
 
-    /// Returns whether a caller's body streams through the thread.
+    /// Returns whether a request body of a caller is streaming through the thread.
     pub fn is_uploading(&self) -> bool {
         self.uploads.get() > 0
     }
 
-    /// Finds an adapter by its plug-in name.
+    /// Returns the adapter with a plug-in name.
     pub fn adapter(&self, name: &str) -> Option<Rc<dyn Adapter>> {
         self.adapters.get(name).cloned()
     }
 
-    /// Draws an identifier that no other attempt or request has.
+    /// Generates a unique identifier of an attempt or request from 128 random bits.
     pub fn generate_id(&self) -> attempt::Id {
         let mut generator = self.generator.borrow_mut();
         let high = u128::from(generator.next_u64());
         attempt::Id::new(high << 64 | u128::from(generator.next_u64()))
     }
 
-    /// Lends the thread's generator.
+    /// Calls a function with the thread's random number generator.
     pub fn with_generator<T>(&self, work: impl FnOnce(&mut Pcg64Mcg) -> T) -> T {
         work(&mut self.generator.borrow_mut())
     }
 }
 
-/// Makes all registered adapters over the current thread's connections.
+/// Creates all registered adapters on one client of the current thread.
 ///
 /// # Errors
 ///
-/// Returns an error when the client for endpoints cannot be made.
+/// Returns an error if the client for endpoints cannot be created.
 pub fn adapters(settings: &client::Settings) -> Result<BTreeMap<SmolStr, Rc<dyn Adapter>>, client::Error> {
     let client = Rc::new(Client::new(settings.clone())?);
     let kinds = plugin::inventory::iter::<Kind>.into_iter();
