--- a/bergamotshift-entry/src/admin/mod.rs
+++ b/bergamotshift-entry/src/admin/mod.rs
@@ -1,4 +1,4 @@
-//! The operators' address: a page, its status as JSON, and metrics.
+//! HTTP handlers of the operators' address: status page, health checks, status as JSON, and metrics.
 
 pub mod status;
 
@@ -13,17 +13,17 @@
 use crate::control;
 use crate::worker::Shared;
 
-/// The content type of the metrics' text format.
-const METRICS_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
+/// Content type of the `OpenMetrics` text format.
+const METRICS_CONTENT_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
 
-/// The page, which holds all that it needs.
+/// Status page, with its script and styles inline.
 const PAGE: &str = include_str!("page.html");
 
-/// What the page may do: run and style itself, and ask its own address.
-const PAGE_POLICY: &str = "default-src 'none'; script-src 'unsafe-inline'; style-src 'unsafe-inline'; connect-src \
+/// Content security policy of the page: inline script and styles, and requests to its own origin only.
+const PAGE_CSP: &str = "default-src 'none'; script-src 'unsafe-inline'; style-src 'unsafe-inline'; connect-src \
                            'self'; base-uri 'none'; form-action 'none'; frame-ancestors 'none'";
 
-/// Answers one request of an operator.
+/// Returns the response to one request on the operators' address.
 pub async fn serve(shared: Arc<Shared>, request: Request) -> Response {
     match request.path() {
         "/" => page(),
@@ -40,7 +40,7 @@
 fn page() -> Response {
     Response::build(StatusCode::OK)
         .content_type("text/html; charset=utf-8")
-        .header("content-security-policy", PAGE_POLICY)
+        .header("content-security-policy", PAGE_CSP)
         .header("x-content-type-options", "nosniff")
         .body(PAGE)
 }
@@ -48,18 +48,20 @@
 fn metrics(shared: &Shared) -> Response {
     shared.metrics.ready.set(i64::from(shared.is_ready()));
     match shared.metrics.encode() {
-        Ok(text) => Response::build(StatusCode::OK).content_type(METRICS_TYPE).body(text),
+        Ok(text) => Response::build(StatusCode::OK)
+            .content_type(METRICS_CONTENT_TYPE)
+            .body(text),
         Err(_) => reply::text(StatusCode::INTERNAL_SERVER_ERROR, "the metrics cannot be written\n"),
     }
 }
 
-/// Shows the fleet as this entry sees it.
+/// Returns this entry's view of the fleet as JSON, or status 404 when the entry runs without peers.
 async fn peers(shared: &Shared) -> Response {
     let Some(peers) = shared.peers.get() else {
         return reply::text(StatusCode::NOT_FOUND, "this entry stands alone\n");
     };
-    let (answer, status) = oneshot::channel();
-    peers.send(crate::peers::Request::Status(answer));
+    let (sender, status) = oneshot::channel();
+    peers.send(crate::peers::Request::Status(sender));
     match status.await {
         Ok(status) => Response::build(StatusCode::OK).json(&status),
         Err(_) => reply::text(StatusCode::SERVICE_UNAVAILABLE, "the entry is ending\n"),
@@ -67,8 +69,8 @@
 }
 
 async fn status(shared: &Shared) -> Response {
-    let (answer, status) = oneshot::channel();
-    shared.control.send(control::Request::Status(answer));
+    let (sender, status) = oneshot::channel();
+    shared.control.send(control::Request::Status(sender));
     match status.await {
         Ok(status) => Response::build(StatusCode::OK).json(&status),
         Err(_) => reply::text(StatusCode::SERVICE_UNAVAILABLE, "the entry is ending\n"),
--- a/bergamotshift-entry/src/admin/status/compose.rs
+++ b/bergamotshift-entry/src/admin/status/compose.rs
@@ -1,4 +1,4 @@
-//! Puts a status together.
+//! Assembles the status from the snapshot, the endpoints and the reports.
 
 use std::collections::BTreeMap;
 
@@ -15,7 +15,7 @@
 use crate::worker::Shared;
 
 impl Status {
-    /// Returns how an entry stands that follows this version and knows these endpoints.
+    /// Returns the status of the entry, given the accepted configuration version and the known endpoints.
     pub fn of(shared: &Shared, config: Option<Version>, endpoints: Vec<Endpoint>) -> Self {
         let snapshot = shared.publisher.current();
         let reports = &shared.reports;
@@ -38,9 +38,10 @@
     }
 }
 
-/// Counts what is known of each zone.
+/// Counts the endpoints of each availability zone and marks the zones that are cut off.
 ///
-/// A zone is cut off when something is known there and nothing of it can be reached, neither an endpoint nor an entry.
+/// A zone is cut off when endpoints or entries are known there and none of them can be reached. Endpoints that are
+/// leaving and unreachable, and entries that left, do not count as known.
 pub(super) fn zones(config: &Config, endpoints: &[Endpoint], members: &[Member]) -> Vec<Zone> {
     let mut zones: BTreeMap<&name::Zone, Zone> = BTreeMap::new();
     let empty = |name: &name::Zone, region| Zone {
@@ -54,7 +55,7 @@
     for (name, zone) in &config.zones {
         zones.insert(name, empty(name, Some(zone.region.clone())));
     }
-    let mut known: BTreeMap<&name::Zone, bool> = BTreeMap::new();
+    let mut reachability: BTreeMap<&name::Zone, bool> = BTreeMap::new();
     for endpoint in endpoints {
         let name = &endpoint.zone;
         let zone = zones.entry(name).or_insert_with(|| empty(name, None));
@@ -63,19 +64,19 @@
             Endpoint { reachable: false, .. } => zone.unreachable += 1,
             Endpoint { .. } => zone.live += 1,
         }
-        // A VM that said it leaves is expected to be gone.
+        // A VM that announced its departure is expected to become unreachable.
         if endpoint.reachable || !endpoint.leaving {
-            *known.entry(name).or_default() |= endpoint.reachable;
+            *reachability.entry(name).or_default() |= endpoint.reachable;
         }
     }
     for member in members.iter().filter(|member| member.health != Health::Left) {
         let name = &member.zone;
         zones.entry(name).or_insert_with(|| empty(name, None));
-        *known.entry(name).or_default() |= member.health.is_live();
+        *reachability.entry(name).or_default() |= member.health.is_live();
     }
-    for (name, reached) in known {
+    for (name, reachable) in reachability {
         if let Some(zone) = zones.get_mut(name) {
-            zone.cut_off = !reached;
+            zone.cut_off = !reachable;
         }
     }
     zones.into_values().collect()
--- a/bergamotshift-entry/src/admin/status/mod.rs
+++ b/bergamotshift-entry/src/admin/status/mod.rs
@@ -1,4 +1,4 @@
-//! How an entry stands, as operators and other programs read it.
+//! Status document of an entry, which operators and other programs read as JSON.
 //!
 //! ```
 //! use bergamotshift_entry::admin::status::Status;
@@ -25,62 +25,62 @@
 
 pub use self::reports::Reports;
 
-/// How one endpoint stands.
+/// Status of one endpoint.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Endpoint {
-    /// The VM's name.
+    /// Name of the VM.
     pub vm: name::Vm,
-    /// Which life of that name.
+    /// Incarnation of the VM under that name.
     pub incarnation: Incarnation,
-    /// The service it runs.
+    /// Service that the endpoint runs.
     pub service: name::Service,
-    /// The availability zone.
+    /// Availability zone of the VM.
     pub zone: name::Zone,
-    /// Whether it is leaving and gets no new work.
+    /// Whether the endpoint is leaving and receives no new requests.
     pub leaving: bool,
-    /// Whether it can be reached.
+    /// Whether the endpoint can be reached.
     pub reachable: bool,
-    /// Requests of this entry that run there.
+    /// Number of this entry's requests in flight on the endpoint.
     pub in_flight: u32,
 }
 
-/// How one availability zone looks from the entry.
+/// Status of one availability zone, as this entry sees it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Zone {
-    /// The zone's name.
+    /// Name of the zone.
     pub name: name::Zone,
-    /// The region it lies in, when the configuration says so.
+    /// Region of the zone, if the configuration lists the zone.
     pub region: Option<name::Region>,
-    /// Endpoints that get work.
+    /// Number of endpoints that are reachable and not leaving.
     pub live: u32,
-    /// Endpoints that are leaving.
+    /// Number of endpoints that are leaving.
     pub leaving: u32,
-    /// Endpoints that cannot be reached.
+    /// Number of endpoints that cannot be reached and are not leaving.
     pub unreachable: u32,
-    /// Whether something is known there and none of it can be reached.
+    /// Whether endpoints or entries are known in the zone and none of them can be reached.
     pub cut_off: bool,
 }
 
-/// What is thought of another entry.
+/// Health of another entry, as seen by the failure detector.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Health {
-    /// It answers.
+    /// The entry answers probes.
     #[default]
     Alive,
-    /// It missed a probe.
+    /// The entry missed a probe.
     Suspect,
-    /// It is taken for dead.
+    /// The entry is presumed dead.
     Dead,
-    /// It said that it leaves.
+    /// The entry announced that it leaves.
     Left,
 }
 
 impl Health {
-    /// Returns the word that stands for it.
+    /// Returns the name of the state, as in the JSON.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::Alive => "alive",
@@ -90,81 +90,81 @@
         }
     }
 
-    /// Returns whether the entry can be asked.
+    /// Returns whether the entry is presumed to be running.
     pub const fn is_live(self) -> bool {
         matches!(self, Self::Alive | Self::Suspect)
     }
 }
 
-/// One entry of the fleet, as this one sees it.
+/// Another entry of the fleet, as this entry sees it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Member {
-    /// The entry's name.
+    /// Name of the entry.
     pub name: name::Entry,
-    /// Its availability zone.
+    /// Availability zone of the entry.
     pub zone: name::Zone,
-    /// Where other entries reach it.
+    /// Address on which other entries reach it.
     pub address: SocketAddr,
-    /// What is thought of it.
+    /// Health of the entry.
     pub health: Health,
 }
 
-/// A control duty that the entry holds.
+/// Lease on a control duty that the entry holds.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Lease {
-    /// The duty.
+    /// Name of the duty.
     pub duty: SmolStr,
-    /// The fencing number that its orders carry.
+    /// Fencing number that the holder's orders carry.
     pub fence: u64,
-    /// How long it still holds by the entry's own clock, in milliseconds.
+    /// Remaining time of the lease by the entry's own clock, in milliseconds.
     pub left_ms: u64,
 }
 
-/// How one part of the platform answered last.
+/// Result of the last call to one dependency of the platform.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
-pub struct Part {
-    /// The part.
+pub struct Dependency {
+    /// Name of the dependency.
     pub name: SmolStr,
-    /// Whether its last call was answered.
+    /// Whether the last call was answered, that is, neither refused nor left with an unknown outcome.
     pub answers: bool,
 }
 
-/// How the entry stands.
+/// Status of an entry.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Status {
-    /// The entry's name.
+    /// Name of the entry.
     pub name: name::Entry,
-    /// Its availability zone.
+    /// Availability zone of the entry.
     pub zone: name::Zone,
-    /// The program's version.
+    /// Version of the program.
     pub version: SmolStr,
-    /// The number of the snapshot in force.
+    /// Number of the snapshot in force.
     pub snapshot: u64,
-    /// The accepted version in force; none when the configuration was given to the process.
+    /// Accepted configuration version in force; `None` if the configuration was given to the process.
     #[serde(default)]
     pub config: Option<Version>,
-    /// Whether callers may come.
+    /// Whether the entry is ready for callers.
     pub ready: bool,
-    /// Whether the entry is about to end.
+    /// Whether the entry is draining before it exits.
     pub draining: bool,
-    /// Requests being served.
+    /// Number of requests in flight.
     pub active: u64,
-    /// The availability zones.
+    /// Status of each availability zone.
     pub zones: Vec<Zone>,
-    /// The endpoints.
+    /// Status of each known endpoint.
     pub endpoints: Vec<Endpoint>,
-    /// The other entries; none for an entry that stands alone.
+    /// Other entries of the fleet; `None` if the entry runs without peers.
     #[serde(default)]
     pub members: Option<Vec<Member>>,
-    /// The control duties that the entry holds.
+    /// Leases on the control duties that the entry holds.
     #[serde(default)]
     pub leases: Vec<Lease>,
-    /// The parts of the platform that were called so far.
-    pub platform: Vec<Part>,
+    /// Dependencies of the platform that were called so far.
+    pub platform: Vec<Dependency>,
 }
 
 impl Status {
--- a/bergamotshift-entry/src/admin/status/reports.rs
+++ b/bergamotshift-entry/src/admin/status/reports.rs
@@ -1,4 +1,4 @@
-//! What other parts of the entry report for its status.
+//! Latest reports of the entry's subsystems, from which the status is assembled.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -9,11 +9,11 @@
 use arc_swap::ArcSwapOption;
 use smol_str::SmolStr;
 
+use super::Dependency;
 use super::Lease;
 use super::Member;
-use super::Part;
 
-/// Holds the last report of each part; nothing on the path of a request reads or writes it.
+/// Last report of each subsystem. Nothing on the request path reads or writes it.
 #[derive(Debug, Default)]
 pub struct Reports {
     members: ArcSwapOption<Vec<Member>>,
@@ -21,53 +21,54 @@
     platform: Mutex<Platform>,
 }
 
-/// Whether calls of the platform were answered.
+/// Results of the last calls to the platform: `true` if the call was answered.
 #[derive(Debug, Default)]
 struct Platform {
-    /// The last call of each part.
-    parts: BTreeMap<&'static str, bool>,
-    /// The last call of each kind.
+    /// Result of the last call to each dependency.
+    dependencies: BTreeMap<&'static str, bool>,
+    /// Result of the last call of each kind, by dependency and call.
     calls: BTreeMap<(&'static str, &'static str), bool>,
 }
 
 impl Reports {
-    /// Takes the entries of the fleet.
+    /// Replaces the list of the other entries of the fleet.
     pub fn set_members(&self, members: Vec<Member>) {
         self.members.store(Some(Arc::new(members)));
     }
 
-    /// Takes the control duties that the entry holds.
+    /// Replaces the list of leases that the entry holds.
     pub fn set_leases(&self, leases: Vec<Lease>) {
         self.leases.store(Arc::new(leases));
     }
 
-    /// Takes whether a part of the platform answered a call; returns whether that is news for this kind of call.
+    /// Records whether a dependency answered a call; returns whether the result changed for this kind of call.
     ///
-    /// The first answer is no news: it is what everybody takes for granted. News are told by kind, because calls of
-    /// two kinds overlap: one that began before an outage and ended in it would look like the outage's end.
-    pub fn set_platform(&self, part: &'static str, call: &'static str, answers: bool) -> bool {
+    /// A dependency is presumed to answer, so a first call that is answered is no change. Changes are tracked for each
+    /// kind of call, because calls of two kinds overlap: one that began before an outage and ended during it would look
+    /// like the end of the outage.
+    pub fn set_platform(&self, dependency: &'static str, call: &'static str, answers: bool) -> bool {
         let mut platform = self.platform.lock().unwrap_or_else(PoisonError::into_inner);
-        platform.parts.insert(part, answers);
-        platform.calls.insert((part, call), answers).unwrap_or(true) != answers
+        platform.dependencies.insert(dependency, answers);
+        platform.calls.insert((dependency, call), answers).unwrap_or(true) != answers
     }
 
-    /// Returns the entries of the fleet, when there is one.
+    /// Returns the other entries of the fleet, or `None` if none were reported.
     pub fn members(&self) -> Option<Arc<Vec<Member>>> {
         self.members.load_full()
     }
 
-    /// Returns the control duties that the entry holds.
+    /// Returns the leases that the entry holds.
     pub fn leases(&self) -> Arc<Vec<Lease>> {
         self.leases.load_full()
     }
 
-    /// Returns how the parts of the platform answered last.
-    pub fn platform(&self) -> Vec<Part> {
+    /// Returns the result of the last call to each dependency of the platform.
+    pub fn platform(&self) -> Vec<Dependency> {
         let platform = self.platform.lock().unwrap_or_else(PoisonError::into_inner);
-        let parts = platform.parts.iter().map(|(name, answers)| Part {
+        let dependencies = platform.dependencies.iter().map(|(name, answers)| Dependency {
             name: SmolStr::new_static(name),
             answers: *answers,
         });
-        parts.collect()
+        dependencies.collect()
     }
 }
--- a/bergamotshift-entry/src/admin/status/tests.rs
+++ b/bergamotshift-entry/src/admin/status/tests.rs
@@ -1,4 +1,4 @@
-//! What counts as cut off.
+//! Tests of the conditions under which an availability zone is cut off.
 
 use bergamotshift_config::config::Config;
 use bergamotshift_core::prelude::*;
@@ -10,7 +10,7 @@
 
 const ZONE: name::Zone = name::Zone::new_static("zone-a");
 
-/// Whether an endpoint is reached, and whether it is leaving.
+/// State of an endpoint: reachable, leaving.
 type State = (bool, bool);
 
 fn endpoint((reachable, leaving): State) -> Endpoint {
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn a_zone_is_cut_off_when_nothing_known_there_is_reached() {
+fn zone_is_cut_off_when_no_known_endpoint_or_entry_is_reachable() {
     const LIVE: State = (true, false);
     const LEAVING: State = (true, true);
     const LOST: State = (false, false);
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn a_zone_of_which_nothing_is_known_is_not_cut_off() {
+fn zone_without_known_endpoints_or_entries_is_not_cut_off() {
     let left = [member(Health::Left)];
     assert_eq!(zones(&Config::default(), &[], &left), []);
 }
