--- a/bergamotshift-entry/src/tls/certificate.rs
+++ b/bergamotshift-entry/src/tls/certificate.rs
@@ -1,4 +1,4 @@
-//! The certificate that callers meet, and its replacement while the entry runs.
+//! Server certificate presented to callers, which is replaced while the entry runs.
 
 use core::fmt;
 use std::sync::Arc;
@@ -15,43 +15,46 @@
 use rustls::sign::CertifiedKey;
 use xxhash_rust::xxh3::xxh3_128;
 
+use super::ALPN_PROTOCOL;
 use super::Error;
-use super::PROTOCOL;
 use super::Settings;
 
-/// What a reading brought.
+/// Outcome of reading the certificate and the key again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// The pair is the one in use.
+    /// Certificate and key are unchanged.
     Same,
-    /// Another pair is in use from now on.
-    Taken,
+    /// A different certificate or key replaced the pair in use.
+    Replaced,
 }
 
-/// A certificate with its key, replaced in place.
+/// Server certificate with its private key, replaceable without a restart.
 ///
-/// Failure: a certificate is replaced file by file, or by a broken one. Symptom: callers meet a certificate that does
-/// not fit its key, or none. Only a pair that fits is taken, for handshakes from then on; else the one before stays.
+/// Certificate and key are replaced on disk one file after the other, and either may be broken, so callers could be
+/// presented a certificate that does not match its key, or none. A new pair is used for later handshakes only if both
+/// parse and match; otherwise the previous pair stays in use.
 pub struct Certificate {
     settings: Settings,
     provider: Arc<CryptoProvider>,
     current: ArcSwap<Pair>,
 }
 
+/// Certificate chain and private key.
 struct Pair {
     key: Arc<CertifiedKey>,
+    /// Hashes of the PEM texts of the certificate and of the key.
     digest: (u128, u128),
 }
 
 impl Certificate {
-    /// Reads the pair for the first time.
+    /// Reads the certificate and the key.
     ///
     /// # Errors
     ///
-    /// Returns why the pair cannot be used.
+    /// Returns an error if the certificate or the key cannot be read or used, or if they do not match.
     pub fn load(settings: Settings) -> Result<Arc<Self>, Error> {
         let provider = Arc::new(ring::default_provider());
-        let pair = pair(&settings, &provider, None)?.ok_or(Error::Key)?;
+        let pair = read_pair(&settings, &provider, None)?.ok_or(Error::Key)?;
         Ok(Arc::new(Self {
             settings,
             provider,
@@ -59,39 +62,39 @@
         }))
     }
 
-    /// Returns what the pair is read from.
+    /// Returns the settings that the certificate was loaded with.
     pub const fn settings(&self) -> &Settings {
         &self.settings
     }
 
-    /// Reads the pair again and takes it when it is another one that can be used.
+    /// Reads the certificate and the key again, and replaces the pair in use if either changed.
     ///
     /// # Errors
     ///
-    /// Returns why the pair cannot be used; the one before stays in use.
+    /// Returns an error if the new pair cannot be read or used; the previous pair stays in use.
     pub fn reread(&self) -> Result<Change, Error> {
         let digest = self.current.load().digest;
-        match pair(&self.settings, &self.provider, Some(digest))? {
+        match read_pair(&self.settings, &self.provider, Some(digest))? {
             None => Ok(Change::Same),
             Some(pair) => {
                 self.current.store(Arc::new(pair));
-                Ok(Change::Taken)
+                Ok(Change::Replaced)
             }
         }
     }
 
-    /// Returns the settings of a server that shows this certificate.
+    /// Returns the TLS configuration of a server that presents this certificate.
     ///
     /// # Errors
     ///
-    /// Returns an error when the library offers no protocol version.
+    /// Returns an error if the cryptography provider supports none of the default protocol versions.
     pub fn server(self: &Arc<Self>) -> Result<ServerConfig, Error> {
         let resolver: Arc<dyn ResolvesServerCert> = Arc::<Self>::clone(self);
         let mut config = ServerConfig::builder_with_provider(Arc::clone(&self.provider))
             .with_safe_default_protocol_versions()?
             .with_no_client_auth()
             .with_cert_resolver(resolver);
-        config.alpn_protocols = vec![PROTOCOL.to_vec()];
+        config.alpn_protocols = vec![ALPN_PROTOCOL.to_vec()];
         Ok(config)
     }
 }
@@ -110,27 +113,35 @@
     }
 }
 
-/// Reads a pair; returns nothing when it is the known one.
-fn pair(settings: &Settings, provider: &CryptoProvider, known: Option<(u128, u128)>) -> Result<Option<Pair>, Error> {
+/// Reads and parses a pair; returns `None` if its texts hash to `current`.
+fn read_pair(
+    settings: &Settings,
+    provider: &CryptoProvider,
+    current: Option<(u128, u128)>,
+) -> Result<Option<Pair>, Error> {
     let chain = settings.certificate.read()?;
     let key = settings.key.read()?;
     let digest = (xxh3_128(&chain), xxh3_128(&key));
-    if known == Some(digest) {
+    if current == Some(digest) {
         return Ok(None);
     }
-    let chain = certificates("certificate", &chain)?;
-    // The library's errors quote the text, and a key must not reach a log.
-    let key = PrivateKeyDer::from_pem_slice(&key).map_err(|_quoting| Error::Key)?;
+    let chain = parse_certificates("certificate", &chain)?;
+    // The parser's errors quote the PEM text, and a private key must not reach a log.
+    let key = PrivateKeyDer::from_pem_slice(&key).map_err(|_quotes_text| Error::Key)?;
     let key = Arc::new(CertifiedKey::from_der(chain, key, provider)?);
     Ok(Some(Pair { key, digest }))
 }
 
-/// Reads the certificates of a PEM text, of which there must be one at least.
-pub(super) fn certificates(what: &'static str, text: &[u8]) -> Result<Vec<CertificateDer<'static>>, Error> {
-    let read: Result<Vec<_>, _> = CertificateDer::pem_slice_iter(text).collect();
-    let read = read.map_err(|_quoting| Error::Certificate(what))?;
-    if read.is_empty() {
-        return Err(Error::Certificate(what));
+/// Parses the certificates of a PEM text.
+///
+/// # Errors
+///
+/// Returns an error that names `subject` if the text holds no certificate or one that cannot be parsed.
+pub(super) fn parse_certificates(subject: &'static str, text: &[u8]) -> Result<Vec<CertificateDer<'static>>, Error> {
+    let parsed: Result<Vec<_>, _> = CertificateDer::pem_slice_iter(text).collect();
+    let certificates = parsed.map_err(|_quotes_text| Error::Certificate(subject))?;
+    if certificates.is_empty() {
+        return Err(Error::Certificate(subject));
     }
-    Ok(read)
+    Ok(certificates)
 }
--- a/bergamotshift-entry/src/tls/follow.rs
+++ b/bergamotshift-entry/src/tls/follow.rs
@@ -1,4 +1,4 @@
-//! Reads the certificate again, as long as the entry runs.
+//! Task that reads the certificate again at an interval.
 
 use std::sync::Arc;
 
@@ -9,31 +9,32 @@
 use super::Change;
 use crate::worker::Shared;
 
-/// Takes a changed pair for the handshakes to come; of a broken one it tells once.
+/// Replaces the certificate when its source changes. A repeated error is logged once; a different error, or one that
+/// follows a success, is logged again.
 pub async fn follow(certificate: Arc<Certificate>, shared: Arc<Shared>) {
     let logger = &shared.settings.logger;
-    let mut told = None;
+    let mut logged_error = None;
     loop {
         tokio::time::sleep(certificate.settings().reread).await;
-        // Files may lie on a slow mount, and this thread has other work.
-        let reading = Arc::clone(&certificate);
-        let Ok(read) = ntex::rt::spawn_blocking(move || reading.reread()).await else {
+        // The files may be on a slow mount, and blocking this thread would delay its other tasks.
+        let reader = Arc::clone(&certificate);
+        let Ok(result) = ntex::rt::spawn_blocking(move || reader.reread()).await else {
             return;
         };
-        shared.metrics.certificate_refused.set(i64::from(read.is_err()));
-        match read {
+        shared.metrics.certificate_refused.set(i64::from(result.is_err()));
+        match result {
             Ok(change) => {
-                if change == Change::Taken {
+                if change == Change::Replaced {
                     shared.metrics.certificates.inc();
                     info!(logger, "another certificate is in use");
                 }
-                told = None;
+                logged_error = None;
             }
             Err(error) => {
                 let text = error.to_string();
-                if told.as_ref() != Some(&text) {
+                if logged_error.as_ref() != Some(&text) {
                     warn!(logger, "the certificate before stays in use"; "error" => &text);
-                    told = Some(text);
+                    logged_error = Some(text);
                 }
             }
         }
--- a/bergamotshift-entry/src/tls/mod.rs
+++ b/bergamotshift-entry/src/tls/mod.rs
@@ -1,7 +1,7 @@
-//! TLS towards callers and endpoints.
+//! TLS between callers and the entry, and between the entry and endpoints.
 //!
-//! Callers meet a [`Certificate`], which is read again while the entry runs and replaced without cutting a connection.
-//! Endpoints prove themselves against the roots that [`client`] takes.
+//! The entry presents a [`Certificate`] to callers, which is read again while the entry runs and replaced without
+//! closing connections. Endpoints are authenticated against the root certificates passed to [`client`].
 
 mod certificate;
 mod follow;
@@ -20,17 +20,17 @@
 pub use self::roots::client;
 pub use self::source::Source;
 
-/// The only protocol that is spoken over TLS.
-const PROTOCOL: &[u8] = b"http/1.1";
+/// ALPN name of HTTP/1.1, the only protocol offered over TLS.
+const ALPN_PROTOCOL: &[u8] = b"http/1.1";
 
-/// What the entry proves itself with towards callers.
+/// Settings of the server certificate that the entry presents to callers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Settings {
-    /// The certificate, followed by those that lead to the authority.
+    /// Certificate chain: the entry's own certificate, followed by those that lead to the authority.
     pub certificate: Source,
-    /// The private key.
+    /// Private key of the certificate.
     pub key: Source,
-    /// The time between two readings of both.
+    /// Interval at which certificate and key are read again.
     pub reread: Duration,
 }
 
@@ -44,26 +44,26 @@
     }
 }
 
-/// Why certificates or keys cannot be used; no text of a key stands in it.
+/// Error of reading or using certificates and keys. Its message never contains key text.
 #[derive(Debug)]
 #[derive(ThisError)]
 #[non_exhaustive]
 pub enum Error {
-    /// A file cannot be read.
+    /// The file cannot be read.
     #[error("cannot read {path}: {source}", path = path.display())]
     Read {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// What the operating system said.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// There is no certificate, or one that is no PEM.
+    /// The text holds no PEM certificate, or one that cannot be parsed.
     #[error("the {0} holds no PEM certificate that can be read")]
     Certificate(&'static str),
-    /// There is no private key.
+    /// The text holds no PEM private key that can be parsed.
     #[error("the key holds no PEM private key that can be read")]
     Key,
-    /// The certificates, or the key with them, cannot be used.
+    /// The TLS library rejected the certificates or the key.
     #[error("the certificate or the key cannot be used: {0}")]
     Use(#[from] rustls::Error),
 }
--- a/bergamotshift-entry/src/tls/roots.rs
+++ b/bergamotshift-entry/src/tls/roots.rs
@@ -1,4 +1,4 @@
-//! The authorities that endpoints' certificates have to come from.
+//! Client configuration with the root certificates that endpoints are authenticated against.
 
 use std::sync::Arc;
 
@@ -6,25 +6,25 @@
 use rustls::RootCertStore;
 use rustls::crypto::ring;
 
+use super::ALPN_PROTOCOL;
 use super::Error;
-use super::PROTOCOL;
 use super::Source;
-use super::certificate::certificates;
+use super::certificate::parse_certificates;
 
-/// Makes the settings of a client that trusts these authorities and no others.
+/// Returns the TLS configuration of a client that trusts only the given root certificates.
 ///
 /// # Errors
 ///
-/// Returns why the authorities' certificates cannot be used.
+/// Returns an error if the root certificates cannot be read or used.
 pub fn client(roots: &Source) -> Result<Arc<ClientConfig>, Error> {
     let mut store = RootCertStore::empty();
-    for root in certificates("list of roots", &roots.read()?)? {
+    for root in parse_certificates("list of roots", &roots.read()?)? {
         store.add(root)?;
     }
     let mut config = ClientConfig::builder_with_provider(Arc::new(ring::default_provider()))
         .with_safe_default_protocol_versions()?
         .with_root_certificates(store)
         .with_no_client_auth();
-    config.alpn_protocols = vec![PROTOCOL.to_vec()];
+    config.alpn_protocols = vec![ALPN_PROTOCOL.to_vec()];
     Ok(Arc::new(config))
 }
--- a/bergamotshift-entry/src/tls/source.rs
+++ b/bergamotshift-entry/src/tls/source.rs
@@ -1,4 +1,4 @@
-//! Where PEM text comes from: a file, or the setting itself.
+//! Source of PEM text: a file, or the setting itself.
 
 use core::convert::Infallible;
 use core::fmt;
@@ -11,8 +11,8 @@
 
 use super::Error;
 
-/// What every PEM section begins with.
-const BEGIN: &str = "-----BEGIN ";
+/// Prefix of every PEM section.
+const PEM_PREFIX: &str = "-----BEGIN ";
 
 /// PEM text, or the file that holds it.
 ///
@@ -27,18 +27,18 @@
 /// ```
 #[derive(Clone, PartialEq, Eq)]
 pub enum Source {
-    /// A file, which is read again while the entry runs.
+    /// Path of a file, which is read each time.
     File(PathBuf),
-    /// The text itself, for VMs that mount no files.
+    /// PEM text, for VMs without mounted files.
     Text(SmolStr),
 }
 
 impl Source {
-    /// Returns the text as it is now.
+    /// Returns the current text.
     ///
     /// # Errors
     ///
-    /// Returns an error when the file cannot be read.
+    /// Returns an error if the file cannot be read.
     pub fn read(&self) -> Result<Cow<'_, [u8]>, Error> {
         match self {
             Self::Text(text) => Ok(Cow::Borrowed(text.as_bytes())),
@@ -57,7 +57,7 @@
     type Err = Infallible;
 
     fn from_str(text: &str) -> Result<Self, Infallible> {
-        Ok(if text.contains(BEGIN) {
+        Ok(if text.contains(PEM_PREFIX) {
             Self::Text(SmolStr::new(text))
         } else {
             Self::File(PathBuf::from(text))
@@ -69,7 +69,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::File(path) => f.debug_tuple("File").field(path).finish(),
-            // Settings are printed in errors and tests; a private key must not be.
+            // Settings are printed in errors and tests, where a private key must not appear.
             Self::Text(_) => f.write_str("Text(..)"),
         }
     }
