--- a/bergamotshift-entry/tests/admin/main.rs
+++ b/bergamotshift-entry/tests/admin/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the operators' address.
+//! Tests of the status page and the status document on the operators' address.
 
 #[path = "../entry/site.rs"]
 #[expect(
--- a/bergamotshift-entry/tests/admin/page.rs
+++ b/bergamotshift-entry/tests/admin/page.rs
@@ -1,4 +1,4 @@
-//! The operators' page.
+//! Tests of the status page.
 
 use ntex::http::StatusCode;
 
@@ -7,7 +7,7 @@
 use crate::site::client;
 
 #[ntex::test]
-async fn the_page_needs_nothing_from_elsewhere_and_writes_text_alone() {
+async fn page_loads_nothing_external_and_writes_only_text() {
     let site = Site::start(Layout::default()).await;
     let address = format!("http://{}/", site.entry.operators());
     let response = client().await.get(address).send().await.unwrap();
@@ -20,7 +20,7 @@
     let body = response.body().await.unwrap();
     let page = core::str::from_utf8(&body).unwrap();
     assert!(page.contains("fetch(\"status\""));
-    // Anything that fetches from elsewhere, or turns a name into markup or script.
+    // Constructs that load external resources, or that turn a name into markup or script.
     let forbidden = [
         "//cdn",
         "http:",
--- a/bergamotshift-entry/tests/admin/status.rs
+++ b/bergamotshift-entry/tests/admin/status.rs
@@ -1,4 +1,4 @@
-//! The status, as other programs read it.
+//! Tests of the status document.
 
 use core::time::Duration;
 
@@ -11,22 +11,23 @@
 use crate::site::Layout;
 use crate::site::Site;
 
-/// Soon enough that a test sees an endpoint's death by its load reports alone.
-const REPORTS: Duration = Duration::from_millis(20);
+/// Interval of load reports, short enough that a test detects a dead endpoint by missing reports alone.
+const REPORT_INTERVAL: Duration = Duration::from_millis(20);
 
-async fn until(site: &Site, holds: impl Fn(&Status) -> bool) -> Status {
+/// Polls the status until it satisfies `condition`.
+async fn wait_for_status(site: &Site, condition: impl Fn(&Status) -> bool) -> Status {
     loop {
         let status: Status = serde_json::from_value(site.status().await).unwrap();
-        if holds(&status) {
+        if condition(&status) {
             return status;
         }
     }
 }
 
 #[ntex::test]
-async fn the_status_shows_zones_and_endpoints() {
+async fn status_shows_zones_and_endpoints() {
     let site = Site::start(Layout::default()).await;
-    let status = until(&site, |status| {
+    let status = wait_for_status(&site, |status| {
         status.endpoints.iter().all(|endpoint| endpoint.reachable)
     })
     .await;
@@ -44,15 +45,15 @@
 }
 
 #[ntex::test]
-async fn a_zone_that_is_lost_shows_as_cut_off() {
-    // All endpoints of one zone die unannounced. Load reports fail one by one; when the last of them is gone the zone
-    // shows as cut off, and the other one does not.
+async fn lost_zone_is_shown_as_cut_off() {
+    // All endpoints of one zone die without notice and their load reports fail one by one. The zone is cut off once the
+    // last endpoint is unreachable; the other zone is not.
     let mut layout = Layout::default();
-    layout.settings.watch.reports = REPORTS;
+    layout.settings.watch.reports = REPORT_INTERVAL;
     let site = Site::start(layout).await;
     site.engines[0].kill();
     site.plains[0].kill();
-    let status = until(&site, |status| status.cut_off().count() > 0).await;
+    let status = wait_for_status(&site, |status| status.cut_off().count() > 0).await;
     let cut_off: Vec<_> = status.cut_off().map(name::Zone::as_str).collect();
     assert_eq!(cut_off, ["zone-a"]);
     assert_eq!(status.zones[0].unreachable, 2);
@@ -60,7 +61,7 @@
 }
 
 #[ntex::test]
-async fn a_platform_that_is_down_shows() {
+async fn unreachable_platform_is_shown() {
     let closed = Port::hold();
     let defaults = Layout::default();
     let site = Site::start(Layout {
@@ -74,7 +75,7 @@
         ..defaults
     })
     .await;
-    let status = until(&site, |status| !status.platform.is_empty()).await;
+    let status = wait_for_status(&site, |status| !status.platform.is_empty()).await;
     assert_eq!(status.platform[0].name, "vms");
     assert!(!status.platform[0].answers);
 }
