--- a/bergamotshift-entry/src/configuration/follow.rs
+++ b/bergamotshift-entry/src/configuration/follow.rs
@@ -80,7 +80,8 @@
             dependencies.control.send(watch::Event::Configured { revision, config });
         }
         Action::Reject { revision, reason } => {
-            error!(dependencies.logger, "this release cannot use the accepted configuration, the last one stays in force";
+            error!(dependencies.logger,
+                "this release cannot use the accepted configuration, the last one stays in force";
                 "version" => revision.version.get(), "reason" => reason);
         }
         call @ (Action::Read(_) | Action::Write(_) | Action::Fetch { .. }) => {
--- a/bergamotshift-entry/src/duties/loader.rs
+++ b/bergamotshift-entry/src/duties/loader.rs
@@ -54,7 +54,7 @@
                 if clock.now() < self.not_before || !self.may_load(clock, weights, model).await {
                     return;
                 }
-                // Endpoints that check fencing numbers refuse orders of an earlier holder, so a new holder need not wait.
+                // Endpoints that check fencing numbers refuse orders of an earlier holder, so a new one need not wait.
                 let Some(fencing) = lease.permit(service.checks_fencing) else {
                     return;
                 };
--- a/bergamotshift-entry/tests/duties/main.rs
+++ b/bergamotshift-entry/tests/duties/main.rs
@@ -1,4 +1,4 @@
-//! Tests of control duties against stand-ins of the platform.
+//! Tests of control duties against stand-ins of the platform, on a virtual clock except in `daemon`.
 
 mod capacity;
 mod daemon;
