--- a/bergamotshift-entry/tests/configuration/main.rs
+++ b/bergamotshift-entry/tests/configuration/main.rs
@@ -67,7 +67,7 @@
 
 #[ntex::test]
 async fn a_table_that_is_down_refuses_the_change_and_serving_goes_on() {
-    // The table refuses connections. The operator is told that it cannot be reached, callers are still served with the
+    // The table refuses connections. The operator is told that nothing was proposed, callers are still served with the
     // version in force, and a change is accepted again after the outage.
     let site = Site::start(&["zone-a"]).await;
     site.apply(&folder::empty(), &folder::with_key("first")).await;
--- a/bergamotshift-entry/tests/duties/fencing.rs
+++ b/bergamotshift-entry/tests/duties/fencing.rs
@@ -58,8 +58,8 @@
 #[ntex::test]
 async fn a_successor_waits_for_those_who_check_no_number() {
     // A holder dies without releasing its lease. Its successor sends orders at once to engines that check fencing
-    // numbers. The cloud, and engines that ignore the number, must get none while an order of the first holder may
-    // still be in flight.
+    // numbers. The cloud, and engines that ignore the number, must get none until the longest pause of the first
+    // holder and the longest transit of an order are over.
     for checks in [true, false] {
         let mut site = Site::start(checks).await;
         // Without list lag a new holder buys at once, so that only the wait for orders in flight delays it.
