--- a/bergamotshift-entry/src/control/fleet.rs
+++ b/bergamotshift-entry/src/control/fleet.rs
@@ -63,7 +63,7 @@
                 zone: listed.zone.clone(),
                 service: listed.service.clone(),
                 target: Target::new(listed.address, tls),
-                seat: sharing::Seat::default(),
+                isolation: sharing::Isolation::default(),
             };
             self.insert(config, endpoint, listed.class.clone(), listed.market);
         }
@@ -116,7 +116,7 @@
         key.is_some()
     }
 
-    /// Returns a reachable endpoint to routing unless it is suspended; returns whether it was added.
+    /// Puts a reachable endpoint back into routing unless it is suspended; returns whether it was added.
     pub(super) fn mark_reachable(&mut self, config: &Config, endpoint: &Endpoint, now: Instant) -> bool {
         let Some(record) = self
             .records
--- a/bergamotshift-entry/src/exchange/attempts.rs
+++ b/bergamotshift-entry/src/exchange/attempts.rs
@@ -20,7 +20,7 @@
 use crate::observe::Record;
 use crate::observe::Span;
 use crate::observe::Trace;
-use crate::sharing::Taken;
+use crate::sharing::Guard;
 use crate::sharing::Ticket;
 use crate::snapshot::Endpoint;
 use crate::snapshot::Snapshot;
@@ -47,7 +47,7 @@
     pub(super) key: key::Endpoint,
     pub(super) span: Span,
     pub(super) _guard: flight::Guard,
-    pub(super) _seat: Option<Taken>,
+    pub(super) _seat: Option<Guard>,
 }
 
 /// Attempts of a request.
@@ -175,8 +175,8 @@
             };
             let outgoing = match &mut body {
                 Outgoing::Buffered(bytes) if bytes.is_empty() => call::Body::Empty,
-                Outgoing::Buffered(bytes) => call::Body::Whole(bytes.clone()),
-                Outgoing::Streamed(payload) => call::Body::Stream(payload.take()),
+                Outgoing::Buffered(bytes) => call::Body::Buffered(bytes.clone()),
+                Outgoing::Streamed(payload) => call::Body::Streamed(payload.take()),
             };
             self.started += 1;
             queue = None;
